--- a/internal/fleetcontroller/config.go
+++ b/internal/fleetcontroller/config.go
@@ -1,22 +1,21 @@
-// Package fleetcontroller is the controller of a fleet of gateways: a member
-// of the group that replicates the configuration and the owners of keys. The
-// member that leads answers the gateways' reports with leases, sends them what
-// they route by, and moves keys.
+// Package fleetcontroller is the controller of a fleet of gateways: a member of the group
+// that replicates the configuration and the owners of keys. The leader answers the
+// gateways' reports with leases, sends them the views by which they route requests, and
+// moves keys between owners.
 //
 // # Goroutines
 //
-// The replica's control goroutine owns the state and the planner; everything
-// else reaches them by Post. Each session has a goroutine that receives and one
-// that sends; the sender reads published views only and sends what has changed
-// since its last message, so that a slow gateway costs nothing and catches up
-// with one message.
+// The replica's control goroutine owns the state and the planner; all other goroutines
+// access them by Post. Each session has a receiving and a sending goroutine. The sender
+// reads only published views and sends what has changed since its last message, so that a
+// slow gateway holds nothing up and catches up with a single message.
 //
-// # The group heals itself
+// # Automatic repair of the group
 //
-// A controller with an empty folder asks the others for admission until the
-// leader has made it a voter (join.go). The leader removes a member that lost
-// its disk when its successor asks, and one that has been silent for long while
-// all others answer (members.go).
+// A controller with an empty data folder requests admission from the others until the
+// leader has made it a voter (join.go). The leader removes a member that has lost its disk
+// when a new member requests admission from the same address, and a member that has been
+// silent for long while all others answer (members.go).
 package fleetcontroller
 
 import (
@@ -35,51 +34,49 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// Config of a controller. Zero durations take the defaults.
+// Config configures a controller. Zero durations select the defaults.
 type Config struct {
 	Group topology.GroupID
-	// Name of the process in logs.
+	// Name identifies the process in logs.
 	Name string
-	// DataDir is the data folder.
+	// DataDir is the path of the data folder.
 	DataDir string
-	// PeerListen takes connections of other controllers and SessionListen those
-	// of gateways, "IP:port". All controllers of a group use the same two port
-	// numbers.
+	// PeerListen accepts connections of other controllers, and SessionListen those of
+	// gateways, "IP:port". All controllers of a group use the same two port numbers.
 	PeerListen    string
 	SessionListen string
-	// Founding says that this is the first start of the whole group, whose first
-	// members are Seeds.
+	// Founding is set at the first start of the whole group, whose founding members are Seeds.
 	Founding bool
 	// Seeds are the session addresses of some controllers.
 	Seeds []string
-	// Zones are those of the fleet; no other can be evacuated.
+	// Zones lists the zones of the fleet; only these can be evacuated.
 	Zones []string
 
-	// HeartbeatInterval, ElectionTimeout and TickInterval of the group.
 	HeartbeatInterval time.Duration
 	ElectionTimeout   time.Duration
 	TickInterval      time.Duration
-	// DeadAfter is when a silent member is removed, if all others answer.
+	// DeadAfter is how long a member must be silent to be removed, if all others answer.
 	DeadAfter time.Duration
 
 	Planner keylease.Config
-	// Configuration says by when a configuration is in force everywhere.
+	// Configuration bounds how long a change of the configuration takes to be in force
+	// everywhere.
 	Configuration configlease.Terms
-	// Quarantine says for how long requests under which back ends have ended wait.
+	// Quarantine sets how long requests during which back ends have crashed have to wait.
 	Quarantine quarantine.Terms
 	Log        *slog.Logger
-	// Registry takes the metrics; nil shows them nowhere.
+	// Registry is where the metrics are registered; nil discards them.
 	Registry prometheus.Registerer
-	// OnExpelled is called when the group has removed this member; its folder
-	// has been emptied and the process must start anew.
+	// OnExpelled is called after the group has removed this member and its data folder has been
+	// emptied. The process must be restarted.
 	OnExpelled func()
 }
 
 // Defaults of Config.
 const (
-	// DefaultHeartbeatInterval and DefaultElectionTimeout: a processor with a quota
-	// may stand still for a tenth of a second, at the leader and at a follower, and a
-	// new leader hears all gateways at once.
+	// DefaultHeartbeatInterval and DefaultElectionTimeout allow for a CPU quota, which may
+	// pause the leader and a follower for 100 ms each, and for the load on a new leader,
+	// to which all gateways connect at once.
 	DefaultHeartbeatInterval = 90 * time.Millisecond
 	DefaultElectionTimeout   = 500 * time.Millisecond
 	DefaultTickInterval      = 25 * time.Millisecond
@@ -105,10 +102,11 @@
 	return c
 }
 
-// ErrNotLeader: this controller does not lead; nothing was done.
+// ErrNotLeader is returned by a controller that isn't the leader; nothing was done.
 var ErrNotLeader = errors.New("this controller does not lead")
 
-// WithPort returns the address of the same host at the port of another address.
+// WithPort returns address with its port replaced by that of portOf; empty if either is
+// invalid.
 func WithPort(address, portOf string) string {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -121,16 +119,14 @@
 	return net.JoinHostPort(host, port)
 }
 
-// peerAddress returns where the controller with a session address takes
-// connections of peers.
+// peerAddress returns the peer address of the controller with the given session address.
 func (c *Config) peerAddress(session string) string { return WithPort(session, c.PeerListen) }
 
-// sessionAddress returns where the controller with a peer address takes
-// sessions.
+// sessionAddress returns the session address of the controller with the given peer address.
 func (c *Config) sessionAddress(peer string) string { return WithPort(peer, c.SessionListen) }
 
-// founders returns the first members and this one's ID among them, zero where
-// it is none.
+// founders returns the founding members of the group, and the ID of this controller if it
+// is one of them, otherwise zero.
 func (c *Config) founders() ([]replica.Peer, topology.ReplicaID) {
 	var self topology.ReplicaID
 	peers := make([]replica.Peer, 0, len(c.Seeds))
--- a/internal/fleetcontroller/controller.go
+++ b/internal/fleetcontroller/controller.go
@@ -19,59 +19,60 @@
 	"github.com/quartzdock/quartzdock/internal/transport"
 )
 
-// Controller is one running controller.
+// Controller is a running controller.
 type Controller struct {
 	config   Config
 	metrics  *controllerMetrics
-	member   *replica.Replica
+	replica  *replica.Replica
 	listener *transport.Listener
-	// running ends when the controller is stopped; stop ends it.
-	running context.Context
-	stop    context.CancelFunc
-	ended   sync.WaitGroup
+	// runContext is canceled by stop when the controller is stopped.
+	runContext context.Context
+	stop       context.CancelFunc
+	// ended waits for the goroutines of the controller to end.
+	ended sync.WaitGroup
 
-	// view is what senders read.
+	// view is the published view, which the sessions' senders read.
 	view atomic.Pointer[view]
 
 	sessionsMutex sync.Mutex
 	sessions      map[*session]struct{}
-	// connections are all that were accepted, also those without a session.
+	// connections holds all open accepted connections, including those without a session.
 	connections map[*transport.Conn]struct{}
 	stopped     bool
 
-	control control
-	// admitting holds a value while a change of membership is made, one at a
-	// time.
-	admitting chan struct{}
+	control controlState
+	// membershipLock serializes changes of the group's membership; it holds a value during a
+	// change.
+	membershipLock chan struct{}
 }
 
-// control is owned by the replica's control goroutine.
-type control struct {
+// controlState is the part of a controller that the replica's control goroutine owns.
+type controlState struct {
 	state *fleetstate.State
-	// newest is the number of the last session of each gateway.
-	newest     map[string]uint64
-	leadership leadership.Leadership
-	// planner is nil unless this controller leads, and so is inForce.
-	planner   *keylease.Planner
-	inForce   *configlease.Grantor
-	awaited   []awaitedVersion
-	healAt    time.Duration
-	published published
-	// publishAt is when changes may travel again, and instanceSets numbers the sets
-	// of instances that did.
-	publishAt    time.Duration
-	instanceSets uint64
-	undecided    undecided
-	quarantine   quarantineDesk
+	// newestSessions holds the number of the last session of each gateway.
+	newestSessions map[string]uint64
+	leadership     leadership.Leadership
+	// planner and inForce are nil unless this controller leads.
+	planner         *keylease.Planner
+	inForce         *configlease.Grantor
+	pendingAcks     []pendingAck
+	nextMemberCheck time.Duration
+	published       publishedState
+	// nextPublish is the earliest time of the next view that isn't urgent. instanceSetNumber
+	// is the number of the last published set of instances.
+	nextPublish       time.Duration
+	instanceSetNumber uint64
+	unappliedCheck    unappliedCheck
+	quarantine        quarantineState
 }
 
-// Start opens the data folder, joins or founds the group, and serves.
+// Start opens the data folder, founds or joins the group, and starts to serve sessions.
 func Start(config Config) (*Controller, error) {
 	c := &Controller{
-		config:      config.withDefaults(),
-		sessions:    map[*session]struct{}{},
-		connections: map[*transport.Conn]struct{}{},
-		admitting:   make(chan struct{}, 1),
+		config:         config.withDefaults(),
+		sessions:       map[*session]struct{}{},
+		connections:    map[*transport.Conn]struct{}{},
+		membershipLock: make(chan struct{}, 1),
 	}
 	if err := c.config.Configuration.Check(); err != nil {
 		return nil, fmt.Errorf("controller: configuration: %w", err)
@@ -80,7 +81,7 @@
 		return nil, fmt.Errorf("controller: quarantine: %w", err)
 	}
 	c.metrics = newControllerMetrics(c.config.Registry)
-	c.control.state, c.control.newest = fleetstate.New(), map[string]uint64{}
+	c.control.state, c.control.newestSessions = fleetstate.New(), map[string]uint64{}
 	c.view.Store(&view{})
 	founders, err := loadFounders(&c.config)
 	if err != nil {
@@ -89,15 +90,15 @@
 	if c.listener, err = transport.Listen(c.config.SessionListen, sessionOptions); err != nil {
 		return nil, fmt.Errorf("controller: %w", err)
 	}
-	c.running, c.stop = context.WithCancel(context.Background())
+	c.runContext, c.stop = context.WithCancel(context.Background())
 	ready := make(chan struct{})
-	c.member, err = replica.Start(replica.Config{
+	c.replica, err = replica.Start(replica.Config{
 		Group:             c.config.Group,
 		ID:                founders.Self,
 		Peers:             founders.Peers,
 		DataDir:           c.config.DataDir,
 		Listen:            c.config.PeerListen,
-		Machine:           machine{c},
+		Machine:           stateMachine{c},
 		OnTick:            func(now time.Duration, status consensus.Status) { <-ready; c.tick(now, status) },
 		Logger:            c.config.Log,
 		TickInterval:      c.config.TickInterval,
@@ -113,56 +114,57 @@
 	c.config.Registry.MustRegister(c.gauges()...)
 	c.ended.Add(2)
 	go c.accept()
-	go c.seekAdmission(c.running)
+	go c.joinLoop(c.runContext)
 	return c, nil
 }
 
-// Bounds of the steps of Stop. Their sum, with replica.StopLimit, is 3.3 s of
-// the 6 s that the users' platform gives a process to end.
+// Time limits of the steps of Stop. Together with replica.StopLimit they add up to 3.3 s, of
+// the 6 s that the users' platform gives a process to shut down.
 const (
-	// handOverLimit bounds the transfer of leadership.
-	handOverLimit = time.Second
-	// redirectLimit is how long gateways may take to read where they go on; it is
-	// several round trips between regions.
-	redirectLimit = 300 * time.Millisecond
-	// endLimit is how long the goroutines may take to end once their connections
-	// are closed and their contexts over. Only a disk that hangs takes longer.
-	endLimit = 500 * time.Millisecond
+	// transferTimeout limits the transfer of leadership.
+	transferTimeout = time.Second
+	// redirectTimeout is how long gateways may take to read the redirect to another controller;
+	// it covers several round trips between regions.
+	redirectTimeout = 300 * time.Millisecond
+	// goroutineTimeout is how long goroutines may take to end once their connections are closed
+	// and their contexts are canceled. Only a hanging disk takes longer.
+	goroutineTimeout = 500 * time.Millisecond
 )
 
-// StopLimit bounds Stop.
-const StopLimit = handOverLimit + redirectLimit + endLimit + replica.StopLimit
+// StopLimit is the longest time that Stop takes.
+const StopLimit = transferTimeout + redirectTimeout + goroutineTimeout + replica.StopLimit
 
-// Stop hands leadership over, if it is held here, and ends the process's part
-// in the group. It returns within StopLimit, whatever peers, gateways and the
+// Stop transfers leadership to another controller, if this one leads, and stops serving
+// sessions and the replica. It returns within StopLimit, whatever peers, gateways and the
 // disk do.
 func (c *Controller) Stop() error {
-	c.handOver()
+	c.transferLeadership()
 	c.stop()
 	err := c.listener.Close()
 	c.closeSessions(true)
-	c.awaitEnd()
-	return errors.Join(err, c.member.Stop())
+	c.waitForGoroutines()
+	return errors.Join(err, c.replica.Stop())
 }
 
-// awaitEnd lets the sessions send their last word and then closes what is open.
-func (c *Controller) awaitEnd() {
+// waitForGoroutines lets the sessions send their redirects, and closes the connections
+// that are still open after redirectTimeout.
+func (c *Controller) waitForGoroutines() {
 	ended := make(chan struct{})
 	go func() {
 		c.ended.Wait()
 		close(ended)
 	}()
-	if within(ended, redirectLimit) {
+	if closedWithin(ended, redirectTimeout) {
 		return
 	}
-	c.config.Log.Info("sessions cut off by the stop", "connections", c.closeConnections())
-	if !within(ended, endLimit) {
-		c.config.Log.Warn("goroutines still run at the end of the stop")
+	c.config.Log.Info("connections closed because the sessions did not end in time", "connections", c.closeConnections())
+	if !closedWithin(ended, goroutineTimeout) {
+		c.config.Log.Warn("goroutines still running after the stop")
 	}
 }
 
-// within reports whether a channel is closed within a time.
-func within(ended <-chan struct{}, limit time.Duration) bool {
+// closedWithin reports whether the channel is closed within the limit.
+func closedWithin(ended <-chan struct{}, limit time.Duration) bool {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
@@ -173,8 +175,8 @@
 	}
 }
 
-func (c *Controller) handOver() {
-	status := c.member.Status()
+func (c *Controller) transferLeadership() {
+	status := c.replica.Status()
 	if status.Role != consensus.Leader {
 		return
 	}
@@ -182,32 +184,32 @@
 	if target == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), handOverLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), transferTimeout)
 	defer cancel()
-	if err := c.member.TransferLeadership(ctx, target); err != nil {
-		c.config.Log.Warn("leadership not handed over", "to", uint64(target), "error", err)
+	if err := c.replica.TransferLeadership(ctx, target); err != nil {
+		c.config.Log.Warn("leadership transfer failed", "to", uint64(target), "error", err)
 	}
 }
 
-// Change replicates a change of the configuration and returns once nobody will be
-// served by an older one after Config.Configuration.ApplyWithin. ErrNotLeader says that
-// nothing was done; any other error leaves the outcome unknown.
+// Change replicates a change of the configuration. It returns once it is certain that
+// after Config.Configuration.ApplyWithin no gateway serves requests by an older one.
+// ErrNotLeader means that nothing was done; after any other error the outcome is unknown.
 func (c *Controller) Change(ctx context.Context, change *fleetstate.ChangeConfiguration) (fleetstate.Result, error) {
 	result, err := c.propose(ctx, change)
-	if err == nil && result.InState() {
+	if err == nil && result.Applied() {
 		err = c.awaitInForce(ctx, result.Current)
 	}
-	c.metrics.change(result, err)
+	c.metrics.countChange(result, err)
 	c.logChange(change, result, err)
 	return result, err
 }
 
-// logChange tells what became of an operator's change.
+// logChange logs the outcome of an operator's change.
 func (c *Controller) logChange(change *fleetstate.ChangeConfiguration, result fleetstate.Result, err error) {
 	fields := []any{"base", uint64(change.Base), "digest", hex.EncodeToString(change.Digest[:4])}
 	switch {
 	case err != nil && isNotLeader(err):
-		return // told by the redirect
+		return // nothing was done; the caller tries the leader
 	case err != nil:
 		fields = append(fields, "outcome", outcomeUnknown, "error", err)
 	default:
@@ -229,20 +231,20 @@
 	if err != nil {
 		return fleetstate.Result{}, err
 	}
-	result, err := c.member.Propose(ctx, data)
+	result, err := c.replica.Propose(ctx, data)
 	if err != nil {
-		return fleetstate.Result{}, classify(err)
+		return fleetstate.Result{}, wrapNotLeader(err)
 	}
 	return result.(fleetstate.Result), nil
 }
 
-// check asks the leader's newest state what would become of a change.
+// check returns the result that a change would have on the leader's current state.
 func (c *Controller) check(ctx context.Context, change *fleetstate.ChangeConfiguration) (fleetstate.Result, error) {
-	if err := c.member.ReadBarrier(ctx); err != nil {
-		return fleetstate.Result{}, classify(err)
+	if err := c.replica.ReadBarrier(ctx); err != nil {
+		return fleetstate.Result{}, wrapNotLeader(err)
 	}
 	checked := make(chan fleetstate.Result, 1)
-	c.member.Post(func() { checked <- c.control.state.Check(change) })
+	c.replica.Post(func() { checked <- c.control.state.Check(change) })
 	select {
 	case result := <-checked:
 		return result, nil
@@ -251,13 +253,13 @@
 	}
 }
 
-// Read returns the newest configuration, nil where there is none yet.
+// Read returns the newest configuration; nil if there is none yet.
 func (c *Controller) Read(ctx context.Context) (*routeconfig.Document, error) {
-	if err := c.member.ReadBarrier(ctx); err != nil {
-		return nil, classify(err)
+	if err := c.replica.ReadBarrier(ctx); err != nil {
+		return nil, wrapNotLeader(err)
 	}
 	read := make(chan *routeconfig.Document, 1)
-	c.member.Post(func() { read <- c.control.state.Document() })
+	c.replica.Post(func() { read <- c.control.state.Document() })
 	select {
 	case document := <-read:
 		return document, nil
@@ -268,7 +270,7 @@
 
 func isNotLeader(err error) bool { return errors.Is(err, ErrNotLeader) }
 
-func classify(err error) error {
+func wrapNotLeader(err error) error {
 	var elsewhere *replica.NotLeaderError
 	if errors.As(err, &elsewhere) || errors.Is(err, replica.ErrNotMember) {
 		return errors.Join(ErrNotLeader, err)
@@ -276,10 +278,10 @@
 	return err
 }
 
-// Leader returns the session address of the leader, empty where none is known
+// Leader returns the session address of the leader; empty if none is known
 // or this controller leads.
 func (c *Controller) Leader() string {
-	status := c.member.Status()
+	status := c.replica.Status()
 	if status.Leader == 0 || status.Leader == status.ID {
 		return ""
 	}
@@ -290,6 +292,5 @@
 	return c.config.sessionAddress(leader.Address)
 }
 
-// Ready reports whether this controller has a part in the group and knows a
-// leader.
-func (c *Controller) Ready() bool { return c.member.Status().Leader != 0 }
+// Ready reports whether this controller knows a leader of the group, which may be itself.
+func (c *Controller) Ready() bool { return c.replica.Status().Leader != 0 }
--- a/internal/fleetcontroller/controller_test.go
+++ b/internal/fleetcontroller/controller_test.go
@@ -20,24 +20,24 @@
 	"github.com/quartzdock/quartzdock/internal/transport"
 )
 
-// members of the group under test, each at an address of its own, as controllers
-// use the same two ports.
 const (
+	// members is the size of the group under test. Each member has its own IP address,
+	// because all controllers of a group use the same two ports.
 	members = 3
-	// patience bounds each wait for a condition.
-	patience = 30 * time.Second
-	// shortWait is for what must not come.
+	// waitTimeout limits each wait for a condition.
+	waitTimeout = 30 * time.Second
+	// shortWait is how long tests wait for something that must not happen.
 	shortWait = time.Second
 )
 
-// group is a group of controllers in this process.
+// group is a group of controllers that run in the test process.
 type group struct {
 	t           *testing.T
 	configs     []fleetcontroller.Config
 	controllers []*fleetcontroller.Controller
 }
 
-// freePorts returns two ports that are free at all addresses of the group.
+// freePorts returns two ports that are free on all addresses of the group.
 func freePorts(t *testing.T) (peer, session string) {
 	t.Helper()
 	var ports []string
@@ -92,18 +92,18 @@
 	}
 }
 
-// change sends a change to all until one takes it, and returns its result and
-// who gave it.
+// change sends a change of the configuration to the controllers until one accepts it, and
+// returns the result and the index of that controller, the leader.
 func (g *group) change(sent *fleetstate.ChangeConfiguration) (result fleetstate.Result, leader int) {
 	g.t.Helper()
-	return g.order(func(ctx context.Context, c *fleetcontroller.Controller) (fleetstate.Result, error) {
+	return g.sendToLeader(func(ctx context.Context, c *fleetcontroller.Controller) (fleetstate.Result, error) {
 		return c.Change(ctx, sent)
 	})
 }
 
-// order sends an order to all until one takes it, and returns its result and who
-// gave it.
-func (g *group) order(
+// sendToLeader tries the controllers until a command succeeds at one, and returns the result
+// and the index of that controller.
+func (g *group) sendToLeader(
 	send func(context.Context, *fleetcontroller.Controller) (fleetstate.Result, error),
 ) (result fleetstate.Result, leader int) {
 	g.t.Helper()
@@ -113,20 +113,20 @@
 				continue
 			}
 			ctx, cancel := context.WithTimeout(g.t.Context(), time.Second)
-			taken, err := send(ctx, controller)
+			accepted, err := send(ctx, controller)
 			cancel()
 			if err == nil {
-				result, leader = taken, i
+				result, leader = accepted, i
 				return poll.Success()
 			}
 		}
-		return poll.Continue("no leader takes the order")
-	}, poll.WithTimeout(patience), poll.WithDelay(10*time.Millisecond))
+		return poll.Continue("no controller accepts the command")
+	}, poll.WithTimeout(waitTimeout), poll.WithDelay(10*time.Millisecond))
 	return result, leader
 }
 
-// changeTo is a whole document on top of a version.
-func changeTo(version, base routeconfig.Version, routes int) *fleetstate.ChangeConfiguration {
+// documentChange returns a change to a whole document, based on the given version.
+func documentChange(version, base routeconfig.Version, routes int) *fleetstate.ChangeConfiguration {
 	document := &routeconfig.Document{Version: version, Services: []routeconfig.Service{{Name: "s"}}}
 	for i := range routes {
 		document.Routes = append(document.Routes, routeconfig.Route{
@@ -139,22 +139,22 @@
 	}
 }
 
-// view reads a session at an address until it has brought a document, as a
-// gateway does, following redirects.
-func (g *group) view(address string) *routeconfig.Document {
+// document returns the first document that a session receives, as a gateway does, following
+// redirects.
+func (g *group) document(address string) *routeconfig.Document {
 	g.t.Helper()
 	return g.firstView(address).Document
 }
 
-// firstView is the first view with a document that a session brings.
+// firstView returns the first view with a document that a session receives.
 func (g *group) firstView(address string) *fleetwire.View {
 	g.t.Helper()
 	var found *fleetwire.View
-	asked := address
+	target := address
 	poll.WaitOn(g.t, func(poll.LogT) poll.Result {
-		conn, err := transport.Dial(g.t.Context(), asked, transport.Options{WriteTimeout: time.Second, IdleTimeout: time.Second})
+		conn, err := transport.Dial(g.t.Context(), target, transport.Options{WriteTimeout: time.Second, IdleTimeout: time.Second})
 		if err != nil {
-			asked = address // who was named as the leader has ended
+			target = address // the controller that was named as the leader has stopped
 			return poll.Continue("%v", err)
 		}
 		defer conn.Close()
@@ -168,7 +168,7 @@
 			}
 			if message.Redirect != nil {
 				if message.Redirect.Leader != "" {
-					asked = message.Redirect.Leader
+					target = message.Redirect.Leader
 				}
 				return poll.Continue("redirected")
 			}
@@ -181,36 +181,36 @@
 			found = message.View
 			return poll.Success()
 		}
-	}, poll.WithTimeout(patience), poll.WithDelay(10*time.Millisecond))
+	}, poll.WithTimeout(waitTimeout), poll.WithDelay(10*time.Millisecond))
 	return found
 }
 
-// A change is accepted once, acknowledged again when it comes again, also by
-// another leader, and refused where another one was first.
-func TestChangesOverALeadersStop(t *testing.T) {
+// A change is accepted once, acknowledged again when it is repeated, also by another leader,
+// and rejected if another change on the same base came first.
+func TestChangesAreAcceptedOnceAcrossLeaders(t *testing.T) {
 	g := startGroup(t)
-	first := changeTo(3, 0, 1)
+	first := documentChange(3, 0, 1)
 	result, leader := g.change(first)
 	assert.Equal(t, result.Outcome, fleetstate.Accepted)
 	g.stop(leader)
 	again, next := g.change(first)
 	assert.Equal(t, again.Outcome, fleetstate.Repeated)
 	assert.Assert(t, next != leader)
-	lost, _ := g.change(changeTo(4, 0, 2))
-	assert.Equal(t, lost.Outcome, fleetstate.Conflict)
-	old, _ := g.change(changeTo(3, 3, 2))
-	assert.Equal(t, old.Outcome, fleetstate.Invalid)
+	conflicting, _ := g.change(documentChange(4, 0, 2))
+	assert.Equal(t, conflicting.Outcome, fleetstate.Conflict)
+	sameVersion, _ := g.change(documentChange(3, 3, 2))
+	assert.Equal(t, sameVersion.Outcome, fleetstate.Invalid)
 	g.start(leader)
-	accepted, _ := g.change(changeTo(9, 3, 2))
+	accepted, _ := g.change(documentChange(9, 3, 2))
 	assert.Equal(t, accepted.Outcome, fleetstate.Accepted)
 }
 
-// A follower takes no change and reads nothing that might be old.
-func TestAFollowerSaysThatItDoesNotLead(t *testing.T) {
+// A follower rejects changes, and reads too, because its state might be old.
+func TestFollowerRejectsChangesAndReads(t *testing.T) {
 	g := startGroup(t)
-	_, leader := g.change(changeTo(3, 0, 1))
+	_, leader := g.change(documentChange(3, 0, 1))
 	follower := g.controllers[(leader+1)%members]
-	_, err := follower.Change(t.Context(), changeTo(4, 3, 1))
+	_, err := follower.Change(t.Context(), documentChange(4, 3, 1))
 	assert.Assert(t, errors.Is(err, fleetcontroller.ErrNotLeader), "%v", err)
 	_, err = follower.Read(t.Context())
 	assert.Assert(t, errors.Is(err, fleetcontroller.ErrNotLeader), "%v", err)
@@ -219,29 +219,28 @@
 	assert.Equal(t, document.Version, routeconfig.Version(3))
 }
 
-// Without a majority nothing is accepted and nothing is read.
-func TestAMinorityAcceptsNothing(t *testing.T) {
+func TestLeaderWithoutMajorityRejectsChangesAndReads(t *testing.T) {
 	g := startGroup(t)
-	_, leader := g.change(changeTo(3, 0, 1))
+	_, leader := g.change(documentChange(3, 0, 1))
 	g.stop((leader + 1) % members)
 	g.stop((leader + 2) % members)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	_, err := g.controllers[leader].Change(ctx, changeTo(4, 3, 1))
+	_, err := g.controllers[leader].Change(ctx, documentChange(4, 3, 1))
 	assert.Assert(t, err != nil)
 	_, err = g.controllers[leader].Read(ctx)
 	assert.Assert(t, err != nil)
 }
 
-// A gateway that asks any controller gets the newest document, large ones too.
-func TestAGatewayGetsTheDocumentFromWhoeverLeads(t *testing.T) {
+// A gateway that connects to any controller gets the newest document, also a large one.
+func TestGatewayGetsTheDocumentFromTheCurrentLeader(t *testing.T) {
 	g := startGroup(t)
-	large := changeTo(3, 0, 2000)
+	large := documentChange(3, 0, 2000)
 	_, leader := g.change(large)
 	for i := range members {
-		assert.DeepEqual(t, g.view(g.configs[i].SessionListen), large.Document)
+		assert.DeepEqual(t, g.document(g.configs[i].SessionListen), large.Document)
 	}
 	g.stop(leader)
-	g.change(changeTo(5, 3, 1))
-	assert.Equal(t, g.view(g.configs[(leader+1)%members].SessionListen).Version, routeconfig.Version(5))
+	g.change(documentChange(5, 3, 1))
+	assert.Equal(t, g.document(g.configs[(leader+1)%members].SessionListen).Version, routeconfig.Version(5))
 }
--- a/internal/fleetcontroller/evacuation.go
+++ b/internal/fleetcontroller/evacuation.go
@@ -8,13 +8,13 @@
 	"github.com/quartzdock/quartzdock/internal/fleetstate"
 )
 
-// ErrUnknownZone: no machine of the fleet is in the zone; nothing was done.
+// ErrUnknownZone means that the fleet has no such zone; nothing was done.
 var ErrUnknownZone = errors.New("unknown zone")
 
-// Evacuate replicates an operator's order about a zone. It returns once the order is
-// synced on a quorum and applied here. ErrNotLeader and ErrUnknownZone say that
-// nothing was done; any other error leaves the outcome unknown, and the order may be
-// sent again.
+// Evacuate replicates an operator's command to start or end the evacuation of a zone. It
+// returns once the command is synced to disk on a quorum and applied here. ErrNotLeader and
+// ErrUnknownZone mean that nothing was done; after any other error the outcome is unknown,
+// and the command may be repeated.
 func (c *Controller) Evacuate(ctx context.Context, change fleetstate.ChangeEvacuation) (fleetstate.Result, error) {
 	if !slices.Contains(c.config.Zones, change.Zone) {
 		return fleetstate.Result{}, ErrUnknownZone
@@ -23,9 +23,9 @@
 	if err != nil {
 		return fleetstate.Result{}, err
 	}
-	applied, err := c.member.Propose(ctx, data)
+	applied, err := c.replica.Propose(ctx, data)
 	if err != nil {
-		err = classify(err)
+		err = wrapNotLeader(err)
 		if !isNotLeader(err) {
 			c.config.Log.Info("evacuation order", "zone", change.Zone, "evacuate", change.Evacuate, "outcome", outcomeUnknown, "error", err)
 		}
--- a/internal/fleetcontroller/evacuation_test.go
+++ b/internal/fleetcontroller/evacuation_test.go
@@ -12,17 +12,17 @@
 
 func (g *group) evacuate(zone string, evacuate bool) (fleetstate.Outcome, int) {
 	g.t.Helper()
-	result, leader := g.order(func(ctx context.Context, c *fleetcontroller.Controller) (fleetstate.Result, error) {
+	result, leader := g.sendToLeader(func(ctx context.Context, c *fleetcontroller.Controller) (fleetstate.Result, error) {
 		return c.Evacuate(ctx, fleetstate.ChangeEvacuation{Zone: zone, Evacuate: evacuate})
 	})
 	return result.Outcome, leader
 }
 
-// What was acknowledged is on the disks of a quorum, and every gateway that opens a
-// session gets it with the configuration.
-func TestAnEvacuationSurvivesTheStopOfAllControllers(t *testing.T) {
+// An acknowledged evacuation is on the disks of a quorum, and every gateway that opens a
+// session receives it with the configuration.
+func TestEvacuationIsKeptOverARestartOfAllControllers(t *testing.T) {
 	g := startGroup(t)
-	g.change(changeTo(3, 0, 1))
+	g.change(documentChange(3, 0, 1))
 	outcome, leader := g.evacuate("a", true)
 	assert.Equal(t, outcome, fleetstate.Accepted)
 	assert.DeepEqual(t, g.firstView(g.configs[leader].SessionListen).Evacuated, []string{"a"})
@@ -36,13 +36,14 @@
 		assert.DeepEqual(t, g.firstView(g.configs[i].SessionListen).Evacuated, []string{"a"})
 	}
 	outcome, _ = g.evacuate("a", true)
-	assert.Equal(t, outcome, fleetstate.Repeated, "the order is acknowledged again")
+	assert.Equal(t, outcome, fleetstate.Repeated, "a repeated command is acknowledged")
 }
 
-// An end reaches gateways too, also those that know of the beginning.
-func TestTheEndOfAnEvacuationIsTold(t *testing.T) {
+// The end of an evacuation is published with a higher index, by which gateways that know the
+// evacuation recognize the change.
+func TestEndOfAnEvacuationIsPublished(t *testing.T) {
 	g := startGroup(t)
-	g.change(changeTo(3, 0, 1))
+	g.change(documentChange(3, 0, 1))
 	_, leader := g.evacuate("a", true)
 	before := g.firstView(g.configs[leader].SessionListen).EvacuationsIndex
 	outcome, _ := g.evacuate("a", false)
@@ -52,7 +53,7 @@
 	assert.Assert(t, after.EvacuationsIndex > before)
 }
 
-func TestOrdersThatCanNotBeTaken(t *testing.T) {
+func TestEvacuateRejectsUnknownZonesAndFollowers(t *testing.T) {
 	g := startGroup(t)
 	_, leader := g.evacuate("a", true)
 	for _, zone := range []string{"", "A", "a ", "elsewhere"} {
@@ -64,8 +65,7 @@
 	assert.Assert(t, errors.Is(err, fleetcontroller.ErrNotLeader), "%v", err)
 }
 
-// Without a majority no order is acknowledged.
-func TestAMinorityTakesNoEvacuation(t *testing.T) {
+func TestLeaderWithoutMajorityRejectsEvacuations(t *testing.T) {
 	g := startGroup(t)
 	_, leader := g.evacuate("a", true)
 	g.stop((leader + 1) % members)
--- a/internal/fleetcontroller/founders.go
+++ b/internal/fleetcontroller/founders.go
@@ -15,20 +15,21 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// foundersName is the file that keeps who founds the group with this member, so
-// that a restart before the founding goes on with it.
-const foundersName = "founders.json"
+// foundersFile is the file that stores the founding members of the group, so that a restart
+// before the group is founded continues with the same members.
+const foundersFile = "founders.json"
 
-// founderList is the content of the file.
+// founderList is the content of foundersFile.
 type founderList struct {
 	Self  topology.ReplicaID
 	Peers []replica.Peer
 }
 
-// loadFounders returns the first members of the group if this is one of them.
-// They are stored at the first start and read back at later ones.
+// loadFounders returns the founding members of the group if this controller is one of them,
+// otherwise an empty list. They are stored at the first start and read from the file at
+// later ones.
 func loadFounders(config *Config) (founderList, error) {
-	path := filepath.Join(config.DataDir, foundersName)
+	path := filepath.Join(config.DataDir, foundersFile)
 	content, err := os.ReadFile(path)
 	if err == nil {
 		var stored founderList
@@ -37,7 +38,7 @@
 		}
 		isSelf := func(peer replica.Peer) bool { return peer.ID == stored.Self }
 		if stored.Self == 0 || !slices.ContainsFunc(stored.Peers, isSelf) {
-			return founderList{}, fmt.Errorf("%s: replica %d is not among the founders", path, stored.Self)
+			return founderList{}, fmt.Errorf("%s: replica %d is not among the founding members", path, stored.Self)
 		}
 		return stored, nil
 	}
@@ -51,19 +52,19 @@
 	if self == 0 {
 		return founderList{}, nil
 	}
-	found := founderList{Self: self, Peers: peers}
-	if content, err = json.Marshal(found); err != nil {
+	founders := founderList{Self: self, Peers: peers}
+	if content, err = json.Marshal(founders); err != nil {
 		return founderList{}, err
 	}
 	files := vfs.OS{}
 	if err := files.MakeDir(config.DataDir); err != nil {
 		return founderList{}, err
 	}
-	return found, vfs.WriteAtomically(files, config.DataDir, foundersName, content)
+	return founders, vfs.WriteAtomically(files, config.DataDir, foundersFile, content)
 }
 
-// empty removes all that a data folder holds.
-func empty(folder string) error {
+// removeContents removes everything in a data folder.
+func removeContents(folder string) error {
 	entries, err := os.ReadDir(folder)
 	if err != nil {
 		return err
--- a/internal/fleetcontroller/inforce.go
+++ b/internal/fleetcontroller/inforce.go
@@ -12,84 +12,86 @@
 	"github.com/quartzdock/quartzdock/internal/routeconfig"
 )
 
-// ErrLeadershipLost: this controller stopped leading before it knew that a configuration
-// is in force in time. The configuration is accepted; who sends it again is answered by
-// the next leader.
+// ErrLeadershipLost means that this controller stopped leading before it was certain that a
+// configuration is in force in time. The configuration has been accepted. If the change is
+// repeated, the next leader answers it.
 var ErrLeadershipLost = errors.New("leadership lost before the configuration is known to be in force")
 
-// awaitedVersion is a configuration whose acknowledgement waits for gateways.
-type awaitedVersion struct {
+// pendingAck is the acknowledgement of a configuration that waits for gateways.
+type pendingAck struct {
 	version routeconfig.Version
 	since   time.Duration
-	told    bool
-	// done takes the end of the wait; it has room for it.
+	logged  bool
+	// done receives the result of the wait; it is buffered.
 	done chan error
 }
 
-// toldAfter is when a wait for gateways is logged: several rounds of reports that
-// gateways send at once, so that a slow one is seen and a calm change tells nothing.
-const toldAfter = 300 * time.Millisecond
+// laggingLogDelay is how long a wait for gateways lasts before it is logged: several rounds of
+// the reports that gateways send immediately, so that a slow gateway is logged and an ordinary
+// change isn't.
+const laggingLogDelay = 300 * time.Millisecond
 
-// awaitInForce returns once a version that is in the state may be acknowledged. One that
-// was elected and has not begun to lead yet may have taken the change already.
+// awaitInForce returns once a version that is in the state may be acknowledged. It may be
+// called before this controller acts as leader: an elected replica accepts changes before
+// commitNoop has completed.
 func (c *Controller) awaitInForce(ctx context.Context, version routeconfig.Version) error {
 	done := make(chan error, 1)
-	c.member.Post(func() {
-		c.control.awaited = append(c.control.awaited, awaitedVersion{version: version, since: c.member.Now(), done: done})
+	c.replica.Post(func() {
+		c.control.pendingAcks = append(c.control.pendingAcks, pendingAck{version: version, since: c.replica.Now(), done: done})
 	})
 	select {
 	case err := <-done:
 		return err
 	case <-ctx.Done():
-		c.member.Post(func() { c.forgetAwaited(done) })
+		c.replica.Post(func() { c.dropPendingAck(done) })
 		return ctx.Err()
 	}
 }
 
-// forgetAwaited ends a wait whose caller has left.
-func (c *Controller) forgetAwaited(done chan error) {
-	c.control.awaited = slices.DeleteFunc(c.control.awaited, func(awaited awaitedVersion) bool { return awaited.done == done })
+// dropPendingAck removes a wait whose caller has given up.
+func (c *Controller) dropPendingAck(done chan error) {
+	c.control.pendingAcks = slices.DeleteFunc(c.control.pendingAcks, func(ack pendingAck) bool { return ack.done == done })
 }
 
-// acknowledge ends the waits for versions that are in force in time.
-func (c *Controller) acknowledge(now time.Duration) {
+// acknowledgeInForce ends the waits for versions that are certain to be in force in time.
+func (c *Controller) acknowledgeInForce(now time.Duration) {
 	control := &c.control
-	control.awaited = slices.DeleteFunc(control.awaited, func(awaited awaitedVersion) bool {
-		if !control.inForce.InForceInTime(awaited.version, now) {
+	control.pendingAcks = slices.DeleteFunc(control.pendingAcks, func(ack pendingAck) bool {
+		if !control.inForce.InForceInTime(ack.version, now) {
 			return false
 		}
-		c.metrics.inForceWait.Observe((now - awaited.since).Seconds())
-		awaited.done <- nil
+		c.metrics.inForceWait.Observe((now - ack.since).Seconds())
+		ack.done <- nil
 		return true
 	})
-	for i := range control.awaited {
-		c.tellLagging(&control.awaited[i], now)
+	for i := range control.pendingAcks {
+		c.logLagging(&control.pendingAcks[i], now)
 	}
 }
 
-// takeConfirmed notes that a gateway has a configuration in force.
-func (c *Controller) takeConfirmed(s *session, confirmed *fleetwire.Confirmed) {
+// handleConfirmed records that a configuration is in force at a gateway.
+func (c *Controller) handleConfirmed(s *session, confirmed *fleetwire.Confirmed) {
 	if c.control.inForce != nil {
 		c.control.inForce.Confirm(configlease.Gateway{Node: s.node, Boot: confirmed.Boot}, confirmed.Version)
 	}
 }
 
-// tellLagging logs, once for each wait that is long, whom it is for.
-func (c *Controller) tellLagging(awaited *awaitedVersion, now time.Duration) {
-	if awaited.told || now < awaited.since+toldAfter {
+// logLagging logs the gateways for which an acknowledgement has waited long, once for each wait.
+func (c *Controller) logLagging(ack *pendingAck, now time.Duration) {
+	if ack.logged || now < ack.since+laggingLogDelay {
 		return
 	}
-	awaited.told = true
-	const mostNamed = 8
-	lagging := c.control.inForce.Lagging(awaited.version, now)
-	c.config.Log.Info("configuration waits for gateways", "version", uint64(awaited.version), "lagging", len(lagging),
-		"gateways", strings.Join(lagging[:min(mostNamed, len(lagging))], " "))
+	ack.logged = true
+	const maxNamed = 8
+	lagging := c.control.inForce.Lagging(ack.version, now)
+	c.config.Log.Info("configuration waits for gateways", "version", uint64(ack.version), "lagging", len(lagging),
+		"gateways", strings.Join(lagging[:min(maxNamed, len(lagging))], " "))
 }
 
-// releaseAwaited ends all waits with an error.
-func (c *Controller) releaseAwaited(err error) {
-	for _, awaited := range c.control.awaited {
-		awaited.done <- err
+// failPendingAcks ends all waits with an error.
+func (c *Controller) failPendingAcks(err error) {
+	for _, ack := range c.control.pendingAcks {
+		ack.done <- err
 	}
-	c.control.awaited = nil
+	c.control.pendingAcks = nil
 }
--- a/internal/fleetcontroller/inforce_test.go
+++ b/internal/fleetcontroller/inforce_test.go
@@ -22,7 +22,7 @@
 // openSession opens a session with the leader at an address.
 func openSession(t *testing.T, address string) *gatewaySession {
 	t.Helper()
-	conn, err := transport.Dial(t.Context(), address, transport.Options{WriteTimeout: patience, IdleTimeout: patience})
+	conn, err := transport.Dial(t.Context(), address, transport.Options{WriteTimeout: waitTimeout, IdleTimeout: waitTimeout})
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = conn.Close() })
 	const boot = 7
@@ -30,7 +30,7 @@
 	return &gatewaySession{t: t, conn: conn, boot: boot}
 }
 
-// report says that a version is in force, and returns the lease that answers.
+// report reports that a version is in force, and returns the lease that answers it.
 func (s *gatewaySession) report(version routeconfig.Version) *fleetwire.Lease {
 	s.t.Helper()
 	assert.NilError(s.t, s.conn.Send(fleetwire.ToController{Report: &fleetwire.Report{Boot: s.boot, Version: version}}))
@@ -43,39 +43,39 @@
 	}
 }
 
-// A gateway that may serve by the old configuration holds an acknowledgement up until what
-// it was given ends so soon that the promise is kept.
-func TestAChangeIsNotAcknowledgedWhileAGatewayMayOutlastThePromise(t *testing.T) {
+// While a gateway may serve requests by the old configuration, the acknowledgement of a change
+// waits until what remains of the gateway's lease is within the guaranteed time.
+func TestChangeIsNotAcknowledgedBeforeOldLeasesAreAboutToExpire(t *testing.T) {
 	g := startGroup(t)
-	_, leader := g.change(changeTo(3, 0, 1))
+	_, leader := g.change(documentChange(3, 0, 1))
 	gateway := openSession(t, g.configs[leader].SessionListen)
 	terms := configlease.Terms{}.WithDefaults()
 	asked := time.Now()
 	assert.Equal(t, gateway.report(3).ConfigurationFor, terms.Validity())
-	g.change(changeTo(4, 3, 2))
+	g.change(documentChange(4, 3, 2))
 	assert.Assert(t, time.Since(asked) >= terms.AcknowledgeWithin)
 }
 
-// One that confirms the new configuration, with a report or a word of its own, holds
-// nothing up: the change is acknowledged while what it was given would last for long.
-func TestAChangeIsAcknowledgedOnceTheGatewaysConfirmIt(t *testing.T) {
+// A gateway that confirms the new configuration, in a report or in a Confirmed message,
+// doesn't delay the acknowledgement, even if its lease for the old one is still long.
+func TestChangeIsAcknowledgedOnceTheGatewaysConfirmIt(t *testing.T) {
 	for name, confirmation := range map[string]func(boot uint64, version routeconfig.Version) fleetwire.ToController{
 		"report": func(boot uint64, version routeconfig.Version) fleetwire.ToController {
 			return fleetwire.ToController{Report: &fleetwire.Report{Boot: boot, Version: version}}
 		},
-		"word": func(boot uint64, version routeconfig.Version) fleetwire.ToController {
+		"confirmed message": func(boot uint64, version routeconfig.Version) fleetwire.ToController {
 			return fleetwire.ToController{Confirmed: &fleetwire.Confirmed{Boot: boot, Version: version}}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := startGroup(t)
-			_, leader := g.change(changeTo(3, 0, 1))
+			_, leader := g.change(documentChange(3, 0, 1))
 			gateway := openSession(t, g.configs[leader].SessionListen)
 			gateway.report(3)
 			acknowledged := make(chan struct{})
 			go func() {
 				defer close(acknowledged)
-				g.change(changeTo(4, 3, 2))
+				g.change(documentChange(4, 3, 2))
 			}()
 			gateway.awaitVersion(4)
 			assert.NilError(t, gateway.conn.Send(confirmation(gateway.boot, 4)))
@@ -84,7 +84,7 @@
 	}
 }
 
-// awaitVersion reads until a configuration has come.
+// awaitVersion receives messages until one contains the given version of the configuration.
 func (s *gatewaySession) awaitVersion(version routeconfig.Version) {
 	s.t.Helper()
 	for {
@@ -100,15 +100,15 @@
 	}
 }
 
-// The next leader vouches for the gateways of the last one until their time is over: it
-// does not know them.
-func TestANextLeaderWaitsForGatewaysThatItDoesNotKnow(t *testing.T) {
+// A new leader doesn't know the gateways of the last one, so it must wait until any lease that
+// the last one may have granted has expired.
+func TestNewLeaderWaitsForLeasesOfItsPredecessor(t *testing.T) {
 	g := startGroup(t)
-	_, leader := g.change(changeTo(3, 0, 1))
+	_, leader := g.change(documentChange(3, 0, 1))
 	gateway := openSession(t, g.configs[leader].SessionListen)
 	asked := time.Now()
 	gateway.report(3)
 	g.stop(leader)
-	g.change(changeTo(4, 3, 2))
+	g.change(documentChange(4, 3, 2))
 	assert.Assert(t, time.Since(asked) >= configlease.Terms{}.WithDefaults().AcknowledgeWithin)
 }
--- a/internal/fleetcontroller/join.go
+++ b/internal/fleetcontroller/join.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// joinInterval is how often a controller without a part in the group asks.
+	// joinInterval is how often a controller that isn't a voter requests admission.
 	joinInterval = 500 * time.Millisecond
-	// joinTimeout bounds one question.
+	// joinTimeout limits one request.
 	joinTimeout = 4 * time.Second
-	// leaderlessFor is how long a member hears no leader before it asks whether
-	// it is still one.
-	leaderlessFor = 3 * time.Second
-	admitTimeout  = 3 * time.Second
+	// maxLeaderSilence is how long a member hears no leader before it asks whether it is still a
+	// member.
+	maxLeaderSilence = 3 * time.Second
+	admitTimeout     = 3 * time.Second
 )
 
-// seekAdmission asks the other controllers for a part in the group while this
-// one has none.
-func (c *Controller) seekAdmission(ctx context.Context) {
+// joinLoop requests admission to the group from the other controllers while needsAdmission
+// reports true.
+func (c *Controller) joinLoop(ctx context.Context) {
 	defer c.ended.Done()
 	ticks := time.NewTicker(joinInterval)
 	defer ticks.Stop()
@@ -35,71 +35,72 @@
 			return
 		case <-ticks.C:
 		}
-		if !c.outside() {
+		if !c.needsAdmission() {
 			continue
 		}
-		if c.askAll(ctx) {
-			c.config.Log.Warn("the group has removed this member; starting anew with an empty folder")
-			c.expelled()
+		if c.requestAdmission(ctx) {
+			c.config.Log.Warn("this member was removed from the group; restarting with an empty data folder")
+			c.handleRemoval()
 			return
 		}
 	}
 }
 
-// outside says that this controller has no vote, or has long heard no leader.
-func (c *Controller) outside() bool {
-	status := c.member.Status()
+// needsAdmission reports whether this controller isn't a voter, or hasn't heard from a leader for
+// maxLeaderSilence and may have been removed without its knowledge.
+func (c *Controller) needsAdmission() bool {
+	status := c.replica.Status()
 	if !status.Membership.Names(status.ID, status.Incarnation) {
 		return true
 	}
 	if !status.Membership.IsVoter(status.ID) {
 		return true
 	}
-	return status.Role != consensus.Leader && c.member.Now() > status.LeaderHeardAt+leaderlessFor
+	return status.Role != consensus.Leader && c.replica.Now() > status.LeaderHeardAt+maxLeaderSilence
 }
 
-// askAll asks the known controllers until the leader has answered. It reports
-// that the leader knows this member as removed.
-func (c *Controller) askAll(ctx context.Context) bool {
-	asked := map[string]bool{c.config.SessionListen: true}
-	waiting := append(c.controllers(c.member.Status().Membership), c.config.Seeds...)
-	for len(waiting) > 0 && ctx.Err() == nil {
-		address := waiting[0]
-		waiting = waiting[1:]
-		if asked[address] {
+// requestAdmission sends a Join to the known controllers, one after the other, until the leader
+// has answered. It reports whether the leader has answered that this member was removed.
+func (c *Controller) requestAdmission(ctx context.Context) bool {
+	tried := map[string]bool{c.config.SessionListen: true}
+	untried := append(c.controllers(c.replica.Status().Membership), c.config.Seeds...)
+	for len(untried) > 0 && ctx.Err() == nil {
+		address := untried[0]
+		untried = untried[1:]
+		if tried[address] {
 			continue
 		}
-		asked[address] = true
-		answer := c.ask(ctx, address)
+		tried[address] = true
+		answer := c.sendJoin(ctx, address)
 		if answer.Admission != nil {
 			return answer.Admission.Refused
 		}
 		if answer.Redirect != nil {
-			waiting = append([]string{answer.Redirect.Leader}, waiting...)
-			waiting = append(waiting, answer.Redirect.Controllers...)
+			untried = append([]string{answer.Redirect.Leader}, untried...)
+			untried = append(untried, answer.Redirect.Controllers...)
 		}
 	}
 	return false
 }
 
-// ask sends one question; an empty answer is none.
-func (c *Controller) ask(ctx context.Context, address string) fleetwire.FromController {
+// sendJoin sends a Join to one controller. The result is empty if there was no answer.
+func (c *Controller) sendJoin(ctx context.Context, address string) fleetwire.FromController {
 	if address == "" {
 		return fleetwire.FromController{}
 	}
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	dialing, dialed := context.WithTimeout(ctx, time.Second)
-	defer dialed()
-	conn, err := transport.Dial(dialing, address, sessionOptions)
+	dialContext, cancelDial := context.WithTimeout(ctx, time.Second)
+	defer cancelDial()
+	conn, err := transport.Dial(dialContext, address, sessionOptions)
 	if err != nil {
 		return fleetwire.FromController{}
 	}
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	status := c.member.Status()
-	join := &fleetwire.Join{Incarnation: c.member.Incarnation(), Replica: status.ID, PeerAddress: c.config.PeerListen}
+	status := c.replica.Status()
+	join := &fleetwire.Join{Incarnation: c.replica.Incarnation(), Replica: status.ID, PeerAddress: c.config.PeerListen}
 	if conn.Send(fleetwire.ToController{Hello: &fleetwire.Hello{Node: c.config.Name, Join: join}}) != nil {
 		return fleetwire.FromController{}
 	}
@@ -110,74 +111,75 @@
 	return answer
 }
 
-// expelled empties the folder of a member that the group has removed. What it
-// held is held by the group, which committed the removal. A folder that the disk
-// still writes to is left for the next start, which is refused again.
-func (c *Controller) expelled() {
-	if err := c.member.Stop(); errors.Is(err, replica.ErrStillWriting) {
+// handleRemoval empties the data folder of a member that was removed from the group. No data is
+// lost, because the group that committed the removal has it. If a write to the folder is
+// still in progress, the folder is left as it is. The next start then finds out about the
+// removal again.
+func (c *Controller) handleRemoval() {
+	if err := c.replica.Stop(); errors.Is(err, replica.ErrStillWriting) {
 		c.config.Log.Error("data folder not emptied", "error", err)
 		c.config.OnExpelled()
 		return
 	}
-	if err := empty(c.config.DataDir); err != nil {
+	if err := removeContents(c.config.DataDir); err != nil {
 		c.config.Log.Error("data folder not emptied", "error", err)
 	}
 	c.config.OnExpelled()
 }
 
-// admit makes a controller a voter, at the leader. It is called again until it
-// is one.
+// admit makes a controller a voter; it runs at the leader. The controller repeats its Join
+// until it is one.
 func (c *Controller) admit(ctx context.Context, join *fleetwire.Join) *fleetwire.Admission {
 	select {
-	case c.admitting <- struct{}{}:
+	case c.membershipLock <- struct{}{}:
 	case <-ctx.Done():
 		return &fleetwire.Admission{}
 	}
-	defer c.admitted()
+	defer c.unlockMembership()
 	ctx, cancel := context.WithTimeout(ctx, admitTimeout)
 	defer cancel()
-	if c.member.ReadBarrier(ctx) != nil {
+	if c.replica.ReadBarrier(ctx) != nil {
 		return &fleetwire.Admission{}
 	}
-	membership := c.member.Status().Membership
+	membership := c.replica.Status().Membership
 	if join.Replica != 0 && !membership.Names(join.Replica, join.Incarnation) {
 		return &fleetwire.Admission{Refused: true}
 	}
-	present, ok := find(membership, join.Incarnation)
-	if ok && !present.Learner {
+	member, ok := findIncarnation(membership, join.Incarnation)
+	if ok && !member.Learner {
 		return &fleetwire.Admission{}
 	}
 	if !ok {
 		c.replaceLostDisk(ctx, membership, join)
 		change := consensus.Change{Kind: consensus.AddLearner, Member: consensus.Member{Incarnation: join.Incarnation, Address: join.PeerAddress}}
-		added, err := c.member.ChangeMembership(ctx, change)
+		added, err := c.replica.ChangeMembership(ctx, change)
 		if err != nil {
 			c.config.Log.Warn("member not added", "address", join.PeerAddress, "error", err)
 			return &fleetwire.Admission{}
 		}
-		present = added.Member
+		member = added.Member
 	}
-	_, err := c.member.ChangeMembership(ctx, consensus.Change{Kind: consensus.Promote, Member: present})
-	c.config.Log.Info("member admitted", "id", uint64(present.ID), "address", join.PeerAddress, "error", err)
+	_, err := c.replica.ChangeMembership(ctx, consensus.Change{Kind: consensus.Promote, Member: member})
+	c.config.Log.Info("member admitted", "id", uint64(member.ID), "address", join.PeerAddress, "error", err)
 	return &fleetwire.Admission{}
 }
 
-// admitted lets the next change of membership begin.
-func (c *Controller) admitted() { <-c.admitting }
+// unlockMembership allows the next change of the membership.
+func (c *Controller) unlockMembership() { <-c.membershipLock }
 
-// replaceLostDisk removes the member that had the joining one's address: its
-// disk is gone.
+// replaceLostDisk removes the member that has the address of the joining one. The two are
+// the same controller, which has lost its disk and with it its identity.
 func (c *Controller) replaceLostDisk(ctx context.Context, membership consensus.Membership, join *fleetwire.Join) {
 	for _, member := range membership.Members {
 		if member.Address != join.PeerAddress {
 			continue
 		}
-		_, err := c.member.ChangeMembership(ctx, consensus.Change{Kind: consensus.Remove, Member: member})
-		c.config.Log.Info("member with a lost disk removed", "id", uint64(member.ID), "address", member.Address, "error", err)
+		_, err := c.replica.ChangeMembership(ctx, consensus.Change{Kind: consensus.Remove, Member: member})
+		c.config.Log.Info("removal of a member with a lost disk ended", "id", uint64(member.ID), "address", member.Address, "error", err)
 	}
 }
 
-func find(membership consensus.Membership, incarnation topology.Incarnation) (consensus.Member, bool) {
+func findIncarnation(membership consensus.Membership, incarnation topology.Incarnation) (consensus.Member, bool) {
 	for _, member := range membership.Members {
 		if member.Incarnation == incarnation {
 			return member, true
--- a/internal/fleetcontroller/members.go
+++ b/internal/fleetcontroller/members.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// healInterval is how often the leader looks for dead members.
-	healInterval = time.Second
-	// aliveWithin is when a member counts as answering.
-	aliveWithin = time.Second
-	// leastVoters is how many voters a removal must leave.
-	leastVoters = 3
+	// memberCheckInterval is how often the leader checks for dead members.
+	memberCheckInterval = time.Second
+	// aliveTimeout is how recently a member must have been heard to count as answering.
+	aliveTimeout = time.Second
+	// minVoters is the minimum number of voters that must remain, and answer, after a removal.
+	minVoters = 3
 )
 
-// removeDead takes one member out that has been silent for long, if all others
-// answer: a further loss then leaves a quorum.
-func (c *Controller) removeDead(status consensus.Status, now time.Duration) {
+// removeDeadMember removes one member that has been silent for DeadAfter, if all others
+// answer. Without it, the group keeps a quorum after a further loss.
+func (c *Controller) removeDeadMember(status consensus.Status, now time.Duration) {
 	var dead consensus.Member
 	answering := 1
 	for _, peer := range status.Peers {
 		heardAt := max(peer.HeardAt, c.control.planner.Began())
 		member, ok := status.Membership.Find(peer.ID)
 		switch {
-		case now < heardAt+aliveWithin:
+		case now < heardAt+aliveTimeout:
 			if ok && !member.Learner {
 				answering++
 			}
@@ -33,21 +33,21 @@
 			dead = member
 		}
 	}
-	if dead.ID == 0 || answering < leastVoters || answering < status.Membership.Voters()-1 {
+	if dead.ID == 0 || answering < minVoters || answering < status.Membership.Voters()-1 {
 		return
 	}
-	go c.remove(dead)
+	go c.removeMember(dead)
 }
 
-func (c *Controller) remove(dead consensus.Member) {
+func (c *Controller) removeMember(dead consensus.Member) {
 	select {
-	case c.admitting <- struct{}{}:
+	case c.membershipLock <- struct{}{}:
 	default:
 		return
 	}
-	defer c.admitted()
-	ctx, cancel := context.WithTimeout(c.running, admitTimeout)
+	defer c.unlockMembership()
+	ctx, cancel := context.WithTimeout(c.runContext, admitTimeout)
 	defer cancel()
-	_, err := c.member.ChangeMembership(ctx, consensus.Change{Kind: consensus.Remove, Member: dead})
-	c.config.Log.Info("silent member removed", "id", uint64(dead.ID), "address", dead.Address, "error", err)
+	_, err := c.replica.ChangeMembership(ctx, consensus.Change{Kind: consensus.Remove, Member: dead})
+	c.config.Log.Info("removal of a silent member ended", "id", uint64(dead.ID), "address", dead.Address, "error", err)
 }
--- a/internal/fleetcontroller/metrics.go
+++ b/internal/fleetcontroller/metrics.go
@@ -12,19 +12,19 @@
 
 const subsystem = "fleet"
 
-// Outcomes of changes of the configuration beside those of fleetstate.
+// Outcomes of changes of the configuration in addition to those of fleetstate.
 const (
-	outcomeElsewhere = "not-leader"
+	outcomeNotLeader = "not-leader"
 	outcomeUnknown   = "unknown"
 )
 
-// controllerMetrics are the process's counters.
+// controllerMetrics holds the counters and histograms of a controller.
 type controllerMetrics struct {
 	leaderships prometheus.Counter
 	changes     *prometheus.CounterVec
 	moves       *prometheus.CounterVec
 	reports     prometheus.Counter
-	held        prometheus.Counter
+	heldBack    prometheus.Counter
 	cleared     prometheus.Counter
 	inForceWait prometheus.Histogram
 }
@@ -39,31 +39,31 @@
 		moves:       prometheus.NewCounterVec(options("ranges_moved_total", "Ranges of keys given to an owner, by whether its predecessor handed them over."), []string{"handover"}),
 		reports:     prometheus.NewCounter(options("reports_total", "Reports of gateways that this controller answered.")),
 	}
-	m.held = prometheus.NewCounter(options("requests_held_back_total", "Requests that came to be held back, since back ends end under them."))
+	m.heldBack = prometheus.NewCounter(options("requests_held_back_total", "Requests that came to be held back, since back ends end under them."))
 	m.cleared = prometheus.NewCounter(options("suspects_cleared_total", "Requests that are no longer suspected, mostly as they were answered."))
 	m.inForceWait = prometheus.NewHistogram(prometheus.HistogramOpts{
 		Namespace: metrics.Namespace, Subsystem: subsystem, Name: "in_force_wait_seconds",
 		Help:    "How long acknowledgements of configurations waited for gateways, after the change was in the state.",
 		Buckets: []float64{0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6},
 	})
-	registry.MustRegister(m.leaderships, m.changes, m.moves, m.reports, m.held, m.cleared, m.inForceWait)
+	registry.MustRegister(m.leaderships, m.changes, m.moves, m.reports, m.heldBack, m.cleared, m.inForceWait)
 	return m
 }
 
-// change counts a change of the configuration by its outcome.
-func (m *controllerMetrics) change(result fleetstate.Result, err error) {
+// countChange counts a change of the configuration by its outcome.
+func (m *controllerMetrics) countChange(result fleetstate.Result, err error) {
 	outcome := outcomeUnknown
 	switch {
 	case err == nil:
 		outcome = result.Outcome.String()
 	case isNotLeader(err):
-		outcome = outcomeElsewhere
+		outcome = outcomeNotLeader
 	}
 	m.changes.WithLabelValues(outcome).Inc()
 }
 
-// moved counts the changes of owners that were proposed.
-func (m *controllerMetrics) moved(batch *fleetstate.ChangeOwnership) {
+// countMoves counts the changes of owner in a batch, when it is proposed.
+func (m *controllerMetrics) countMoves(batch *fleetstate.ChangeOwnership) {
 	for i := range batch.Changes {
 		handover := "no"
 		if batch.Changes[i].Handover != "" {
@@ -73,20 +73,20 @@
 	}
 }
 
-// gauges are read when metrics are collected.
+// gauges returns the metrics whose values are read when they are collected.
 func (c *Controller) gauges() []prometheus.Collector {
 	gauge := func(name, help string, read func() float64) prometheus.Collector {
 		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: metrics.Namespace, Subsystem: subsystem, Name: name, Help: help}, read)
 	}
 	return []prometheus.Collector{
 		gauge("leads", "1 where this controller is the leader.", func() float64 {
-			if c.member.Status().Role == consensus.Leader {
+			if c.replica.Status().Role == consensus.Leader {
 				return 1
 			}
 			return 0
 		}),
-		gauge("term", "Term of the group.", func() float64 { return float64(c.member.Status().Term) }),
-		gauge("voters", "Members of the group that vote.", func() float64 { return float64(c.member.Status().Membership.Voters()) }),
+		gauge("term", "Term of the group.", func() float64 { return float64(c.replica.Status().Term) }),
+		gauge("voters", "Members of the group that vote.", func() float64 { return float64(c.replica.Status().Membership.Voters()) }),
 		gauge("leader_silence_seconds", "Time since a leader was heard; zero at the leader.", func() float64 { return c.leaderSilence().Seconds() }),
 		gauge("sessions", "Gateways with a session here.", func() float64 { return float64(c.sessionCount()) }),
 		gauge("instances", "Back ends that the leader knows.", func() float64 {
@@ -111,11 +111,11 @@
 }
 
 func (c *Controller) leaderSilence() time.Duration {
-	status := c.member.Status()
+	status := c.replica.Status()
 	if status.Role == consensus.Leader {
 		return 0
 	}
-	return c.member.Now() - status.LeaderHeardAt
+	return c.replica.Now() - status.LeaderHeardAt
 }
 
 func (c *Controller) sessionCount() int {
--- a/internal/fleetcontroller/standing_test.go
+++ b/internal/fleetcontroller/operatorstate_test.go
@@ -16,12 +16,11 @@
 	"github.com/quartzdock/quartzdock/internal/transport"
 )
 
-// redirect is what the controller at an address answers to a gateway while it does not
-// lead.
+// redirect returns the redirect that controller i sends to a gateway while it doesn't lead.
 func (g *group) redirect(i int) (redirect *fleetwire.Redirect) {
 	g.t.Helper()
 	poll.WaitOn(g.t, func(poll.LogT) poll.Result {
-		conn, err := transport.Dial(g.t.Context(), g.configs[i].SessionListen, transport.Options{WriteTimeout: patience, IdleTimeout: patience})
+		conn, err := transport.Dial(g.t.Context(), g.configs[i].SessionListen, transport.Options{WriteTimeout: waitTimeout, IdleTimeout: waitTimeout})
 		if err != nil {
 			return poll.Error(err)
 		}
@@ -34,44 +33,44 @@
 			return poll.Continue("%v", err)
 		}
 		if first.Redirect == nil {
-			return poll.Continue("it leads")
+			return poll.Continue("the controller leads")
 		}
 		redirect = first.Redirect
 		return poll.Success()
-	}, poll.WithTimeout(patience), poll.WithDelay(10*time.Millisecond))
+	}, poll.WithTimeout(waitTimeout), poll.WithDelay(10*time.Millisecond))
 	return redirect
 }
 
-// One that does not lead tells what it has: the configuration, the evacuations and who
-// votes; also while nobody leads.
-func TestAControllerThatDoesNotLeadTellsWhatItHas(t *testing.T) {
+// A redirect reports the configuration, the evacuations and the voters that the controller
+// has, also while there is no leader.
+func TestRedirectReportsOperatorState(t *testing.T) {
 	g := startGroup(t)
-	g.change(changeTo(3, 0, 1))
+	g.change(documentChange(3, 0, 1))
 	_, leader := g.evacuate("a", true)
 	other := (leader + 1) % members
-	var told *fleetwire.Standing
+	var reported *fleetwire.Standing
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		told = g.redirect(other).Standing
-		if told == nil || told.EvacuationsIndex == 0 {
-			return poll.Continue("%+v", told)
+		reported = g.redirect(other).Standing
+		if reported == nil || reported.EvacuationsIndex == 0 {
+			return poll.Continue("%+v", reported)
 		}
 		return poll.Success()
-	}, poll.WithTimeout(patience), poll.WithDelay(10*time.Millisecond))
-	assert.Equal(t, told.Version, routeconfig.Version(3))
-	assert.Equal(t, len(told.Voters), members)
-	assert.Equal(t, told.For, configlease.DefaultApplyWithin)
-	assert.Assert(t, told.Member != topology.ReplicaID(0))
+	}, poll.WithTimeout(waitTimeout), poll.WithDelay(10*time.Millisecond))
+	assert.Equal(t, reported.Version, routeconfig.Version(3))
+	assert.Equal(t, len(reported.Voters), members)
+	assert.Equal(t, reported.For, configlease.DefaultApplyWithin)
+	assert.Assert(t, reported.Member != topology.ReplicaID(0))
 	g.stop(leader)
 	g.stop((leader + 2) % members)
 	again := g.redirect(other).Standing
-	assert.DeepEqual(t, again, told)
+	assert.DeepEqual(t, again, reported)
 }
 
-// One that has an order in its log which may be accepted, or may yet be, does not say that
-// it has nothing newer.
-func TestAControllerWithAnOrderThatMayBeAcceptedTellsNothing(t *testing.T) {
+// A controller whose log holds an operator command that may have been accepted, or may still
+// be, must not report that it has nothing newer.
+func TestRedirectOmitsOperatorStateWhileACommandIsUnapplied(t *testing.T) {
 	g := startGroup(t)
-	_, leader := g.change(changeTo(3, 0, 1))
+	_, leader := g.change(documentChange(3, 0, 1))
 	for i := range members {
 		if i != leader {
 			g.stop(i)
@@ -80,6 +79,6 @@
 	ctx, cancel := context.WithTimeout(t.Context(), shortWait)
 	defer cancel()
 	_, err := g.controllers[leader].Evacuate(ctx, fleetstate.ChangeEvacuation{Zone: "a", Evacuate: true})
-	assert.ErrorIs(t, err, context.DeadlineExceeded, "it is in the log")
+	assert.ErrorIs(t, err, context.DeadlineExceeded, "the command is in the log without a majority")
 	assert.Assert(t, g.redirect(leader).Standing == nil)
 }
--- a/internal/fleetcontroller/publish.go
+++ b/internal/fleetcontroller/publish.go
@@ -12,106 +12,110 @@
 )
 
 const (
-	// publishPerSession is the least time between two views for each session, so
-	// that changes which come together travel together and the senders use a bounded
-	// part of the processor: a message costs about 0.1 ms of the 0.24 cores of the
-	// users' machines.
-	publishPerSession = 700 * time.Microsecond
-	// longestPublish bounds that time: an owner's change should be known within a
-	// quarter of a second.
-	longestPublish = 200 * time.Millisecond
-	// incompleteFactor makes it longer while a new leader does not know all
-	// instances: gateways keep those that they know, and all of them come at once.
+	// publishIntervalPerSession, multiplied by the number of sessions, is the minimum time between
+	// two views. It combines changes that happen close together and limits the senders'
+	// share of the CPU: a message takes about 0.1 ms of the 0.24 cores that the users'
+	// machines have.
+	publishIntervalPerSession = 700 * time.Microsecond
+	// maxPublishInterval limits that time: gateways should know about a change of owner within
+	// 250 ms.
+	maxPublishInterval = 200 * time.Millisecond
+	// incompleteFactor multiplies that time while a new leader doesn't know all instances
+	// yet. All gateways connect to it at once then, and meanwhile they keep the instances
+	// that they know.
 	incompleteFactor = 3
 )
 
-// view is an immutable picture of what gateways need.
+// view is an immutable copy of what gateways need to route requests.
 type view struct {
 	document  *fleetwire.Shared[*routeconfig.Document]
 	owners    *ownerSet
 	instances *instanceSet
-	// evacuated zones, and the log index of the last change of them.
+	// evacuated holds the evacuated zones, and evacuationsIndex is the log index of their
+	// last change.
 	evacuated        []string
 	evacuationsIndex uint64
-	// suspects are requests under which back ends have ended, and quarantineIndex is that
-	// of their set.
+	// suspects are the requests during which back ends have crashed, and quarantineIndex is
+	// the log index of their last change.
 	suspects        []quarantine.Suspect
 	quarantineIndex uint64
-	// term of the leader, and whether its instances are complete.
+	// term is that of the leader; complete is set once it knows all instances.
 	term        uint64
 	complete    bool
 	controllers []string
 }
 
-// mostSteps is how many views a session may be behind and still get the steps in
-// between; one that is further behind gets the whole set.
-const mostSteps = 24
+// maxDeltas is how many versions of a set a session may be behind to be sent deltas; one that
+// is further behind gets a snapshot.
+const maxDeltas = 24
 
-// step leads from the set of a number to the next one. The changes are worked out
-// when they are first sent, once for all sessions. They travel plain: a gateway
-// that had to unpack each small change would spend more on the types than on it.
-type step[Changes any] struct {
+// delta holds the changes from the set numbered from to the next one. The changes are computed
+// once for all sessions, when they are first sent. They aren't packed: unpacking them
+// one by one would cost a gateway more for gob's type information than for the changes.
+type delta[Changes any] struct {
 	from    uint64
 	changes func() Changes
 }
 
-// set is what travels as changes: fleetview.Instances and fleetview.Owners.
-type set[Set, Changes any] interface {
+// diffable is a set of which changes can be sent: fleetview.Instances or fleetview.Owners.
+type diffable[Set, Changes any] interface {
 	Digest() uint64
 	Snapshot() Changes
 	ChangesFrom(earlier Set) Changes
 }
 
-// history is a set with what leads to it: the last steps, or all of it, which is
-// packed when it is first sent, once. What it costs the leader to make is the same
-// however far the sessions are behind.
-type history[Set set[Set, Changes], Changes any] struct {
+// history is a set with the last deltas that lead to it, and a packed snapshot for sessions
+// to which these don't apply. Each is computed at most
+// once, when it is first sent, so the leader's work doesn't depend on how far the sessions
+// are behind.
+type history[Set diffable[Set, Changes], Changes any] struct {
 	set Set
-	// number of the set, which no other of its kind has in a term, and its digest.
+	// number identifies the set among all of its type in a term.
 	number, digest uint64
-	steps          []step[Changes]
-	whole          func() ([]byte, error)
+	deltas         []delta[Changes]
+	snapshot       func() ([]byte, error)
 }
 
-// newHistory returns a set with its history after another; nil is none.
-func newHistory[Set set[Set, Changes], Changes any](before *history[Set, Changes], number uint64, present Set) *history[Set, Changes] {
-	next := &history[Set, Changes]{set: present, number: number, digest: present.Digest()}
-	next.whole = sync.OnceValues(func() ([]byte, error) { return fleetwire.Pack(present.Snapshot()) })
+// newHistory returns the history of the current set, which follows the one of before; nil if
+// it is the first.
+func newHistory[Set diffable[Set, Changes], Changes any](before *history[Set, Changes], number uint64, current Set) *history[Set, Changes] {
+	next := &history[Set, Changes]{set: current, number: number, digest: current.Digest()}
+	next.snapshot = sync.OnceValues(func() ([]byte, error) { return fleetwire.Pack(current.Snapshot()) })
 	if before != nil {
 		earlier := before.set
-		changes := sync.OnceValue(func() Changes { return present.ChangesFrom(earlier) })
-		kept := before.steps[max(0, len(before.steps)+1-mostSteps):]
-		next.steps = append(slices.Clone(kept), step[Changes]{before.number, changes})
+		changes := sync.OnceValue(func() Changes { return current.ChangesFrom(earlier) })
+		kept := before.deltas[max(0, len(before.deltas)+1-maxDeltas):]
+		next.deltas = append(slices.Clone(kept), delta[Changes]{before.number, changes})
 	}
 	return next
 }
 
-// since returns the changes from the set of a number on, or all of the set, packed,
-// where the gateway has none or is too far behind.
-func (h *history[Set, Changes]) since(number uint64, known bool) (steps []Changes, whole []byte, err error) {
+// changesSince returns the changes since the set with the given number, or a packed snapshot if
+// the gateway has no set or is too far behind.
+func (h *history[Set, Changes]) changesSince(number uint64, known bool) (changes []Changes, snapshot []byte, err error) {
 	if known && number == h.number {
 		return nil, nil, nil
 	}
-	at := slices.IndexFunc(h.steps, func(s step[Changes]) bool { return s.from == number })
+	at := slices.IndexFunc(h.deltas, func(d delta[Changes]) bool { return d.from == number })
 	if !known || at < 0 {
-		whole, err = h.whole()
-		return nil, whole, err
+		snapshot, err = h.snapshot()
+		return nil, snapshot, err
 	}
-	for _, each := range h.steps[at:] {
-		steps = append(steps, each.changes())
+	for _, next := range h.deltas[at:] {
+		changes = append(changes, next.changes())
 	}
-	return steps, nil, nil
+	return changes, nil, nil
 }
 
-// instanceSet is numbered by the leader, and ownerSet by the log index of the last
-// change.
+// instanceSet is numbered by a counter of the leader, and ownerSet by the log index of the
+// last change.
 type (
 	instanceSet = history[fleetview.Instances, *fleetwire.InstanceChanges]
 	ownerSet    = history[fleetview.Owners, *fleetwire.OwnerChanges]
 )
 
-// published remembers from what the last view was made.
-type published struct {
+// publishedState identifies the state from which a view was built.
+type publishedState struct {
 	version           routeconfig.Version
 	ownersIndex       uint64
 	evacuationsIndex  uint64
@@ -122,51 +126,50 @@
 	members           int
 }
 
-// urgent says that a view must not wait for others that come together with it.
-func (p published) urgent(before published) bool {
+// urgent reports whether a view must be published without waiting for further changes.
+func (p publishedState) urgent(before publishedState) bool {
 	return p.version != before.version || p.term != before.term || p.complete != before.complete || p.evacuationsIndex != before.evacuationsIndex
 }
 
-// publish makes a new view where anything has changed, and wakes the senders.
-// Changes that come sooner after another than the sessions' number allows wait for
-// the next tick.
+// publish builds a new view if anything has changed, and wakes the senders. A change that
+// isn't urgent waits for a later tick if the last view is more recent than publishInterval.
 func (c *Controller) publish() {
 	control := &c.control
 	if control.planner == nil {
 		return
 	}
-	members := c.member.Status().Membership
-	next := published{
+	members := c.replica.Status().Membership
+	next := publishedState{
 		version:           control.state.Version(),
 		ownersIndex:       control.state.OwnersIndex(),
 		evacuationsIndex:  control.state.EvacuationsIndex(),
 		quarantineIndex:   control.state.Quarantine().Index,
 		term:              control.leadership.Term(),
 		instancesRevision: control.planner.Revision(),
-		complete:          control.planner.Complete(c.member.Now()),
+		complete:          control.planner.Complete(c.replica.Now()),
 		members:           len(members.Members),
 	}
-	now := c.member.Now()
-	if next == control.published || now < control.publishAt && !next.urgent(control.published) {
+	now := c.replica.Now()
+	if next == control.published || now < control.nextPublish && !next.urgent(control.published) {
 		return
 	}
-	control.publishAt = now + publishInterval(c.sessionCount(), next.complete)
+	control.nextPublish = now + publishInterval(c.sessionCount(), next.complete)
 	c.view.Store(c.nextView(next, c.controllers(members)))
 	control.published = next
 	c.wakeSessions()
 }
 
-// publishInterval is the least time between two views that are not urgent.
+// publishInterval returns the minimum time between two views that aren't urgent.
 func publishInterval(sessions int, complete bool) time.Duration {
-	interval := min(longestPublish, time.Duration(sessions)*publishPerSession)
+	interval := min(maxPublishInterval, time.Duration(sessions)*publishIntervalPerSession)
 	if !complete {
 		interval *= incompleteFactor
 	}
 	return interval
 }
 
-// nextView makes a view; parts that have not changed are those of the last one.
-func (c *Controller) nextView(now published, controllers []string) *view {
+// nextView builds a view, reusing the parts of the last one that haven't changed.
+func (c *Controller) nextView(now publishedState, controllers []string) *view {
 	control := &c.control
 	before := c.view.Load()
 	next := &view{
@@ -182,74 +185,76 @@
 		next.owners = newHistory(before.owners, now.ownersIndex, fleetview.NewOwners(control.state.AllOwners()))
 	}
 	if now.instancesRevision != control.published.instancesRevision || now.term != control.published.term || before.instances == nil {
-		control.instanceSets++
-		next.instances = newHistory(before.instances, control.instanceSets, fleetview.NewInstances(control.planner.Instances()))
+		control.instanceSetNumber++
+		next.instances = newHistory(before.instances, control.instanceSetNumber, fleetview.NewInstances(control.planner.Instances()))
 	}
 	return next
 }
 
-// sent is what a session's gateway has.
-type sent struct {
-	// hello is what it said to have, until that was compared with the first view.
+// deliveredState is what the gateway of a session has.
+type deliveredState struct {
+	// hello tells what it had at the start of the session; nil once that has been compared
+	// with a view.
 	hello   *fleetwire.Hello
 	version routeconfig.Version
-	// owners and instances are the numbers of the sets; zero is none.
+	// owners and instances are the numbers of its sets; instances is zero if it has none.
 	owners, instances uint64
 	hasOwners         bool
 	evacuationsIndex  uint64
 	quarantineIndex   uint64
 	term              uint64
 	complete          bool
-	// controllers is how many it knows.
+	// controllers is the number of controllers that it knows.
 	controllers int
 }
 
-// news returns what a gateway lacks of the present view, or nil.
-func (c *Controller) news(has *sent) (*fleetwire.View, error) {
+// viewUpdate returns the parts of the current view that a gateway doesn't have, or nil. It
+// updates delivered accordingly.
+func (c *Controller) viewUpdate(delivered *deliveredState) (*fleetwire.View, error) {
 	now := c.view.Load()
-	has.compare(now)
-	news, changed := &fleetwire.View{}, false
+	delivered.adoptOwners(now)
+	update, changed := &fleetwire.View{}, false
 	var err error
-	if now.document != nil && now.document.Value.Version != has.version {
-		if news.PackedDocument, err = now.document.Pack(); err != nil {
+	if now.document != nil && now.document.Value.Version != delivered.version {
+		if update.PackedDocument, err = now.document.Pack(); err != nil {
 			return nil, err
 		}
-		has.version, changed = now.document.Value.Version, true
+		delivered.version, changed = now.document.Value.Version, true
 	}
-	if now.owners != nil && (now.owners.number != has.owners || !has.hasOwners) {
-		if news.Owners, news.PackedOwners, err = now.owners.since(has.owners, has.hasOwners); err != nil {
+	if now.owners != nil && (now.owners.number != delivered.owners || !delivered.hasOwners) {
+		if update.Owners, update.PackedOwners, err = now.owners.changesSince(delivered.owners, delivered.hasOwners); err != nil {
 			return nil, err
 		}
-		news.OwnersIndex, news.OwnersDigest = now.owners.number, now.owners.digest
-		has.owners, has.hasOwners, changed = now.owners.number, true, true
+		update.OwnersIndex, update.OwnersDigest = now.owners.number, now.owners.digest
+		delivered.owners, delivered.hasOwners, changed = now.owners.number, true, true
 	}
-	if now.instances != nil && (now.instances.number != has.instances || now.term != has.term || now.complete != has.complete) {
-		if news.Instances, news.PackedInstances, err = now.instances.since(has.instances, has.instances != 0); err != nil {
+	if now.instances != nil && (now.instances.number != delivered.instances || now.term != delivered.term || now.complete != delivered.complete) {
+		if update.Instances, update.PackedInstances, err = now.instances.changesSince(delivered.instances, delivered.instances != 0); err != nil {
 			return nil, err
 		}
-		news.HasInstances, news.InstancesDigest, news.Complete = true, now.instances.digest, now.complete
-		has.instances, has.term, has.complete, changed = now.instances.number, now.term, now.complete, true
+		update.HasInstances, update.InstancesDigest, update.Complete = true, now.instances.digest, now.complete
+		delivered.instances, delivered.term, delivered.complete, changed = now.instances.number, now.term, now.complete, true
 	}
-	if now.evacuationsIndex != has.evacuationsIndex {
-		news.EvacuationsIndex, news.Evacuated = now.evacuationsIndex, now.evacuated
-		has.evacuationsIndex, changed = now.evacuationsIndex, true
+	if now.evacuationsIndex != delivered.evacuationsIndex {
+		update.EvacuationsIndex, update.Evacuated = now.evacuationsIndex, now.evacuated
+		delivered.evacuationsIndex, changed = now.evacuationsIndex, true
 	}
-	if now.quarantineIndex != has.quarantineIndex {
-		news.QuarantineIndex, news.Suspects = now.quarantineIndex, now.suspects
-		has.quarantineIndex, changed = now.quarantineIndex, true
+	if now.quarantineIndex != delivered.quarantineIndex {
+		update.QuarantineIndex, update.Suspects = now.quarantineIndex, now.suspects
+		delivered.quarantineIndex, changed = now.quarantineIndex, true
 	}
-	if len(now.controllers) != has.controllers {
-		news.Controllers, has.controllers, changed = now.controllers, len(now.controllers), true
+	if len(now.controllers) != delivered.controllers {
+		update.Controllers, delivered.controllers, changed = now.controllers, len(now.controllers), true
 	}
 	if !changed {
 		return nil, nil
 	}
-	return news, nil
+	return update, nil
 }
 
-// compare takes the owners that a gateway brings from an earlier session for those
-// of a view, where they are the same.
-func (s *sent) compare(now *view) {
+// adoptOwners records that a gateway already has the owners of a view, from an earlier session,
+// if their index and digest are the same.
+func (s *deliveredState) adoptOwners(now *view) {
 	if s.hello == nil || now.owners == nil {
 		return
 	}
--- a/internal/fleetcontroller/publish_test.go
+++ b/internal/fleetcontroller/publish_test.go
@@ -12,9 +12,9 @@
 	"github.com/quartzdock/quartzdock/internal/keyspace"
 )
 
-// viewAfter is the view after another, nil is none, with a number of instances and
-// owners of an index.
-func viewAfter(before *view, instances int, index uint64, owner string) *view {
+// nextTestView returns the view that follows another, or the first one for nil, with the given
+// number of instances and the given index and owner of the keys.
+func nextTestView(before *view, instances int, index uint64, owner string) *view {
 	var all []fleetwire.Instance
 	for i := range instances {
 		all = append(all, fleetwire.Instance{ID: fmt.Sprint("i-", i)})
@@ -36,95 +36,96 @@
 	return next
 }
 
-// news of a controller that has a view, unpacked.
-func (c *Controller) mustNews(t *testing.T, has *sent) *fleetwire.View {
+// mustViewUpdate returns what viewUpdate does, unpacked.
+func (c *Controller) mustViewUpdate(t *testing.T, delivered *deliveredState) *fleetwire.View {
 	t.Helper()
-	news, err := c.news(has)
+	update, err := c.viewUpdate(delivered)
 	assert.NilError(t, err)
-	if news != nil {
-		assert.NilError(t, news.Unpack())
+	if update != nil {
+		assert.NilError(t, update.Unpack())
 	}
-	return news
+	return update
 }
 
-// apply returns the sets that news make of others.
-func apply(instances fleetview.Instances, owners fleetview.Owners, news *fleetwire.View) (fleetview.Instances, fleetview.Owners) {
-	for _, changes := range news.Instances {
+// apply returns the sets that result from applying an update to others.
+func apply(instances fleetview.Instances, owners fleetview.Owners, update *fleetwire.View) (fleetview.Instances, fleetview.Owners) {
+	for _, changes := range update.Instances {
 		instances = instances.Apply(changes)
 	}
-	for _, changes := range news.Owners {
+	for _, changes := range update.Owners {
 		owners = owners.Apply(changes)
 	}
 	return instances, owners
 }
 
-// Whatever a session has missed, it gets what leads to the present view, and
-// nothing where it has that.
-func TestASessionGetsWhatItLacks(t *testing.T) {
-	for _, missed := range []int{1, 2, mostSteps, mostSteps + 1, 3 * mostSteps} {
+// However many views a session has missed, it is sent the changes that lead to the current
+// one, and nothing if it already has that.
+func TestSessionIsSentMissingChanges(t *testing.T) {
+	for _, missed := range []int{1, 2, maxDeltas, maxDeltas + 1, 3 * maxDeltas} {
 		t.Run(fmt.Sprint("missed ", missed), func(t *testing.T) {
 			c := &Controller{}
-			present := viewAfter(nil, 3, 7, "a")
-			c.view.Store(present)
-			var has sent
-			first := c.mustNews(t, &has)
+			current := nextTestView(nil, 3, 7, "a")
+			c.view.Store(current)
+			var delivered deliveredState
+			first := c.mustViewUpdate(t, &delivered)
 			assert.Assert(t, first.Instances[0].Snapshot && first.Owners[0].Snapshot)
-			assert.Assert(t, c.mustNews(t, &has) == nil)
+			assert.Assert(t, c.mustViewUpdate(t, &delivered) == nil)
 			for i := range missed {
-				present = viewAfter(present, 4+i, uint64(8+i/2), fmt.Sprint("o-", i/2))
+				current = nextTestView(current, 4+i, uint64(8+i/2), fmt.Sprint("o-", i/2))
 			}
-			c.view.Store(present)
-			later := c.mustNews(t, &has)
-			assert.Equal(t, later.Instances[0].Snapshot, missed > mostSteps)
+			c.view.Store(current)
+			later := c.mustViewUpdate(t, &delivered)
+			assert.Equal(t, later.Instances[0].Snapshot, missed > maxDeltas)
 			instances, owners := apply(nil, nil, first)
 			instances, owners = apply(instances, owners, later)
 			assert.Equal(t, instances.Digest(), later.InstancesDigest)
 			assert.Equal(t, owners.Digest(), later.OwnersDigest)
-			assert.Assert(t, c.mustNews(t, &has) == nil)
+			assert.Assert(t, c.mustViewUpdate(t, &delivered) == nil)
 		})
 	}
 }
 
-// Sessions that are behind by different numbers of views share what was worked out:
-// a leader that is short of time must not get more work for it.
-func TestSessionsShareWhatIsWorkedOut(t *testing.T) {
-	present := viewAfter(nil, 3, 7, "a")
-	for i := range mostSteps {
-		present = viewAfter(present, 4+i, 7, "a")
+// Sessions that are behind by different numbers of views share the computed changes. Otherwise
+// an overloaded leader, whose sessions fall behind, would get even more work.
+func TestSessionsShareComputedChanges(t *testing.T) {
+	current := nextTestView(nil, 3, 7, "a")
+	for i := range maxDeltas {
+		current = nextTestView(current, 4+i, 7, "a")
 	}
-	newest, _, err := present.instances.since(mostSteps, true)
+	newest, _, err := current.instances.changesSince(maxDeltas, true)
 	assert.NilError(t, err)
-	for behind := range uint64(mostSteps) {
-		steps, _, err := present.instances.since(mostSteps-behind, true)
+	for behind := range uint64(maxDeltas) {
+		changes, _, err := current.instances.changesSince(maxDeltas-behind, true)
 		assert.NilError(t, err)
-		assert.Equal(t, len(steps), int(behind)+1)
-		assert.Assert(t, steps[behind] == newest[0], "the same changes")
+		assert.Equal(t, len(changes), int(behind)+1)
+		assert.Assert(t, changes[behind] == newest[0], "the changes are computed once")
 	}
-	_, whole, err := present.instances.since(0, false)
+	_, snapshot, err := current.instances.changesSince(0, false)
 	assert.NilError(t, err)
-	_, again, err := present.instances.since(0, false)
+	_, again, err := current.instances.changesSince(0, false)
 	assert.NilError(t, err)
-	assert.Assert(t, &whole[0] == &again[0], "the same bytes")
+	assert.Assert(t, &snapshot[0] == &again[0], "the snapshot is packed once")
 }
 
-// All gateways come to a new leader. What they have already is not sent again.
-func TestAGatewayIsNotSentTheOwnersThatItBrings(t *testing.T) {
+// All gateways connect to a new leader at once. Owners that they already have aren't sent again.
+func TestOwnersKnownFromAnEarlierSessionAreNotSent(t *testing.T) {
 	c := &Controller{}
-	present := viewAfter(nil, 3, 7, "a")
-	c.view.Store(present)
-	news := c.mustNews(t, &sent{hello: &fleetwire.Hello{OwnersIndex: 7, OwnersDigest: present.owners.digest}})
-	assert.Equal(t, len(news.Owners), 0)
-	assert.Assert(t, news.Instances[0].Snapshot)
-	for _, other := range []*fleetwire.Hello{{}, {OwnersIndex: 6, OwnersDigest: present.owners.digest}, {OwnersIndex: 7, OwnersDigest: 1}} {
-		news := c.mustNews(t, &sent{hello: other})
-		assert.Assert(t, news.Owners[0].Snapshot)
+	current := nextTestView(nil, 3, 7, "a")
+	c.view.Store(current)
+	update := c.mustViewUpdate(t, &deliveredState{hello: &fleetwire.Hello{OwnersIndex: 7, OwnersDigest: current.owners.digest}})
+	assert.Equal(t, len(update.Owners), 0)
+	assert.Assert(t, update.Instances[0].Snapshot)
+	for _, other := range []*fleetwire.Hello{{}, {OwnersIndex: 6, OwnersDigest: current.owners.digest}, {OwnersIndex: 7, OwnersDigest: 1}} {
+		update := c.mustViewUpdate(t, &deliveredState{hello: other})
+		assert.Assert(t, update.Owners[0].Snapshot)
 	}
 }
 
-// The senders of a large fleet use a bounded part of the leader's processor.
-func TestViewsOfLargeFleetsComeSeldomer(t *testing.T) {
+// Views are published less often to many sessions, so that the senders use a limited part of
+// the leader's CPU.
+func TestPublishIntervalGrowsWithTheNumberOfSessions(t *testing.T) {
 	assert.Assert(t, publishInterval(12, true) < 10*time.Millisecond)
 	assert.Assert(t, publishInterval(280, true) > 100*time.Millisecond)
-	assert.Equal(t, publishInterval(5000, true), longestPublish)
+	assert.Equal(t, publishInterval(5000, true), maxPublishInterval)
 	assert.Assert(t, publishInterval(280, false) > publishInterval(280, true))
 }
--- a/internal/fleetcontroller/quarantine.go
+++ b/internal/fleetcontroller/quarantine.go
@@ -7,90 +7,92 @@
 	"github.com/quartzdock/quartzdock/internal/quarantine"
 )
 
-// quarantineDesk is the leader's work on requests under which back ends have ended. It belongs
-// to the control goroutine. One change is proposed at a time; what comes meanwhile waits.
-type quarantineDesk struct {
-	desk      quarantine.Desk
-	waiting   quarantine.Change
-	proposing bool
-	reviewAt  time.Duration
+// quarantineState is the leader's working state for requests during which back ends have
+// crashed. The control goroutine owns it. One change is proposed at a time; further events
+// are collected in pending.
+type quarantineState struct {
+	reviewer   quarantine.Desk
+	pending    quarantine.Change
+	proposing  bool
+	nextReview time.Duration
 }
 
 const (
-	// quarantineReview is how often the leader looks for trials that are overdue.
-	quarantineReview = time.Second
-	// mostWaiting bounds the events that wait; further ones are told again by their gateways.
-	mostWaiting = 4096
+	// quarantineReviewInterval is how often the leader checks for overdue trials.
+	quarantineReviewInterval = time.Second
+	// maxPendingQuarantineEvents limits the pending events. Gateways repeat those that are
+	// dropped.
+	maxPendingQuarantineEvents = 4096
 )
 
-// takeQuarantine takes what a gateway's report tells, and returns the lives that it told the
-// end of and that the present view has counted.
-func (c *Controller) takeQuarantine(told *quarantine.Change) (known []string) {
-	if told == nil {
+// handleQuarantine queues the quarantine events of a gateway's report. It returns the crashed
+// incarnations in the report that the published view already counts.
+func (c *Controller) handleQuarantine(reported *quarantine.Change) (known []string) {
+	if reported == nil {
 		return nil
 	}
 	set := c.control.state.Quarantine()
-	for _, ended := range told.Ended {
+	for _, ended := range reported.Ended {
 		if set.Knows(ended.Life) && c.control.published.quarantineIndex == set.Index {
 			known = append(known, ended.Life)
 		}
 	}
-	waiting := &c.control.quarantine.waiting
-	if len(waiting.Ended)+len(waiting.Answered)+len(waiting.Over)+len(waiting.Asked) < mostWaiting {
-		// What only the leader and operators decide is not a gateway's to tell.
-		waiting.Add(&quarantine.Change{Ended: told.Ended, Answered: told.Answered, Over: told.Over, Asked: told.Asked})
+	pending := &c.control.quarantine.pending
+	if len(pending.Ended)+len(pending.Answered)+len(pending.Over)+len(pending.Asked) < maxPendingQuarantineEvents {
+		// The remaining fields are left out: only the leader and operators may set them.
+		pending.Add(&quarantine.Change{Ended: reported.Ended, Answered: reported.Answered, Over: reported.Over, Asked: reported.Asked})
 	}
 	c.proposeQuarantine()
 	return known
 }
 
-// reviewQuarantine looks for what is due.
+// reviewQuarantine proposes the changes that are due by time.
 func (c *Controller) reviewQuarantine(now time.Duration) {
-	desk := &c.control.quarantine
-	if now < desk.reviewAt {
+	state := &c.control.quarantine
+	if now < state.nextReview {
 		return
 	}
-	desk.reviewAt = now + quarantineReview
-	due := desk.desk.Review(c.control.state.Quarantine(), c.config.Quarantine, now)
-	desk.waiting.Add(&due)
+	state.nextReview = now + quarantineReviewInterval
+	due := state.reviewer.Review(c.control.state.Quarantine(), c.config.Quarantine, now)
+	state.pending.Add(&due)
 	c.proposeQuarantine()
 }
 
-// proposeQuarantine proposes what waits, as far as it changes anything.
+// proposeQuarantine proposes the pending changes that have an effect on the state.
 func (c *Controller) proposeQuarantine() {
-	desk := &c.control.quarantine
-	if desk.proposing || desk.waiting.Empty() || c.control.planner == nil {
+	state := &c.control.quarantine
+	if state.proposing || state.pending.Empty() || c.control.planner == nil {
 		return
 	}
-	change := c.control.state.Quarantine().Effective(&desk.waiting)
-	desk.waiting = quarantine.Change{}
+	change := c.control.state.Quarantine().Effective(&state.pending)
+	state.pending = quarantine.Change{}
 	if change.Empty() {
 		return
 	}
 	data, err := (&fleetstate.Command{Quarantine: &change}).Encode()
 	if err != nil {
-		c.config.Log.Error("quarantine not changed", "error", err)
+		c.config.Log.Error("encoding a change of the quarantine failed", "error", err)
 		return
 	}
-	desk.proposing = true
+	state.proposing = true
 	planner := c.control.planner
-	c.member.ProposeAsync(data, func(any, error) {
+	c.replica.ProposeAsync(data, func(any, error) {
 		if c.control.planner == planner {
-			desk.proposing = false
+			state.proposing = false
 			c.publish()
 			c.proposeQuarantine()
 		}
 	})
 }
 
-// logQuarantine tells which requests came to be held back and which ones are no more, between
-// two states.
+// logQuarantine logs and counts the requests that are newly held back, and those that are no
+// longer held back or suspect, between two states.
 func (c *Controller) logQuarantine(before, after *quarantine.Set) {
 	for i := range after.Suspects {
 		suspect := &after.Suspects[i]
 		earlier := before.Find(suspect.Request)
 		if suspect.Held() && (earlier == nil || !earlier.Held()) {
-			c.metrics.held.Inc()
+			c.metrics.heldBack.Inc()
 			c.config.Log.Warn("request held back", "digest", suspect.Request.String(), "service", suspect.Service, "ends", suspect.Ends,
 				"failed_trials", suspect.FailedTrials, "late_trials", suspect.LateTrials)
 		}
--- a/internal/fleetcontroller/sessions.go
+++ b/internal/fleetcontroller/sessions.go
@@ -11,28 +11,29 @@
 	"github.com/quartzdock/quartzdock/internal/transport"
 )
 
-// sessionOptions bound a session: a gateway reports several times in the idle
-// timeout.
+// sessionOptions limits how long a session may be stalled. A gateway reports several times
+// within the idle timeout.
 var sessionOptions = transport.Options{WriteTimeout: 2 * time.Second, IdleTimeout: 4 * time.Second}
 
-// sendPause is the least time between two messages of a session, so that
-// changes that come together travel together.
+// sendPause is the minimum time between two messages of a session, so that changes
+// that happen close together are sent together.
 const sendPause = 5 * time.Millisecond
 
-// session is one gateway's connection.
+// session is a gateway's connection.
 type session struct {
 	conn *transport.Conn
 	node string
-	// number counts accepted connections: a process that has restarted has the higher one.
+	// number counts accepted connections, so that of two processes of a gateway the later
+	// one has the higher number.
 	number uint64
 	wake   chan struct{}
 
-	mutex sync.Mutex
-	lease *fleetwire.Lease
-	known *fleetwire.Instance
-	// reportNow asks the gateway for a report.
+	mutex         sync.Mutex
+	lease         *fleetwire.Lease
+	knownInstance *fleetwire.Instance
+	// reportNow tells the sender to request a report.
 	reportNow bool
-	// ended tells the sender to stop; redirect says where the gateway goes on.
+	// ended tells the sender to stop, after it has sent redirect if that is set.
 	ended    bool
 	redirect *fleetwire.Redirect
 }
@@ -44,7 +45,7 @@
 	}
 }
 
-// accept takes sessions until the listener is closed.
+// accept serves connections until the listener is closed.
 func (c *Controller) accept() {
 	defer c.ended.Done()
 	for number := uint64(1); ; number++ {
@@ -61,7 +62,7 @@
 	}
 }
 
-// serve reads one session from its Hello to its end.
+// serve receives the messages of one connection, from its Hello until it is closed.
 func (c *Controller) serve(conn *transport.Conn, number uint64) {
 	defer c.ended.Done()
 	defer conn.Close()
@@ -71,17 +72,17 @@
 	defer c.untrack(conn)
 	var first fleetwire.ToController
 	if err := conn.Receive(&first); err != nil || first.Hello == nil {
-		c.logUnread("", err)
+		c.logInvalidMessage("", err)
 		return
 	}
 	if !c.leads() {
 		redirect := c.redirect()
-		redirect.Standing = c.standing()
+		redirect.Standing = c.operatorState()
 		_ = conn.Send(fleetwire.FromController{Redirect: redirect})
 		return
 	}
 	if join := first.Hello.Join; join != nil {
-		_ = conn.Send(fleetwire.FromController{Admission: c.admit(c.running, join)})
+		_ = conn.Send(fleetwire.FromController{Admission: c.admit(c.runContext, join)})
 		return
 	}
 	s := &session{conn: conn, node: first.Hello.Node, number: number, wake: make(chan struct{}, 1)}
@@ -90,12 +91,12 @@
 	}
 	defer c.unregister(s)
 	c.ended.Add(1)
-	go c.send(s, sent{version: first.Hello.Version, hello: first.Hello})
-	c.member.Post(func() {
-		c.control.newest[s.node] = max(c.control.newest[s.node], s.number)
+	go c.send(s, deliveredState{version: first.Hello.Version, hello: first.Hello})
+	c.replica.Post(func() {
+		c.control.newestSessions[s.node] = max(c.control.newestSessions[s.node], s.number)
 		if c.control.planner != nil {
 			s.mutex.Lock()
-			s.known = c.control.planner.Known(s.node)
+			s.knownInstance = c.control.planner.Known(s.node)
 			s.mutex.Unlock()
 			s.notify()
 		}
@@ -103,71 +104,73 @@
 	for {
 		var message fleetwire.ToController
 		if err := conn.Receive(&message); err != nil {
-			c.logUnread(s.node, err)
+			c.logInvalidMessage(s.node, err)
 			return
 		}
 		if message.Report != nil {
-			c.member.Post(func() { c.takeReport(s, message.Report) })
+			c.replica.Post(func() { c.handleReport(s, message.Report) })
 		}
 		if confirmed := message.Confirmed; confirmed != nil {
-			c.member.Post(func() { c.takeConfirmed(s, confirmed) })
+			c.replica.Post(func() { c.handleConfirmed(s, confirmed) })
 		}
 	}
 }
 
-// logUnread logs the end of a session that sent what can't be read: what was known
-// before holds.
-func (c *Controller) logUnread(node string, err error) {
+// logInvalidMessage logs the end of a session that sent an invalid message. What its gateway
+// reported before stays valid.
+func (c *Controller) logInvalidMessage(node string, err error) {
 	if errors.Is(err, transport.ErrDamaged) || errors.Is(err, transport.ErrFrameTooLarge) {
-		c.config.Log.Warn("session sent what cannot be read", "node", fmt.Sprintf("%.64s", node), "error", err)
+		c.config.Log.Warn("session sent an invalid message", "node", fmt.Sprintf("%.64s", node), "error", err)
 	}
 }
 
 // leads reports whether this controller may act as the leader now.
-func (c *Controller) leads() bool { return c.member.IsLeader() }
+func (c *Controller) leads() bool { return c.replica.IsLeader() }
 
 func (c *Controller) redirect() *fleetwire.Redirect {
-	return &fleetwire.Redirect{Leader: c.Leader(), Controllers: c.controllers(c.member.Status().Membership)}
+	return &fleetwire.Redirect{Leader: c.Leader(), Controllers: c.controllers(c.replica.Status().Membership)}
 }
 
-// takeReport answers a report on the control goroutine, if this controller
-// leads at this moment. What an earlier process of a gateway has sent may be read after the
-// words of the present one: it does not know what that has granted, and is passed over.
-func (c *Controller) takeReport(s *session, report *fleetwire.Report) {
-	if s.number < c.control.newest[s.node] {
+// handleReport answers a report if this controller currently leads. It runs on the control
+// goroutine. A report of an earlier process of a gateway may be read after those of the
+// current one. It is ignored, because that process doesn't know what the current one has
+// granted.
+func (c *Controller) handleReport(s *session, report *fleetwire.Report) {
+	if s.number < c.control.newestSessions[s.node] {
 		return
 	}
-	status, now := c.member.Status(), c.member.Now()
+	status, now := c.replica.Status(), c.replica.Now()
 	if c.control.planner == nil || !c.control.leadership.Leads(&status, now) {
 		return
 	}
 	c.metrics.reports.Inc()
 	lease := c.control.planner.Report(report, now)
-	// The sender sends the present view with the lease, or has sent it before.
+	// PassedOnFor applies to the current view, which the sender sends with the lease unless it
+	// has done so before.
 	lease.PassedOnFor = c.config.Configuration.ApplyWithin
 	lease.ConfigurationFor = c.control.inForce.Grant(
 		configlease.Gateway{Node: s.node, Boot: report.Boot}, report.Version, c.control.state.Version(), now)
-	lease.EndsKnown = c.takeQuarantine(report.Quarantine)
+	lease.EndsKnown = c.handleQuarantine(report.Quarantine)
 	s.mutex.Lock()
 	s.lease = lease
 	s.mutex.Unlock()
 	if len(report.Released) > 0 || report.Instance != nil && report.Instance.State != fleetwire.InstanceReady {
-		c.decide(now)
+		c.proposeMoves(now)
 	}
 	c.publish()
 	s.notify()
 }
 
-// send passes on leases and views as they change, to a gateway that has something
-// already.
-func (c *Controller) send(s *session, has sent) {
+// send sends leases and changes of the view to a gateway until the session ends. Delivered
+// is what the gateway already has.
+func (c *Controller) send(s *session, delivered deliveredState) {
 	defer c.ended.Done()
 	defer s.conn.Close()
 	for range s.wake {
 		s.mutex.Lock()
-		lease, known, ended, redirect := s.lease, s.known, s.ended, s.redirect
+		lease, knownInstance, ended, redirect := s.lease, s.knownInstance, s.ended, s.redirect
 		reportNow := s.reportNow
-		s.lease, s.known, s.reportNow = nil, nil, false
+		s.lease, s.knownInstance, s.reportNow = nil, nil, false
 		s.mutex.Unlock()
 		if ended {
 			if redirect != nil {
@@ -175,12 +178,12 @@
 			}
 			return
 		}
-		news, err := c.news(&has)
+		viewUpdate, err := c.viewUpdate(&delivered)
 		if err != nil {
-			c.config.Log.Error("view not sent", "gateway", s.node, "error", err)
+			c.config.Log.Error("packing the view failed", "gateway", s.node, "error", err)
 			return
 		}
-		message := fleetwire.FromController{Lease: lease, Known: known, ReportNow: reportNow, View: news}
+		message := fleetwire.FromController{Lease: lease, Known: knownInstance, ReportNow: reportNow, View: viewUpdate}
 		if message == (fleetwire.FromController{}) {
 			continue
 		}
@@ -191,7 +194,7 @@
 	}
 }
 
-// track notes an accepted connection, unless the controller is stopping.
+// track registers an accepted connection. It returns false if the controller is stopping.
 func (c *Controller) track(conn *transport.Conn) bool {
 	c.sessionsMutex.Lock()
 	defer c.sessionsMutex.Unlock()
@@ -208,7 +211,7 @@
 	delete(c.connections, conn)
 }
 
-// closeConnections closes what is still open and returns how many those were.
+// closeConnections closes all open connections and returns their number.
 func (c *Controller) closeConnections() int {
 	c.sessionsMutex.Lock()
 	defer c.sessionsMutex.Unlock()
@@ -235,7 +238,7 @@
 	s.end(nil)
 }
 
-// end stops a session's sender.
+// end tells a session's sender to stop, after it has sent redirect if that isn't nil.
 func (s *session) end(redirect *fleetwire.Redirect) {
 	s.mutex.Lock()
 	s.ended = true
@@ -246,15 +249,16 @@
 	s.notify()
 }
 
-// askConcerned asks the gateways for reports whose back ends' keys have changed.
-func (c *Controller) askConcerned(concerned map[string]bool) {
-	if len(concerned) == 0 {
+// requestReports requests a report from each given gateway, as the keys of its back end have
+// changed.
+func (c *Controller) requestReports(gateways map[string]bool) {
+	if len(gateways) == 0 {
 		return
 	}
 	c.sessionsMutex.Lock()
 	defer c.sessionsMutex.Unlock()
 	for s := range c.sessions {
-		if concerned[s.node] {
+		if gateways[s.node] {
 			s.mutex.Lock()
 			s.reportNow = true
 			s.mutex.Unlock()
@@ -271,7 +275,7 @@
 	}
 }
 
-// closeSessions sends all gateways elsewhere.
+// closeSessions ends all sessions with a redirect. If final is set, no new ones are accepted.
 func (c *Controller) closeSessions(final bool) {
 	redirect := c.redirect()
 	c.sessionsMutex.Lock()
--- a/internal/fleetcontroller/machine.go
+++ b/internal/fleetcontroller/statemachine.go
@@ -11,16 +11,16 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// machine fits a controller to replica.StateMachine.
-type machine struct{ c *Controller }
+// stateMachine adapts a Controller to replica.StateMachine.
+type stateMachine struct{ c *Controller }
 
 // Apply implements replica.StateMachine.
-func (m machine) Apply(index topology.Revision, command []byte) any {
+func (m stateMachine) Apply(index topology.Revision, command []byte) any {
 	before, evacuationsBefore := m.c.control.state.Version(), m.c.control.state.EvacuationsIndex()
 	quarantineBefore := *m.c.control.state.Quarantine()
 	result := m.c.control.state.Apply(uint64(index), command)
 	if result.Outcome == fleetstate.Invalid {
-		m.c.config.Log.Warn("log entry changes nothing", "index", uint64(index), "bytes", len(command), "findings", len(result.Findings), "first", fmt.Sprintf("%.256s", result.Findings.Error()))
+		m.c.config.Log.Warn("invalid log entry ignored", "index", uint64(index), "bytes", len(command), "findings", len(result.Findings), "first", fmt.Sprintf("%.256s", result.Findings.Error()))
 	}
 	if m.c.control.state.EvacuationsIndex() != evacuationsBefore {
 		m.c.config.Log.Info("evacuated zones", "zones", m.c.control.state.EvacuatedZones(), "index", uint64(index))
@@ -36,10 +36,10 @@
 }
 
 // Snapshot implements replica.StateMachine.
-func (m machine) Snapshot() ([]byte, error) { return m.c.control.state.Encode() }
+func (m stateMachine) Snapshot() ([]byte, error) { return m.c.control.state.Encode() }
 
 // Restore implements replica.StateMachine.
-func (m machine) Restore(data []byte) error { return m.c.control.state.Decode(data) }
+func (m stateMachine) Restore(data []byte) error { return m.c.control.state.Decode(data) }
 
 // controllers returns the session addresses of the members.
 func (c *Controller) controllers(members consensus.Membership) []string {
@@ -52,7 +52,7 @@
 	return addresses
 }
 
-// tick follows the replica's role and, at the leader, decides.
+// tick follows changes of the replica's role and, at the leader, does the periodic work.
 func (c *Controller) tick(now time.Duration, status consensus.Status) {
 	control := &c.control
 	duty := control.leadership.Tick(&status, now)
@@ -60,19 +60,19 @@
 		c.stepDown()
 	}
 	if duty.Announce {
-		c.announce(status.Term)
+		c.commitNoop(status.Term)
 	}
 	if !duty.Act || control.planner == nil {
 		return
 	}
-	c.decide(now)
+	c.proposeMoves(now)
 	c.reviewQuarantine(now)
 	c.publish()
-	c.acknowledge(now)
-	if now >= control.healAt {
-		control.healAt = now + healInterval
+	c.acknowledgeInForce(now)
+	if now >= control.nextMemberCheck {
+		control.nextMemberCheck = now + memberCheckInterval
 		control.inForce.Forget(now)
-		c.removeDead(status, now)
+		c.removeDeadMember(status, now)
 	}
 }
 
@@ -81,23 +81,23 @@
 		c.config.Log.Info("leadership ended")
 	}
 	c.control.planner = nil
-	c.control.quarantine = quarantineDesk{}
+	c.control.quarantine = quarantineState{}
 	c.control.inForce = nil
-	c.releaseAwaited(ErrLeadershipLost)
-	c.control.published = published{}
+	c.failPendingAcks(ErrLeadershipLost)
+	c.control.published = publishedState{}
 	c.closeSessions(false)
 }
 
-// announce proposes an empty command of the term: once it is applied, all that
-// earlier leaders committed is applied too.
-func (c *Controller) announce(term uint64) {
+// commitNoop proposes an empty command at the beginning of a term. Once it is applied, everything
+// that earlier leaders committed is applied too, and the controller begins to act as leader.
+func (c *Controller) commitNoop(term uint64) {
 	data, err := (&fleetstate.Command{}).Encode()
 	if err != nil {
 		c.control.leadership.Refused(term)
 		return
 	}
-	c.member.ProposeAsync(data, func(_ any, err error) {
-		status := c.member.Status()
+	c.replica.ProposeAsync(data, func(_ any, err error) {
+		status := c.replica.Status()
 		if err != nil {
 			c.control.leadership.Refused(term)
 			return
@@ -105,7 +105,7 @@
 		if !c.control.leadership.Announced(&status, term) {
 			return
 		}
-		now := c.member.Now()
+		now := c.replica.Now()
 		c.metrics.leaderships.Inc()
 		c.config.Log.Info("leadership begins", "term", term, "version", uint64(c.control.state.Version()), "all_started_anew", status.StartedAnew)
 		c.control.planner = keylease.New(c.config.Planner, c.control.state, status.EarlierLeasesEnd, now)
@@ -114,15 +114,15 @@
 	})
 }
 
-// decide proposes the planner's next batch.
-func (c *Controller) decide(now time.Duration) {
+// proposeMoves proposes the planner's next batch of changes of owner.
+func (c *Controller) proposeMoves(now time.Duration) {
 	planner := c.control.planner
 	batch := planner.Tick(now)
 	if batch == nil {
-		c.askConcerned(planner.Concerned())
+		c.requestReports(planner.Concerned())
 		return
 	}
-	c.metrics.moved(batch)
+	c.metrics.countMoves(batch)
 	for _, change := range batch.Changes {
 		c.config.Log.Info("keys change owner", "service", change.Service, "first", change.Keys.First, "last", change.Keys.Last,
 			"from", change.From, "to", change.To, "handover", change.Handover != "")
@@ -132,11 +132,11 @@
 		planner.BatchDone()
 		return
 	}
-	c.member.ProposeAsync(data, func(any, error) {
+	c.replica.ProposeAsync(data, func(any, error) {
 		if c.control.planner == planner {
 			planner.BatchDone()
 			c.publish()
-			c.askConcerned(planner.Concerned())
+			c.requestReports(planner.Concerned())
 		}
 	})
 }
--- a/internal/fleetcontroller/stop_test.go
+++ b/internal/fleetcontroller/stop_test.go
@@ -14,33 +14,33 @@
 	"github.com/quartzdock/quartzdock/internal/transport"
 )
 
-// stopPatience is when a Stop that has not returned counts as hanging.
-const stopPatience = 20 * time.Second
+// stopTimeout is how long Stop may take before a test considers it hanging.
+const stopTimeout = 20 * time.Second
 
-// stopped fails where Stop hangs.
-func stopped(t *testing.T, c *Controller) {
+// requireStop stops a controller and fails if Stop hangs.
+func requireStop(t *testing.T, c *Controller) {
 	t.Helper()
 	ended := make(chan error, 1)
 	go func() { ended <- c.Stop() }()
 	select {
 	case err := <-ended:
 		assert.Check(t, err)
-	case <-time.After(stopPatience):
-		t.Error("Stop hangs")
+	case <-time.After(stopTimeout):
+		t.Error("Stop has not returned in time")
 	}
 }
 
-// endlessSessions takes the sessions' own bounds away for a test, so that
-// nothing but Stop ends them.
-func endlessSessions(t *testing.T) {
+// disableSessionTimeouts disables the sessions' timeouts for a test, so that only Stop ends
+// them.
+func disableSessionTimeouts(t *testing.T) {
 	t.Helper()
 	before := sessionOptions
 	sessionOptions = transport.Options{WriteTimeout: -1, IdleTimeout: -1}
 	t.Cleanup(func() { sessionOptions = before })
 }
 
-// startAlone starts a group of one and waits until it leads.
-func startAlone(t *testing.T) *Controller {
+// startSingle starts a group of one controller and waits until it leads.
+func startSingle(t *testing.T) *Controller {
 	t.Helper()
 	c, err := Start(Config{
 		Group: 1, Name: "c1", DataDir: filepath.Join(t.TempDir(), "data"), Founding: true,
@@ -51,14 +51,14 @@
 		if c.leads() {
 			return poll.Success()
 		}
-		return poll.Continue("nobody leads")
-	}, poll.WithTimeout(stopPatience), poll.WithDelay(time.Millisecond))
+		return poll.Continue("no leader yet")
+	}, poll.WithTimeout(stopTimeout), poll.WithDelay(time.Millisecond))
 	return c
 }
 
-// served passes one end of a connection to a controller as accept does, and
-// returns the other one. Writes to either wait for a reader.
-func served(t *testing.T, c *Controller) net.Conn {
+// serveConnection passes one end of a pipe to a controller, as accept does with a connection,
+// and returns the other end. The pipe is unbuffered: writes wait for a reader.
+func serveConnection(t *testing.T, c *Controller) net.Conn {
 	t.Helper()
 	near, far := net.Pipe()
 	t.Cleanup(func() { _ = far.Close() })
@@ -67,11 +67,10 @@
 	return far
 }
 
-// A connection over which nothing has come yet, as of a gateway that was cut
-// off, does not hold Stop up.
-func TestStopEndsAConnectionThatSaysNothing(t *testing.T) {
-	endlessSessions(t)
-	c := startAlone(t)
+// A connection without a Hello, for example of a gateway that was cut off, doesn't delay Stop.
+func TestStopClosesAConnectionWithoutAHello(t *testing.T) {
+	disableSessionTimeouts(t)
+	c := startSingle(t)
 	silent, err := net.Dial("tcp", c.listener.Address())
 	assert.NilError(t, err)
 	defer silent.Close()
@@ -82,14 +81,15 @@
 	assert.NilError(t, later.Send(fleetwire.ToController{Hello: &fleetwire.Hello{Node: "g", Boot: 1}}))
 	var message fleetwire.FromController
 	assert.NilError(t, later.Receive(&message))
-	stopped(t, c)
+	requireStop(t, c)
 }
 
-// A gateway that reads nothing does not hold Stop up, which sends it elsewhere.
-func TestStopEndsASessionThatNobodyReads(t *testing.T) {
-	endlessSessions(t)
-	c := startAlone(t)
-	gateway := transport.NewConn(served(t, c), transport.Options{WriteTimeout: -1, IdleTimeout: -1})
+// A gateway that doesn't read its connection, and so not the redirect either, doesn't delay
+// Stop.
+func TestStopEndsASessionOfAGatewayThatDoesNotRead(t *testing.T) {
+	disableSessionTimeouts(t)
+	c := startSingle(t)
+	gateway := transport.NewConn(serveConnection(t, c), transport.Options{WriteTimeout: -1, IdleTimeout: -1})
 	assert.NilError(t, gateway.Send(fleetwire.ToController{Hello: &fleetwire.Hello{Node: "g", Boot: 1}}))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		c.sessionsMutex.Lock()
@@ -98,19 +98,19 @@
 			return poll.Success()
 		}
 		return poll.Continue("no session")
-	}, poll.WithTimeout(stopPatience), poll.WithDelay(time.Millisecond))
-	stopped(t, c)
+	}, poll.WithTimeout(stopTimeout), poll.WithDelay(time.Millisecond))
+	requireStop(t, c)
 }
 
-// Admissions take turns and each waits for a member that never catches up. Stop
-// ends them, however many wait.
-func TestStopEndsAdmissions(t *testing.T) {
-	c := startAlone(t)
-	// joining members that ask at once; as many turns as there are last far
-	// longer than stopPatience.
+// Admissions run one at a time, and each of these waits for a member that never catches up.
+// Stop cancels the running one and those that wait.
+func TestStopCancelsAdmissions(t *testing.T) {
+	c := startSingle(t)
+	// joining is the number of concurrent requests. One after the other, they would take far
+	// longer than stopTimeout.
 	const joining = 20
 	for i := range joining {
-		far := served(t, c)
+		far := serveConnection(t, c)
 		conn := transport.NewConn(far, transport.Options{WriteTimeout: -1, IdleTimeout: -1})
 		join := &fleetwire.Join{Incarnation: topology.Incarnation(100 + i), PeerAddress: "127.0.0.1:1"}
 		assert.NilError(t, conn.Send(fleetwire.ToController{Hello: &fleetwire.Hello{Node: "joining", Join: join}}))
@@ -120,10 +120,10 @@
 		}()
 	}
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if len(c.member.Status().Membership.Members) > 1 {
+		if len(c.replica.Status().Membership.Members) > 1 {
 			return poll.Success()
 		}
 		return poll.Continue("no learner yet")
-	}, poll.WithTimeout(stopPatience), poll.WithDelay(time.Millisecond))
-	stopped(t, c)
+	}, poll.WithTimeout(stopTimeout), poll.WithDelay(time.Millisecond))
+	requireStop(t, c)
 }
--- a/internal/fleetcontroller/supersededsession_test.go
+++ b/internal/fleetcontroller/supersededsession_test.go
@@ -11,18 +11,18 @@
 	"github.com/quartzdock/quartzdock/internal/transport"
 )
 
-// openProcess opens a session of a process of a gateway.
-func openProcess(t *testing.T, address string, boot uint64) *transport.Conn {
+// openSessionOf opens a session for the gateway process with the given boot number.
+func openSessionOf(t *testing.T, address string, boot uint64) *transport.Conn {
 	t.Helper()
-	conn, err := transport.Dial(t.Context(), address, transport.Options{WriteTimeout: time.Second, IdleTimeout: patience})
+	conn, err := transport.Dial(t.Context(), address, transport.Options{WriteTimeout: time.Second, IdleTimeout: waitTimeout})
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = conn.Close() })
 	assert.NilError(t, conn.Send(fleetwire.ToController{Hello: &fleetwire.Hello{Node: "node-1", Boot: boot}}))
 	return conn
 }
 
-// leased sends reports until one is answered with a lease, and returns that.
-func leased(t *testing.T, conn *transport.Conn, report *fleetwire.Report) *fleetwire.Lease {
+// reportUntilLeased sends a report and returns the next lease.
+func reportUntilLeased(t *testing.T, conn *transport.Conn, report *fleetwire.Report) *fleetwire.Lease {
 	t.Helper()
 	assert.NilError(t, conn.Send(fleetwire.ToController{Report: report}))
 	for {
@@ -34,32 +34,33 @@
 	}
 }
 
-// A gateway's process ended with reports unread, and the next one opened a session. Read then,
-// the former one's word that nothing is held would free what the present one has granted.
-func TestReportsOfAnEarlierProcessOfAGatewayAreNotTaken(t *testing.T) {
+// Reports of a gateway's process may still be unread when the process has ended and its
+// successor has opened a session. If the leader applied them then, a report that the back end
+// is gone and its keys are released would free keys that the new process has granted.
+func TestReportsOfAnEarlierGatewayProcessAreIgnored(t *testing.T) {
 	g := startGroup(t)
-	_, leader := g.change(changeTo(1, 0, 1))
+	_, leader := g.change(documentChange(1, 0, 1))
 	address := g.configs[leader].SessionListen
-	told := fleetwire.Instance{ID: "i-1", Service: "s", Node: "node-1", Slots: 4, State: fleetwire.InstanceReady, Sequence: 5}
-	former := openProcess(t, address, 1)
-	leased(t, former, &fleetwire.Report{Boot: 1, Instance: &told})
-	present := openProcess(t, address, 2)
-	leased(t, present, &fleetwire.Report{Boot: 2, Instance: &told})
-	over := told
-	over.State, over.Released = fleetwire.InstanceGone, true
-	assert.NilError(t, former.Send(fleetwire.ToController{Report: &fleetwire.Report{Boot: 1, Instance: &over}}))
+	ready := fleetwire.Instance{ID: "i-1", Service: "s", Node: "node-1", Slots: 4, State: fleetwire.InstanceReady, Sequence: 5}
+	former := openSessionOf(t, address, 1)
+	reportUntilLeased(t, former, &fleetwire.Report{Boot: 1, Instance: &ready})
+	current := openSessionOf(t, address, 2)
+	reportUntilLeased(t, current, &fleetwire.Report{Boot: 2, Instance: &ready})
+	gone := ready
+	gone.State, gone.Released = fleetwire.InstanceGone, true
+	assert.NilError(t, former.Send(fleetwire.ToController{Report: &fleetwire.Report{Boot: 1, Instance: &gone}}))
 	time.Sleep(shortWait)
-	// The leader tells a process that has just started what it knows.
-	next := openProcess(t, address, 3)
+	// The leader sends a process that has just started what it knows of the instance.
+	next := openSessionOf(t, address, 3)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		var message fleetwire.FromController
 		if err := next.Receive(&message); err != nil {
 			return poll.Error(err)
 		}
 		if message.Known == nil {
-			return poll.Continue("not told yet")
+			return poll.Continue("no instance received yet")
 		}
 		assert.Equal(t, message.Known.State, fleetwire.InstanceReady)
 		return poll.Success()
-	}, poll.WithTimeout(patience))
+	}, poll.WithTimeout(waitTimeout))
 }
--- a/internal/fleetstate/evacuation.go
+++ b/internal/fleetstate/evacuation.go
@@ -5,34 +5,34 @@
 	"slices"
 )
 
-// ChangeEvacuation is an operator's order that the back ends of a zone are to get
-// nothing more, or that they may again. Orders set the state whatever it was, so that
-// one whose answer was lost may be sent again.
+// ChangeEvacuation is an operator's command to start or end the evacuation of a zone, during
+// which the zone's back ends get no requests. It is idempotent, so that it can be repeated
+// if the answer was lost.
 type ChangeEvacuation struct {
 	Zone string
-	// Evacuate is false where the evacuation ends.
+	// Evacuate is true to start the evacuation and false to end it.
 	Evacuate bool
 }
 
-// evacuations are the zones that are evacuated.
+// evacuations is the set of evacuated zones.
 type evacuations struct {
-	// Since has the log index of the order by zone, and Index that of the last order
-	// that changed anything.
+	// Since holds the log index of the command that started the evacuation, by zone. Index
+	// is that of the last command that changed anything.
 	Since map[string]uint64
 	Index uint64
 }
 
-// Evacuated reports whether the back ends of a zone are to get nothing.
+// Evacuated reports whether a zone is evacuated.
 func (s *State) Evacuated(zone string) bool {
 	_, ok := s.evacuations.Since[zone]
 	return ok
 }
 
-// EvacuatedZones returns the zones that are evacuated, sorted.
+// EvacuatedZones returns the evacuated zones, sorted.
 func (s *State) EvacuatedZones() []string { return slices.Sorted(maps.Keys(s.evacuations.Since)) }
 
-// EvacuationsIndex is the log index of the last order that changed the set of
-// evacuated zones; zero is none.
+// EvacuationsIndex returns the log index of the last command that changed the set of
+// evacuated zones; zero if there has been none.
 func (s *State) EvacuationsIndex() uint64 { return s.evacuations.Index }
 
 func (s *State) changeEvacuation(index uint64, change *ChangeEvacuation) Result {
--- a/internal/fleetstate/evacuation_test.go
+++ b/internal/fleetstate/evacuation_test.go
@@ -7,45 +7,45 @@
 	"gotest.tools/v3/assert"
 )
 
-func (r *rig) evacuate(zone string, evacuate bool) fleetstate.Outcome {
-	r.t.Helper()
-	return r.apply(fleetstate.Command{Evacuation: &fleetstate.ChangeEvacuation{Zone: zone, Evacuate: evacuate}}).Outcome
+func (h *harness) evacuate(zone string, evacuate bool) fleetstate.Outcome {
+	h.t.Helper()
+	return h.apply(fleetstate.Command{Evacuation: &fleetstate.ChangeEvacuation{Zone: zone, Evacuate: evacuate}}).Outcome
 }
 
-// An order whose answer was lost is sent again, and is never refused.
-func TestAnEvacuationMayBeOrderedAgain(t *testing.T) {
-	r := newRig(t)
-	assert.Equal(t, r.evacuate("a", false), fleetstate.Repeated, "an end without a start")
-	assert.Equal(t, r.state.EvacuationsIndex(), uint64(0))
-	assert.Equal(t, r.evacuate("a", true), fleetstate.Accepted)
-	since := r.state.EvacuationsIndex()
-	assert.Equal(t, r.evacuate("a", true), fleetstate.Repeated)
-	assert.Equal(t, r.state.EvacuationsIndex(), since, "nothing has changed")
-	assert.Assert(t, r.state.Evacuated("a") && !r.state.Evacuated("b"))
-	assert.Equal(t, r.evacuate("a", false), fleetstate.Accepted)
-	assert.Assert(t, !r.state.Evacuated("a"))
-	assert.Assert(t, r.state.EvacuationsIndex() > since)
+// A command whose answer was lost is repeated, and must not be rejected.
+func TestEvacuationCommandsAreIdempotent(t *testing.T) {
+	h := newHarness(t)
+	assert.Equal(t, h.evacuate("a", false), fleetstate.Repeated, "an end without a start")
+	assert.Equal(t, h.state.EvacuationsIndex(), uint64(0))
+	assert.Equal(t, h.evacuate("a", true), fleetstate.Accepted)
+	since := h.state.EvacuationsIndex()
+	assert.Equal(t, h.evacuate("a", true), fleetstate.Repeated)
+	assert.Equal(t, h.state.EvacuationsIndex(), since, "a repeated command changes nothing")
+	assert.Assert(t, h.state.Evacuated("a") && !h.state.Evacuated("b"))
+	assert.Equal(t, h.evacuate("a", false), fleetstate.Accepted)
+	assert.Assert(t, !h.state.Evacuated("a"))
+	assert.Assert(t, h.state.EvacuationsIndex() > since)
 }
 
-func TestEvacuationsSurviveASnapshot(t *testing.T) {
-	r := newRig(t)
-	r.evacuate("b", true)
-	r.evacuate("a", true)
-	r.evacuate("c", true)
-	r.evacuate("b", false)
-	image, err := r.state.Encode()
+func TestEvacuationsAreKeptInSnapshots(t *testing.T) {
+	h := newHarness(t)
+	h.evacuate("b", true)
+	h.evacuate("a", true)
+	h.evacuate("c", true)
+	h.evacuate("b", false)
+	snapshot, err := h.state.Encode()
 	assert.NilError(t, err)
 	restored := fleetstate.New()
-	assert.NilError(t, restored.Decode(image))
+	assert.NilError(t, restored.Decode(snapshot))
 	assert.DeepEqual(t, restored.EvacuatedZones(), []string{"a", "c"})
-	assert.Equal(t, restored.EvacuationsIndex(), r.state.EvacuationsIndex())
+	assert.Equal(t, restored.EvacuationsIndex(), h.state.EvacuationsIndex())
 }
 
-// A snapshot in which no zone is evacuated can be built on.
-func TestAnEvacuationFollowsAnEmptySnapshot(t *testing.T) {
-	r := newRig(t)
-	image, err := r.state.Encode()
+// Gob omits empty maps, so a snapshot without evacuated zones must not leave a nil map behind.
+func TestEvacuationAfterRestoringAnEmptySnapshot(t *testing.T) {
+	h := newHarness(t)
+	snapshot, err := h.state.Encode()
 	assert.NilError(t, err)
-	assert.NilError(t, r.state.Decode(image))
-	assert.Equal(t, r.evacuate("a", true), fleetstate.Accepted)
+	assert.NilError(t, h.state.Decode(snapshot))
+	assert.Equal(t, h.evacuate("a", true), fleetstate.Accepted)
 }
--- a/internal/fleetstate/fuzz_test.go
+++ b/internal/fleetstate/fuzz_test.go
@@ -10,25 +10,26 @@
 	"github.com/quartzdock/quartzdock/internal/routeconfig"
 )
 
-// checkState reports a state that no log makes.
+// checkState fails unless the owners cover every key exactly once, with fences up to the index
+// of the last change.
 func checkState(t *testing.T, state *fleetstate.State) {
 	t.Helper()
 	for service, owners := range state.AllOwners() {
 		next := keyspace.Key(0)
 		for _, assignment := range owners.All() {
 			if assignment.First != next || assignment.Last < assignment.First || uint64(assignment.Fence) > state.OwnersIndex() {
-				t.Fatalf("%q: %+v, expected from %d", service, assignment, next)
+				t.Fatalf("owners of %q: got %+v, want a range that starts at %d", service, assignment, next)
 			}
 			next = assignment.Last + 1
 		}
 		if next != keyspace.LastKey+1 {
-			t.Fatalf("%q: owners end at %d", service, next)
+			t.Fatalf("owners of %q end before key %d", service, next)
 		}
 	}
 }
 
-// sameState reports states that differ.
-func sameState(t *testing.T, got, want *fleetstate.State) {
+// requireEqualStates fails if two states differ.
+func requireEqualStates(t *testing.T, got, want *fleetstate.State) {
 	t.Helper()
 	assert.DeepEqual(t, got.Document(), want.Document())
 	assert.DeepEqual(t, got.AllOwners(), want.AllOwners())
@@ -37,19 +38,19 @@
 	assert.Equal(t, got.EvacuationsIndex(), want.EvacuationsIndex())
 }
 
-// Whatever the bytes are, decoding them gives an error and leaves the state, or gives one
-// that a log makes and that Encode gives back.
+// On any input, Decode either returns an error and leaves the state unchanged, or yields a
+// consistent state that another round of Encode and Decode reproduces.
 func FuzzDecode(f *testing.F) {
-	whole := image{OwnersIndex: 9, Owners: owners(assigned(0, 99, 4), assigned(100, keyspace.LastKey, 9)), Document: document(5)}
-	whole.Evacuations.Index, whole.Evacuations.Since = 4, map[string]uint64{"b": 4}
-	valid := encoded(f, whole)
+	snapshot := image{OwnersIndex: 9, Owners: owners(assigned(0, 99, 4), assigned(100, keyspace.LastKey, 9)), Document: document(5)}
+	snapshot.Evacuations.Index, snapshot.Evacuations.Since = 4, map[string]uint64{"b": 4}
+	valid := encoded(f, snapshot)
 	f.Add(valid)
 	f.Add(valid[:len(valid)/2])
 	f.Add([]byte(nil))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		state := fleetstate.New()
 		if err := state.Decode(data); err != nil {
-			sameState(t, state, fleetstate.New())
+			requireEqualStates(t, state, fleetstate.New())
 			return
 		}
 		checkState(t, state)
@@ -57,12 +58,12 @@
 		assert.NilError(t, err)
 		copied := fleetstate.New()
 		assert.NilError(t, copied.Decode(again))
-		sameState(t, copied, state)
+		requireEqualStates(t, copied, state)
 	})
 }
 
-// Whatever the bytes of a log entry are, applying them ends, the same at every replica,
-// in a state that a well-formed entry makes.
+// Applying any data of a log entry returns, gives the same state at every replica, and
+// leaves the state consistent.
 func FuzzApply(f *testing.F) {
 	for _, command := range []fleetstate.Command{
 		{Configuration: &fleetstate.ChangeConfiguration{Digest: fleetstate.Digest{2}, Base: 5, Document: document(9)}},
@@ -85,15 +86,15 @@
 			state.Apply(2, data)
 		}
 		checkState(t, one)
-		sameState(t, one, other)
+		requireEqualStates(t, one, other)
 		if version := one.Version(); version < 5 {
-			t.Fatalf("version %d", version)
+			t.Fatalf("version fell to %d", version)
 		}
 		for _, route := range one.Document().Routes {
 			if route.Timeout <= 0 {
-				t.Fatalf("%+v", route)
+				t.Fatalf("route without a timeout: %+v", route)
 			}
 		}
-		_ = fleetstate.IsOperators(data)
+		_ = fleetstate.IsOperatorCommand(data)
 	})
 }
--- a/internal/fleetstate/state.go
+++ b/internal/fleetstate/state.go
@@ -4,19 +4,19 @@
 //
 // # Changes of the configuration
 //
-// Each carries a digest of its content and the version that it builds on.
+// Each change carries a digest of its content and the version that it is based on.
 // Apply checks in this order:
 //
-//  1. A change that was accepted before gets the first answer again, however
-//     late it is sent again.
-//  2. The version it builds on must be the current one, so that of changes
-//     made on the same version exactly one is accepted.
+//  1. A change that has been accepted before gets the same answer again, however
+//     late it is repeated.
+//  2. The base version must be the current one, so that of several changes based
+//     on the same version exactly one is accepted.
 //  3. The whole resulting document is validated; every finding is reported.
 //
 // # Ownership
 //
 // The fence of an owner is the index of the log entry that made it the owner,
-// and so is above all earlier ones.
+// and is therefore higher than all earlier fences.
 package fleetstate
 
 import (
@@ -37,9 +37,9 @@
 // ChangeConfiguration replaces the document, or patches it.
 type ChangeConfiguration struct {
 	Digest Digest
-	// Base is the version that the change builds on.
+	// Base is the version that the change is based on.
 	Base routeconfig.Version
-	// One of the two is set.
+	// Exactly one of Document and Patch is set.
 	Document *routeconfig.Document
 	Patch    *routeconfig.Patch
 }
@@ -49,17 +49,19 @@
 	Service  string
 	Keys     keyspace.Range
 	From, To string
-	// Node is the gateway beside To, and Boot its process.
-	Node     string
-	Boot     uint64
+	// Node is the local gateway of To, and Boot identifies the gateway's process.
+	Node string
+	Boot uint64
+	// Handover is the data that the previous owner left for To.
 	Handover string
 }
 
-// ChangeOwnership is a batch of changes. One that does not fit the state is
-// skipped.
+// ChangeOwnership is a batch of changes. Changes that don't match the current owners
+// are skipped.
 type ChangeOwnership struct{ Changes []OwnershipChange }
 
-// Command is one entry of the log; one of the pointers is set.
+// Command is the content of a log entry. At most one pointer is set; a command with none
+// changes nothing.
 type Command struct {
 	Configuration *ChangeConfiguration
 	Ownership     *ChangeOwnership
@@ -67,7 +69,7 @@
 	Quarantine    *quarantine.Change
 }
 
-// Encode returns the log entry of a command.
+// Encode returns the command as the data of a log entry.
 func (c *Command) Encode() ([]byte, error) {
 	var buffer bytes.Buffer
 	if err := gob.NewEncoder(&buffer).Encode(c); err != nil {
@@ -76,49 +78,51 @@
 	return buffer.Bytes(), nil
 }
 
-// IsOperators reports whether a log entry holds what an operator ordered, or can't be read.
-func IsOperators(data []byte) bool {
+// IsOperatorCommand reports whether a log entry holds a command of an operator or can't be
+// decoded.
+func IsOperatorCommand(data []byte) bool {
 	var command Command
 	err := gob.NewDecoder(bytes.NewReader(data)).Decode(&command)
 	return err != nil || command.Configuration != nil || command.Evacuation != nil
 }
 
-// Outcome of a change of the configuration.
+// Outcome is the outcome of a command.
 type Outcome uint8
 
 // Outcomes.
 const (
-	// Accepted: the change is in the state.
+	// Accepted means that the change has been applied.
 	Accepted Outcome = iota + 1
-	// Repeated: the change had been accepted before.
+	// Repeated means that the change had already been applied.
 	Repeated
-	// Conflict: the change builds on a version that is not the current one.
+	// Conflict means that the change is based on a version other than the current one.
 	Conflict
-	// Invalid: the findings say why.
+	// Invalid means that the change was rejected for the reasons in Findings.
 	Invalid
 )
 
-// outcomeNames are the words of logs and metrics.
+// outcomeNames are the names used in logs and metrics.
 var outcomeNames = map[Outcome]string{Accepted: "accepted", Repeated: "repeated", Conflict: "conflict", Invalid: "invalid"}
 
 // String implements fmt.Stringer.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Result of a command.
+// Result is the result of a command.
 type Result struct {
 	Outcome  Outcome
 	Current  routeconfig.Version
 	Findings routeconfig.Findings
 }
 
-// InState says that the change is in the state, since now or before.
-func (r Result) InState() bool { return r.Outcome == Accepted || r.Outcome == Repeated }
+// Applied reports whether the change is in the state, as a result of this command or an
+// earlier one.
+func (r Result) Applied() bool { return r.Outcome == Accepted || r.Outcome == Repeated }
 
-// State of a fleet. It is not safe for concurrent use. What its methods return
-// must not be changed and does not change later.
+// State is the state of a fleet. It is not safe for concurrent use. The values that its
+// methods return are immutable.
 type State struct {
 	document *routeconfig.Document
-	// accepted has every accepted change with the version that it made.
+	// accepted maps the digest of every accepted change to the version that it created.
 	accepted map[Digest]routeconfig.Version
 	owners   map[string]*keyspace.Map
 	// ownersIndex is the log index of the last change of an owner.
@@ -136,10 +140,10 @@
 	}
 }
 
-// Document returns the current configuration; nil before the first.
+// Document returns the current configuration; nil if there has been none.
 func (s *State) Document() *routeconfig.Document { return s.document }
 
-// Version returns that of the current configuration; zero before the first.
+// Version returns the version of the current configuration; zero if there has been none.
 func (s *State) Version() routeconfig.Version {
 	if s.document == nil {
 		return 0
@@ -155,10 +159,10 @@
 	return &keyspace.Map{}
 }
 
-// OwnersIndex is the log index of the last change of an owner.
+// OwnersIndex returns the log index of the last change of an owner.
 func (s *State) OwnersIndex() uint64 { return s.ownersIndex }
 
-// AllOwners returns the owners of the keys of every service that has any.
+// AllOwners returns the owners of keys by service, for every service that has any.
 func (s *State) AllOwners() map[string]*keyspace.Map {
 	all := make(map[string]*keyspace.Map, len(s.owners))
 	for service, owners := range s.owners {
@@ -167,7 +171,7 @@
 	return all
 }
 
-// Apply runs the command of a log entry.
+// Apply applies the command in the data of a log entry.
 func (s *State) Apply(index uint64, data []byte) Result {
 	var command Command
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&command); err != nil {
@@ -186,7 +190,7 @@
 	return Result{Outcome: Accepted, Current: s.Version()}
 }
 
-// Check returns what Apply would answer to a change now.
+// Check returns the result that Apply would return for a change now, without applying it.
 func (s *State) Check(change *ChangeConfiguration) Result {
 	_, result := s.evaluate(change)
 	return result
@@ -231,10 +235,10 @@
 			continue
 		}
 		owners := &keyspace.Map{Assignments: s.Owners(change.Service).Assignments}
-		given := keyspace.Assignment{
+		assignment := keyspace.Assignment{
 			Range: change.Keys, Owner: change.To, Node: change.Node, Boot: change.Boot, Fence: keyspace.Fence(index), Handover: change.Handover,
 		}
-		if owners.Assign(change.From, given) {
+		if owners.Assign(change.From, assignment) {
 			s.owners[change.Service] = owners
 			s.ownersIndex = index
 		}
@@ -242,7 +246,7 @@
 	return Result{Outcome: Accepted, Current: s.Version()}
 }
 
-// image is what a snapshot holds.
+// image is the content of a snapshot.
 type image struct {
 	Document    *routeconfig.Document
 	Accepted    map[Digest]routeconfig.Version
@@ -252,60 +256,62 @@
 	Quarantine  quarantine.Set
 }
 
-// check refuses what no log makes: owners with a gap, or of a later fence.
+// check rejects content that no sequence of log entries produces: owners that leave gaps or
+// overlap, or a fence above the index of the last change.
 func (i *image) check() error {
 	for service, owners := range i.Owners {
 		if !owners.Covers() {
-			return fmt.Errorf("owners of %.64q do not cover the keys once", service)
+			return fmt.Errorf("owners of %.64q do not cover every key exactly once", service)
 		}
 		for _, assignment := range owners.All() {
 			if uint64(assignment.Fence) > i.OwnersIndex {
-				return fmt.Errorf("owners of %.64q: fence %d above index %d", service, assignment.Fence, i.OwnersIndex)
+				return fmt.Errorf("owners of %.64q: fence %d is above the log index %d of the last change", service, assignment.Fence, i.OwnersIndex)
 			}
 		}
 	}
 	return i.Quarantine.Check()
 }
 
-// Encode returns the whole state as bytes.
+// Encode returns a snapshot of the state.
 func (s *State) Encode() ([]byte, error) {
 	var buffer bytes.Buffer
-	whole := image{s.document, s.accepted, s.owners, s.ownersIndex, s.evacuations, s.quarantine}
-	if err := gob.NewEncoder(&buffer).Encode(whole); err != nil {
+	snapshot := image{s.document, s.accepted, s.owners, s.ownersIndex, s.evacuations, s.quarantine}
+	if err := gob.NewEncoder(&buffer).Encode(snapshot); err != nil {
 		return nil, fmt.Errorf("encode fleet state: %w", err)
 	}
 	return buffer.Bytes(), nil
 }
 
-// Decode replaces the state by an encoded one.
+// Decode replaces the state with that of a snapshot. If it returns an error, the state is
+// unchanged.
 func (s *State) Decode(data []byte) error {
-	var whole image
+	var snapshot image
 	if err := gobcheck.Whole(data); err != nil {
 		return fmt.Errorf("decode fleet state: %w", err)
 	}
 	source := bytes.NewReader(data)
-	if err := gob.NewDecoder(source).Decode(&whole); err != nil {
+	if err := gob.NewDecoder(source).Decode(&snapshot); err != nil {
 		return fmt.Errorf("decode fleet state: %w", err)
 	}
 	if source.Len() > 0 {
-		return fmt.Errorf("decode fleet state: %d bytes behind it", source.Len())
+		return fmt.Errorf("decode fleet state: %d bytes of trailing data", source.Len())
 	}
-	if err := whole.check(); err != nil {
+	if err := snapshot.check(); err != nil {
 		return fmt.Errorf("decode fleet state: %w", err)
 	}
 	fresh := New()
-	fresh.document, fresh.ownersIndex = whole.Document, whole.OwnersIndex
-	if whole.Accepted != nil {
-		fresh.accepted = whole.Accepted
+	fresh.document, fresh.ownersIndex = snapshot.Document, snapshot.OwnersIndex
+	if snapshot.Accepted != nil {
+		fresh.accepted = snapshot.Accepted
 	}
-	if whole.Owners != nil {
-		fresh.owners = whole.Owners
+	if snapshot.Owners != nil {
+		fresh.owners = snapshot.Owners
 	}
-	fresh.evacuations.Index = whole.Evacuations.Index
-	if whole.Evacuations.Since != nil {
-		fresh.evacuations.Since = whole.Evacuations.Since
+	fresh.evacuations.Index = snapshot.Evacuations.Index
+	if snapshot.Evacuations.Since != nil {
+		fresh.evacuations.Since = snapshot.Evacuations.Since
 	}
-	fresh.quarantine = whole.Quarantine
+	fresh.quarantine = snapshot.Quarantine
 	*s = *fresh
 	return nil
 }
--- a/internal/fleetstate/state_test.go
+++ b/internal/fleetstate/state_test.go
@@ -21,96 +21,96 @@
 	}
 }
 
-// rig applies commands as the log does.
-type rig struct {
+// harness applies commands to a state at increasing log indexes.
+type harness struct {
 	t     *testing.T
 	state *fleetstate.State
 	index uint64
 }
 
-func newRig(t *testing.T) *rig { return &rig{t: t, state: fleetstate.New()} }
+func newHarness(t *testing.T) *harness { return &harness{t: t, state: fleetstate.New()} }
 
-func (r *rig) apply(command fleetstate.Command) fleetstate.Result {
-	r.t.Helper()
+func (h *harness) apply(command fleetstate.Command) fleetstate.Result {
+	h.t.Helper()
 	data, err := command.Encode()
-	assert.NilError(r.t, err)
-	r.index++
-	return r.state.Apply(r.index, data)
+	assert.NilError(h.t, err)
+	h.index++
+	return h.state.Apply(h.index, data)
 }
 
-func (r *rig) put(digest byte, base routeconfig.Version, document *routeconfig.Document) fleetstate.Result {
-	r.t.Helper()
-	return r.apply(fleetstate.Command{Configuration: &fleetstate.ChangeConfiguration{
+func (h *harness) put(digest byte, base routeconfig.Version, document *routeconfig.Document) fleetstate.Result {
+	h.t.Helper()
+	return h.apply(fleetstate.Command{Configuration: &fleetstate.ChangeConfiguration{
 		Digest: fleetstate.Digest{digest}, Base: base, Document: document,
 	}})
 }
 
-func TestOfChangesOnTheSameVersionOneIsAccepted(t *testing.T) {
-	r := newRig(t)
-	assert.Equal(t, r.put(1, 0, document(5)).Outcome, fleetstate.Accepted)
-	assert.Equal(t, r.put(2, 5, document(7)).Outcome, fleetstate.Accepted)
-	lost := r.put(3, 5, document(7))
-	assert.Equal(t, lost.Outcome, fleetstate.Conflict)
-	assert.Equal(t, lost.Current, routeconfig.Version(7))
+func TestOnlyOneOfTwoChangesOnTheSameBaseIsAccepted(t *testing.T) {
+	h := newHarness(t)
+	assert.Equal(t, h.put(1, 0, document(5)).Outcome, fleetstate.Accepted)
+	assert.Equal(t, h.put(2, 5, document(7)).Outcome, fleetstate.Accepted)
+	second := h.put(3, 5, document(7))
+	assert.Equal(t, second.Outcome, fleetstate.Conflict)
+	assert.Equal(t, second.Current, routeconfig.Version(7))
 }
 
-// A change whose answer was lost is sent again, perhaps after others.
-func TestAnAcceptedChangeIsNeverRefusedLater(t *testing.T) {
-	r := newRig(t)
-	assert.Equal(t, r.put(1, 0, document(5)).Outcome, fleetstate.Accepted)
-	assert.Equal(t, r.put(1, 0, document(5)).Outcome, fleetstate.Repeated)
-	assert.Equal(t, r.put(2, 5, document(7)).Outcome, fleetstate.Accepted)
-	assert.Equal(t, r.put(1, 0, document(5)).Outcome, fleetstate.Repeated)
-	assert.Equal(t, r.state.Version(), routeconfig.Version(7), "and does not come into force again")
+// A change whose answer was lost may be repeated, even after later changes.
+func TestRepeatOfAnAcceptedChangeIsAcknowledged(t *testing.T) {
+	h := newHarness(t)
+	assert.Equal(t, h.put(1, 0, document(5)).Outcome, fleetstate.Accepted)
+	assert.Equal(t, h.put(1, 0, document(5)).Outcome, fleetstate.Repeated)
+	assert.Equal(t, h.put(2, 5, document(7)).Outcome, fleetstate.Accepted)
+	assert.Equal(t, h.put(1, 0, document(5)).Outcome, fleetstate.Repeated)
+	assert.Equal(t, h.state.Version(), routeconfig.Version(7), "the repeated change is not applied again")
 }
 
-func TestAnInvalidChangeChangesNothing(t *testing.T) {
-	r := newRig(t)
-	assert.Equal(t, r.put(1, 0, document(5)).Outcome, fleetstate.Accepted)
+func TestInvalidChangeLeavesTheStateUnchanged(t *testing.T) {
+	h := newHarness(t)
+	assert.Equal(t, h.put(1, 0, document(5)).Outcome, fleetstate.Accepted)
 	broken := document(9)
 	broken.Routes[0].Timeout = 0
 	broken.Routes[0].Destinations[0].Service = "unknown"
-	refused := r.put(2, 5, broken)
+	refused := h.put(2, 5, broken)
 	assert.Equal(t, refused.Outcome, fleetstate.Invalid)
 	assert.Equal(t, len(refused.Findings), 2, "%v", refused.Findings)
-	assert.Equal(t, r.put(3, 5, document(5)).Outcome, fleetstate.Invalid, "the version must rise")
-	assert.Equal(t, r.state.Version(), routeconfig.Version(5))
+	assert.Equal(t, h.put(3, 5, document(5)).Outcome, fleetstate.Invalid, "the version must increase")
+	assert.Equal(t, h.state.Version(), routeconfig.Version(5))
 }
 
-func TestAPatchIsValidatedAsAWhole(t *testing.T) {
-	r := newRig(t)
-	assert.Equal(t, r.put(1, 0, document(5)).Outcome, fleetstate.Accepted)
+func TestPatchedDocumentIsValidated(t *testing.T) {
+	h := newHarness(t)
+	assert.Equal(t, h.put(1, 0, document(5)).Outcome, fleetstate.Accepted)
 	patch := func(digest byte, p routeconfig.Patch) fleetstate.Result {
-		return r.apply(fleetstate.Command{Configuration: &fleetstate.ChangeConfiguration{Digest: fleetstate.Digest{digest}, Base: 5, Patch: &p}})
+		return h.apply(fleetstate.Command{Configuration: &fleetstate.ChangeConfiguration{Digest: fleetstate.Digest{digest}, Base: 5, Patch: &p}})
 	}
 	assert.Equal(t, patch(2, routeconfig.Patch{Version: 6, RemoveServices: []string{"keyed"}}).Outcome, fleetstate.Invalid)
 	assert.Equal(t, patch(3, routeconfig.Patch{Version: 6, RemoveRoutes: []string{"r"}}).Outcome, fleetstate.Accepted)
-	assert.Equal(t, len(r.state.Document().Routes), 0)
+	assert.Equal(t, len(h.state.Document().Routes), 0)
 }
 
-func TestFencesAreLogIndexesAndSurviveASnapshot(t *testing.T) {
-	r := newRig(t)
+func TestFencesIncreaseAndAreKeptInSnapshots(t *testing.T) {
+	h := newHarness(t)
 	all := keyspace.Range{First: 0, Last: keyspace.LastKey}
 	change := func(from, to string) {
-		r.apply(fleetstate.Command{Ownership: &fleetstate.ChangeOwnership{Changes: []fleetstate.OwnershipChange{
+		h.apply(fleetstate.Command{Ownership: &fleetstate.ChangeOwnership{Changes: []fleetstate.OwnershipChange{
 			{Service: "keyed", Keys: all, From: from, To: to},
 		}}})
 	}
 	change("", "a")
-	first := r.state.Owners("keyed").Find(7)
+	first := h.state.Owners("keyed").Find(7)
 	change("x", "b")
-	assert.Equal(t, r.state.Owners("keyed").Find(7), first, "a change that does not fit is skipped")
+	assert.Equal(t, h.state.Owners("keyed").Find(7), first, "a change from another owner is skipped")
 	change("a", "b")
-	second := r.state.Owners("keyed").Find(7)
+	second := h.state.Owners("keyed").Find(7)
 	assert.Equal(t, second.Owner, "b")
 	assert.Assert(t, second.Fence > first.Fence)
-	r.put(1, 0, document(5))
-	image, err := r.state.Encode()
+	h.put(1, 0, document(5))
+	snapshot, err := h.state.Encode()
 	assert.NilError(t, err)
 	restored := fleetstate.New()
-	assert.NilError(t, restored.Decode(image))
-	assert.DeepEqual(t, restored.Owners("keyed"), r.state.Owners("keyed"))
-	assert.Equal(t, restored.OwnersIndex(), r.state.OwnersIndex())
-	change1 := fleetstate.ChangeConfiguration{Digest: fleetstate.Digest{1}}
-	assert.Equal(t, restored.Check(&change1).Outcome, fleetstate.Repeated)
+	assert.NilError(t, restored.Decode(snapshot))
+	assert.DeepEqual(t, restored.Owners("keyed"), h.state.Owners("keyed"))
+	assert.Equal(t, restored.OwnersIndex(), h.state.OwnersIndex())
+	repeated := fleetstate.ChangeConfiguration{Digest: fleetstate.Digest{1}}
+	assert.Equal(t, restored.Check(&repeated).Outcome, fleetstate.Repeated)
 }
