--- a/internal/fleetview/fleetview_test.go
+++ b/internal/fleetview/fleetview_test.go
@@ -12,9 +12,9 @@
 	"github.com/quartzdock/quartzdock/internal/keyspace"
 )
 
-// Whatever changes, a gateway that applies the changes has what the leader has,
-// and both digests are alike.
-func TestChangesMakeTheSameInstances(t *testing.T) {
+// After any sequence of changes, a gateway that applies them has the same set as the leader,
+// with the same digest.
+func TestApplyingChangesReproducesInstances(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	all := map[int]fleetwire.Instance{}
 	var before, gateway fleetview.Instances
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestChangesMakeTheSameOwners(t *testing.T) {
+func TestApplyingChangesReproducesOwners(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 2))
 	owned := &keyspace.Map{}
 	var before, gateway fleetview.Owners
@@ -53,8 +53,8 @@
 			at := next.Find(keyspace.Key(random.IntN(1 << 16)))
 			first := at.First + keyspace.Key(random.IntN(at.Size()))
 			last := first + keyspace.Key(random.IntN(int(at.Last-first)+1))
-			given := keyspace.Assignment{Range: keyspace.Range{First: first, Last: last}, Owner: fmt.Sprint("i-", random.IntN(9)), Fence: at.Fence + 1}
-			assert.Assert(t, next.Assign(at.Owner, given))
+			assigned := keyspace.Assignment{Range: keyspace.Range{First: first, Last: last}, Owner: fmt.Sprint("i-", random.IntN(9)), Fence: at.Fence + 1}
+			assert.Assert(t, next.Assign(at.Owner, assigned))
 		}
 		owned = next
 		after := fleetview.NewOwners(map[string]*keyspace.Map{"keyed": owned, "other": {}})
@@ -72,8 +72,8 @@
 	}
 }
 
-// A word that was lost shows in the digest.
-func TestADigestTellsSetsApart(t *testing.T) {
+// A gateway that has missed a change detects it by the digest.
+func TestDigestsOfDifferentSetsDiffer(t *testing.T) {
 	one := fleetview.NewInstances([]fleetwire.Instance{{ID: "a", State: fleetwire.InstanceReady}})
 	for _, other := range []fleetview.Instances{
 		nil,
@@ -85,8 +85,9 @@
 	}
 }
 
-// large is a fleet of the size that the users run.
-func large() (fleetview.Instances, fleetview.Instances, fleetview.Owners, fleetview.Owners) {
+// largeFleet returns sets of the size that the users' fleets have, before and after one change
+// each.
+func largeFleet() (fleetview.Instances, fleetview.Instances, fleetview.Owners, fleetview.Owners) {
 	var list []fleetwire.Instance
 	owned := &keyspace.Map{}
 	for i := range 287 {
@@ -107,21 +108,22 @@
 	return before, after, earlier, fleetview.NewOwners(map[string]*keyspace.Map{"keyed": next})
 }
 
-// What one change costs on the wire doesn't grow with the fleet.
+// The size of one change on the wire doesn't grow with the fleet.
 func TestOneChangeIsSmall(t *testing.T) {
-	const most = 700
-	before, after, earlier, next := large()
+	const maxSize = 700
+	before, after, earlier, next := largeFleet()
 	instances, err := fleetwire.Pack(after.ChangesFrom(before))
 	assert.NilError(t, err)
 	owners, err := fleetwire.Pack(next.ChangesFrom(earlier))
 	assert.NilError(t, err)
 	whole, err := fleetwire.Pack(after.Snapshot())
 	assert.NilError(t, err)
-	assert.Assert(t, len(instances) < most && len(owners) < most && len(whole) > 4*most, "%d and %d bytes, whole %d", len(instances), len(owners), len(whole))
+	assert.Assert(t, len(instances) < maxSize && len(owners) < maxSize && len(whole) > 4*maxSize,
+		"changes of %d and %d bytes, snapshot of %d", len(instances), len(owners), len(whole))
 }
 
 func BenchmarkChanges(b *testing.B) {
-	before, after, earlier, next := large()
+	before, after, earlier, next := largeFleet()
 	for b.Loop() {
 		_ = before.Apply(after.ChangesFrom(before)).Digest()
 		_ = earlier.Apply(next.ChangesFrom(earlier)).Digest()
--- a/internal/fleetview/hash.go
+++ b/internal/fleetview/hash.go
@@ -5,20 +5,21 @@
 	"hash/fnv"
 )
 
-// entry is one entry of a set as bytes, for its part of the digest.
+// entry is the serialized form of one element of a set, from which the element's part of
+// the digest is computed.
 type entry []byte
 
-// text adds a text with its length.
-func (e *entry) text(text string) {
-	e.number(uint64(len(text)))
+// appendString appends a string, prefixed with its length.
+func (e *entry) appendString(text string) {
+	e.appendUint(uint64(len(text)))
 	*e = append(*e, text...)
 }
 
-// number adds a number.
-func (e *entry) number(number uint64) { *e = binary.AppendUvarint(*e, number) }
+// appendUint appends a number as a varint.
+func (e *entry) appendUint(number uint64) { *e = binary.AppendUvarint(*e, number) }
 
-// sum is the entry's part of a digest: FNV-1a of 64 bits, which all processes
-// compute alike.
+// sum returns the element's part of a digest: 64-bit FNV-1a, which, unlike hash/maphash,
+// gives the same result in all processes.
 func (e *entry) sum() uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write(*e)
--- a/internal/fleetview/instances.go
+++ b/internal/fleetview/instances.go
@@ -1,7 +1,8 @@
-// Package fleetview has what every gateway knows of the fleet, as sets that
-// travel as changes: the instances, and the owners of keys. A leader works out the
-// changes between two sets once for all gateways that have the earlier one; a
-// digest proves that both sides have the same. It is pure, and sets never change.
+// Package fleetview holds the sets that every gateway has of the fleet, the instances and the
+// owners of keys, and computes and applies the changes between two versions of a set. The
+// leader computes such changes once for all gateways that have the earlier version. A digest
+// shows whether leader and gateway have the same set. The package is pure, and sets are
+// immutable.
 package fleetview
 
 import (
@@ -12,11 +13,11 @@
 	"github.com/quartzdock/quartzdock/internal/fleetwire"
 )
 
-// Instances are the instances of a fleet by their IDs.
+// Instances holds the instances of a fleet by ID.
 type Instances map[string]fleetwire.Instance
 
-// NewInstances returns the set of some instances, without what no gateway routes
-// by.
+// NewInstances returns the set of the given instances, without the fields that gateways
+// don't need for routing.
 func NewInstances(all []fleetwire.Instance) Instances {
 	set := make(Instances, len(all))
 	for _, instance := range all {
@@ -26,17 +27,17 @@
 	return set
 }
 
-// Sorted returns the instances in the order of their IDs.
+// Sorted returns the instances ordered by ID.
 func (i Instances) Sorted() []fleetwire.Instance {
 	return slices.SortedFunc(maps.Values(i), byID)
 }
 
-// Snapshot returns changes that make the set of nothing.
+// Snapshot returns changes that build the whole set.
 func (i Instances) Snapshot() *fleetwire.InstanceChanges {
 	return &fleetwire.InstanceChanges{Snapshot: true, Changed: i.Sorted()}
 }
 
-// ChangesFrom returns what makes this set of an earlier one.
+// ChangesFrom returns the changes that turn an earlier set into this one.
 func (i Instances) ChangesFrom(before Instances) *fleetwire.InstanceChanges {
 	changes := &fleetwire.InstanceChanges{}
 	for id, instance := range i {
@@ -56,7 +57,7 @@
 
 func byID(a, b fleetwire.Instance) int { return cmp.Compare(a.ID, b.ID) }
 
-// Apply returns the set that changes make of this one.
+// Apply returns the set that results from applying changes to this one.
 func (i Instances) Apply(changes *fleetwire.InstanceChanges) Instances {
 	after := make(Instances, len(i)+len(changes.Changed))
 	if !changes.Snapshot {
@@ -71,23 +72,23 @@
 	return after
 }
 
-// Digest is alike for equal sets.
+// Digest returns a hash of the set that doesn't depend on the order of its elements.
 func (i Instances) Digest() uint64 {
 	var sum uint64
-	var one entry
+	var element entry
 	for _, instance := range i {
-		one = one[:0]
+		element = element[:0]
 		for _, text := range []string{instance.ID, instance.Service, instance.Node, instance.Address, instance.Zone} {
-			one.text(text)
+			element.appendString(text)
 		}
-		one.number(uint64(instance.Slots)<<8 | uint64(instance.State))
+		element.appendUint(uint64(instance.Slots)<<8 | uint64(instance.State))
 		if instance.Leaving {
-			one.number(1)
+			element.appendUint(1)
 		}
 		if instance.Cold {
-			one.number(2)
+			element.appendUint(2)
 		}
-		sum += one.sum()
+		sum += element.sum()
 	}
 	return sum
 }
--- a/internal/fleetview/owners.go
+++ b/internal/fleetview/owners.go
@@ -9,10 +9,11 @@
 	"github.com/quartzdock/quartzdock/internal/keyspace"
 )
 
-// Owners are the owners of keys by service.
+// Owners holds the owners of keys by service.
 type Owners map[string]*keyspace.Map
 
-// NewOwners returns the set of some owners, without what no gateway routes by.
+// NewOwners returns the set of the given owners, without the fields that gateways don't need
+// for routing.
 func NewOwners(all map[string]*keyspace.Map) Owners {
 	set := make(Owners, len(all))
 	for service, owners := range all {
@@ -25,14 +26,14 @@
 	return set
 }
 
-// Snapshot returns changes that make the set of nothing.
+// Snapshot returns changes that build the whole set.
 func (o Owners) Snapshot() *fleetwire.OwnerChanges {
 	changes := o.ChangesFrom(nil)
 	changes.Snapshot = true
 	return changes
 }
 
-// ChangesFrom returns what makes this set of an earlier one.
+// ChangesFrom returns the changes that turn an earlier set into this one.
 func (o Owners) ChangesFrom(before Owners) *fleetwire.OwnerChanges {
 	changes := &fleetwire.OwnerChanges{}
 	for _, service := range slices.Sorted(maps.Keys(o)) {
@@ -50,7 +51,7 @@
 	return changes
 }
 
-// Apply returns the set that changes make of this one.
+// Apply returns the set that results from applying changes to this one.
 func (o Owners) Apply(changes *fleetwire.OwnerChanges) Owners {
 	after := make(Owners, len(o)+len(changes.Services))
 	if !changes.Snapshot {
@@ -58,7 +59,7 @@
 	}
 	for _, changed := range changes.Services {
 		if earlier, ok := after[changed.Service]; ok {
-			after[changed.Service] = overlay(earlier.All(), changed.Assignments)
+			after[changed.Service] = replaceRanges(earlier.All(), changed.Assignments)
 		} else {
 			after[changed.Service] = &keyspace.Map{Assignments: changed.Assignments}
 		}
@@ -66,35 +67,35 @@
 	return after
 }
 
-// overlay puts assignments in the place of what their ranges have. Both are in the
-// order of their keys.
-func overlay(earlier, given []keyspace.Assignment) *keyspace.Map {
-	after := make([]keyspace.Assignment, 0, len(earlier)+len(given))
+// replaceRanges returns the earlier assignments with those that overlap an updated one
+// replaced by the updated ones. Both lists are ordered by key.
+func replaceRanges(earlier, updated []keyspace.Assignment) *keyspace.Map {
+	after := make([]keyspace.Assignment, 0, len(earlier)+len(updated))
 	next := 0
 	for _, assignment := range earlier {
-		for next < len(given) && given[next].Last < assignment.First {
+		for next < len(updated) && updated[next].Last < assignment.First {
 			next++
 		}
-		if next == len(given) || given[next].First > assignment.Last {
+		if next == len(updated) || updated[next].First > assignment.Last {
 			after = append(after, assignment)
 		}
 	}
-	after = append(after, given...)
+	after = append(after, updated...)
 	slices.SortFunc(after, func(a, b keyspace.Assignment) int { return cmp.Compare(a.First, b.First) })
 	return &keyspace.Map{Assignments: after}
 }
 
-// Digest is alike for equal sets.
+// Digest returns a hash of the set that doesn't depend on the order of its elements.
 func (o Owners) Digest() uint64 {
 	var sum uint64
-	var one entry
+	var element entry
 	for service, owners := range o {
 		for _, assignment := range owners.All() {
-			one = one[:0]
-			one.text(service)
-			one.number(uint64(assignment.First)<<32 | uint64(assignment.Last))
-			one.text(assignment.Owner)
-			sum += one.sum()
+			element = element[:0]
+			element.appendString(service)
+			element.appendUint(uint64(assignment.First)<<32 | uint64(assignment.Last))
+			element.appendString(assignment.Owner)
+			sum += element.sum()
 		}
 	}
 	return sum
