--- a/internal/incarnation/incarnation.go
+++ b/internal/incarnation/incarnation.go
@@ -1,9 +1,9 @@
-// Package incarnation names one life of a back end: the id that it has, which it may have
-// had before, and the moment of its start. It is pure.
+// Package incarnation identifies one run of a back end's process by the back end's id, which
+// an earlier run may have had too, and its start time. It is pure.
 //
-// Wherever the product keeps, compares or sends what stands for a process of a back end,
-// it uses Incarnation.Name, so that two lives under one id are as different as two ids.
-// What is said to the back end itself bears its id alone, which is all that it knows.
+// Whatever stores, compares or sends the identity of a back end's process uses
+// Incarnation.Name, so that two runs under one id are as distinct as two ids. Messages to
+// the back end itself carry only its id, because it doesn't know the longer name.
 package incarnation
 
 import (
@@ -13,30 +13,32 @@
 	"strings"
 )
 
-// Incarnation is one life of a back end.
+// Incarnation identifies one run of a back end's process.
 type Incarnation struct {
-	// ID is what the back end calls itself.
+	// ID is the id that the back end reports.
 	ID string
-	// Born is the moment of its start in milliseconds of Unix time, by its own clock; zero
-	// where it tells none. Clocks jump: another moment is another life, not a later one.
+	// Born is the start time in milliseconds of Unix time, by the back end's own clock; zero
+	// if it reports none. Clocks jump, so a different value means a different run, and a
+	// higher value doesn't mean a later one.
 	Born int64
 }
 
 const (
 	separator = "@"
-	// maxID bounds an id, in bytes; names travel with each range of keys.
+	// maxID bounds the length of an id in bytes, because the owners of keys carry a name with
+	// each range.
 	maxID = 128
 )
 
 // Errors of Check.
 var (
-	ErrNoID       = errors.New("no id")
-	ErrIDTooLong  = errors.New("id is too long")
-	ErrIDReserved = errors.New("id has a character that separates it from the start")
-	ErrBornBefore = errors.New("start is before all times")
+	ErrNoID           = errors.New("missing id")
+	ErrIDTooLong      = errors.New("id is too long")
+	ErrIDHasSeparator = errors.New("id contains the reserved separator of id and start time")
+	ErrNegativeStart  = errors.New("start time is negative")
 )
 
-// Check says whether an incarnation can be named.
+// Check reports why an incarnation has no valid name; nil if it has one.
 func (i Incarnation) Check() error {
 	switch {
 	case i.ID == "":
@@ -44,15 +46,15 @@
 	case len(i.ID) > maxID:
 		return fmt.Errorf("%d bytes: %w", len(i.ID), ErrIDTooLong)
 	case strings.Contains(i.ID, separator):
-		return fmt.Errorf("%.64q: %w", i.ID, ErrIDReserved)
+		return fmt.Errorf("%.64q: %w", i.ID, ErrIDHasSeparator)
 	case i.Born < 0:
-		return fmt.Errorf("%d: %w", i.Born, ErrBornBefore)
+		return fmt.Errorf("%d: %w", i.Born, ErrNegativeStart)
 	}
 	return nil
 }
 
-// Name is the incarnation as the product writes it: the id, and the start where there is
-// one.
+// Name returns the canonical form: the id, followed by the separator and the start time if
+// there is one.
 func (i Incarnation) Name() string {
 	if i.Born == 0 {
 		return i.ID
@@ -60,7 +62,8 @@
 	return i.ID + separator + strconv.FormatInt(i.Born, 10)
 }
 
-// Parse reads a name. One that Name has not made is an id without a start.
+// Parse parses a name. Anything that Name can't have produced is taken as an id without a
+// start time.
 func Parse(name string) Incarnation {
 	id, start, found := strings.Cut(name, separator)
 	if !found {
@@ -73,5 +76,5 @@
 	return Incarnation{ID: id, Born: born}
 }
 
-// IDOf is the id in a name.
+// IDOf returns the id in a name.
 func IDOf(name string) string { return Parse(name).ID }
