--- a/internal/steady/steady.go
+++ b/internal/steady/steady.go
@@ -1,6 +1,7 @@
-// Package steady has readings of the process's steady clock. The time of day may jump, forward
-// or back; what decides by elapsed time keeps Instants, a type that can hold nothing else, or
-// Readings. Both count the time for which the machine was suspended, which time.Now does not.
+// Package steady provides a steady clock for the process: it never jumps with the time of day,
+// and unlike time.Now it includes the time for which the machine was suspended. Code that
+// decides by elapsed time stores Instants, a type that can't hold a wall-clock time, or the
+// results of Reading.
 package steady
 
 import (
@@ -8,54 +9,55 @@
 	"time"
 )
 
-// origin is some moment of this process. Its monotonic reading counts.
+// origin is the zero of Instant. It is compared by its monotonic reading.
 var origin = time.Now()
 
-// Instant is a moment of this process's steady clock, in nanoseconds since a
-// fixed one. It means nothing to other processes.
+// Instant is a time of this process's steady clock, in nanoseconds since a
+// fixed origin. It is meaningless in other processes.
 type Instant int64
 
-// Reading returns the present time. Readings are compared with each other alone: timers,
-// contexts and connections go by time.Now, and are given durations.
+// Reading returns the current time of the steady clock. A reading may only be compared with
+// other readings: timers, contexts and connections run on the clock of time.Now, so pass
+// them durations instead.
 func Reading() time.Time { return time.Now().Add(Suspended()) }
 
-// Elapsed returns how long ago a Reading was.
+// Elapsed returns the time since a reading.
 func Elapsed(reading time.Time) time.Duration { return Reading().Sub(reading) }
 
-// Until returns how long it is until a Reading.
+// Until returns the time until a reading.
 func Until(reading time.Time) time.Duration { return reading.Sub(Reading()) }
 
-// Now returns the present moment.
+// Now returns the current Instant.
 func Now() Instant { return At(Reading()) }
 
-// At returns the moment of a Reading.
+// At converts a reading to an Instant.
 func At(now time.Time) Instant { return Instant(now.Sub(origin)) }
 
-// Add returns the moment that is later by a duration.
+// Add returns i+d.
 func (i Instant) Add(d time.Duration) Instant { return i + Instant(d) }
 
-// Sub returns how much later this moment is than another.
+// Sub returns the duration i-earlier.
 func (i Instant) Sub(earlier Instant) time.Duration { return time.Duration(i - earlier) }
 
-// Before says that this moment is earlier than another.
+// Before reports whether i is before other.
 func (i Instant) Before(other Instant) bool { return i < other }
 
-// Since returns how long ago a moment was.
+// Since returns the time elapsed since i.
 func Since(i Instant) time.Duration { return Now().Sub(i) }
 
-// Atomic is an Instant for several goroutines. The zero value holds none.
+// Atomic is an Instant that is safe for concurrent use. The zero value is unset.
 type Atomic struct {
 	value atomic.Int64
 	set   atomic.Bool
 }
 
-// Store keeps a moment.
+// Store sets the value.
 func (a *Atomic) Store(i Instant) {
 	a.value.Store(int64(i))
 	a.set.Store(true)
 }
 
-// Load returns the kept moment; ok is false where none was stored.
+// Load returns the stored value; ok is false if none has been stored.
 func (a *Atomic) Load() (i Instant, ok bool) {
 	ok = a.set.Load()
 	return Instant(a.value.Load()), ok
--- a/internal/steady/steady_test.go
+++ b/internal/steady/steady_test.go
@@ -20,19 +20,19 @@
 	})
 }
 
-func TestAnAtomicInstantKnowsThatItHoldsNone(t *testing.T) {
-	var kept steady.Atomic
-	_, ok := kept.Load()
+func TestAtomicZeroValueIsUnset(t *testing.T) {
+	var stored steady.Atomic
+	_, ok := stored.Load()
 	assert.Assert(t, !ok)
 	now := steady.Now()
-	kept.Store(now)
-	loaded, ok := kept.Load()
+	stored.Store(now)
+	loaded, ok := stored.Load()
 	assert.Assert(t, ok)
 	assert.Equal(t, loaded, now)
 }
 
-// Both forms of the clock count the time of a suspension, by which time.Now falls behind.
-func TestSuspendedTimeCounts(t *testing.T) {
+// Instants and readings both include the time of a suspension; time.Now doesn't.
+func TestClockIncludesSuspendedTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		instant, reading, plain := steady.Now(), steady.Reading(), time.Now()
 		steady.RehearseSuspension(5 * time.Second)
@@ -44,8 +44,8 @@
 	})
 }
 
-// Readings of the two clocks some time apart are no suspension.
-func TestAMachineThatRunsIsNotSuspended(t *testing.T) {
+// A delay between the readings of the two clocks must not count as a suspension.
+func TestSuspendedStaysConstantOnARunningMachine(t *testing.T) {
 	before := steady.Suspended()
 	for range 10_000 {
 		assert.Equal(t, steady.Suspended(), before)
--- a/internal/steady/suspended.go
+++ b/internal/steady/suspended.go
@@ -7,50 +7,52 @@
 	"golang.org/x/sys/unix"
 )
 
-// A machine may be suspended. Its monotonic clock, by which Go compares times and ends timers,
-// stands still meanwhile, and the leases that others gave it run on. The boot clock counts that
-// time: how far it has run ahead of the monotonic clock is how long the machine was suspended.
+// While a machine is suspended, its monotonic clock stops, and with it Go's time comparisons
+// and timers, but leases that other machines granted to it keep running. The boot-time clock
+// (CLOCK_BOOTTIME) keeps running too, so the growth of its offset from the monotonic clock is
+// the time for which the machine was suspended.
 
-// suspensionStep is the unit in which suspensions are counted. Together they may have lasted
-// for up to that much longer than is counted.
+// suspensionStep is the resolution of Suspended. The total is rounded down, so it may be short
+// by up to one step.
 const suspensionStep = 10 * time.Millisecond
 
-// aheadAtStart is how far the boot clock was ahead of the monotonic one when the process
+// initialBootOffset is the offset of the boot-time clock from the monotonic one when the process
 // started.
-var aheadAtStart = closestAhead()
+var initialBootOffset = minBootOffset()
 
-// rehearsed is the time of suspensions that tests and simulations have made up.
-var rehearsed atomic.Int64
+// simulatedSuspension is the total of simulated suspensions, in nanoseconds.
+var simulatedSuspension atomic.Int64
 
-// Suspended returns for how long the machine was suspended since the process started. It does
-// not fall.
+// Suspended returns the total time for which the machine was suspended since the process
+// started. It never decreases.
 func Suspended() time.Duration {
-	counted := (ahead() - aheadAtStart).Truncate(suspensionStep)
+	counted := (bootOffset() - initialBootOffset).Truncate(suspensionStep)
 	if counted > 0 {
-		// Or this thread has stood still between the two readings.
-		counted = (closestAhead() - aheadAtStart).Truncate(suspensionStep)
+		// The offset may also be too large because this thread was descheduled between the
+		// two clock readings; measure again.
+		counted = (minBootOffset() - initialBootOffset).Truncate(suspensionStep)
 	}
-	return max(counted, 0) + time.Duration(rehearsed.Load())
+	return max(counted, 0) + time.Duration(simulatedSuspension.Load())
 }
 
-// RehearseSuspension makes all clocks of this process behave as after a suspension that has
-// just ended. It is for tests.
-func RehearseSuspension(lasted time.Duration) { rehearsed.Add(int64(lasted)) }
+// RehearseSuspension makes the steady clock of this process behave as if the machine had just
+// resumed from a suspension of the given length. It is for tests and simulations.
+func RehearseSuspension(lasted time.Duration) { simulatedSuspension.Add(int64(lasted)) }
 
-// closestAhead reads the clocks several times and returns the pair that was read with the
-// least delay in between.
-func closestAhead() time.Duration {
+// minBootOffset reads the two clocks several times and returns the smallest offset, which is
+// that of the pair with the least delay between its readings.
+func minBootOffset() time.Duration {
 	const readings = 5
-	closest := ahead()
+	closest := bootOffset()
 	for range readings - 1 {
-		closest = min(closest, ahead())
+		closest = min(closest, bootOffset())
 	}
 	return closest
 }
 
-// ahead returns how far the boot clock is ahead of the monotonic one, and how long it took
-// between the two readings besides.
-func ahead() time.Duration {
+// bootOffset returns the offset of the boot-time clock from the monotonic one, plus the delay
+// between reading the two.
+func bootOffset() time.Duration {
 	var monotonic, boot unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil {
 		return 0
--- a/internal/steady/usage_test.go
+++ b/internal/steady/usage_test.go
@@ -10,22 +10,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// promising are the packages whose leases, terms, grants and holds end by time.
-var promising = []string{
+// expiryPackages lists the packages whose leases, terms, grants and holds expire by time.
+var expiryPackages = []string{
 	"configlease", "consensus", "coordinator", "fleetcontroller", "gateway", "grants", "incarnation", "inforce", "keyhold", "keylease",
 	"leadership", "ownership", "plannedstop", "quarantine", "replica",
 }
 
-// plainClock is what does not count suspended time.
-var plainClock = regexp.MustCompile(`\btime\.(Now|Since|Until)\(|\.WithDeadline\(`)
+// disallowedClock matches uses of clocks that don't include suspended time.
+var disallowedClock = regexp.MustCompile(`\btime\.(Now|Since|Until)\(|\.WithDeadline\(`)
 
-// seedOnly is the one reading of the time of day that draws a seed.
-const seedOnly = "UnixNano())"
+// allowedSeedUse marks the one use that is allowed: it reads the time of day for a random seed.
+const allowedSeedUse = "UnixNano())"
 
-// What ends a promise by time must not go by a clock that stands still while the machine is
-// suspended.
-func TestPromisesGoByAClockThatCountsSuspendedTime(t *testing.T) {
-	for _, name := range promising {
+// Code that enforces an expiry must not use a clock that stops while the machine is suspended:
+// it would go on using a lease that other machines consider expired.
+func TestExpiriesUseAClockThatIncludesSuspendedTime(t *testing.T) {
+	for _, name := range expiryPackages {
 		files, err := filepath.Glob("../" + name + "/*.go")
 		assert.NilError(t, err)
 		assert.Assert(t, len(files) > 0, name)
@@ -36,7 +36,7 @@
 			content, err := os.ReadFile(file)
 			assert.NilError(t, err)
 			for number, line := range strings.Split(string(content), "\n") {
-				if plainClock.MatchString(line) && !strings.Contains(line, seedOnly) {
+				if disallowedClock.MatchString(line) && !strings.Contains(line, allowedSeedUse) {
 					t.Errorf("%s:%d: %s", file, number+1, strings.TrimSpace(line))
 				}
 			}
