--- a/internal/gobcheck/gobcheck.go
+++ b/internal/gobcheck/gobcheck.go
@@ -1,6 +1,6 @@
-// Package gobcheck looks at bytes of other processes before encoding/gob does, which
-// takes up to 10 MB for a message that says that it is long, whether it comes or not. It
-// is pure.
+// Package gobcheck checks the message lengths in untrusted gob data before encoding/gob reads
+// it. The gob decoder allocates up to 10 MB for the length that a message claims, even if the
+// bytes never arrive. The package is pure.
 package gobcheck
 
 import (
@@ -8,34 +8,34 @@
 	"errors"
 )
 
-// ErrLength: a message says that it is longer than what there is.
-var ErrLength = errors.New("gob message longer than its bytes")
+// ErrTruncated means that a message claims to be longer than the data that follows.
+var ErrTruncated = errors.New("gob message length exceeds the available bytes")
 
-// Whole checks that data is a sequence of whole messages, each with its length before it
+// Whole checks that data is a sequence of complete messages, each prefixed with its length
 // (encoding/gob, "Encoding Details").
 func Whole(data []byte) error {
 	for len(data) > 0 {
 		length, rest, ok := readLength(data)
 		if !ok || length > uint64(len(rest)) {
-			return ErrLength
+			return ErrTruncated
 		}
 		data = rest[length:]
 	}
 	return nil
 }
 
-// readLength reads an unsigned number as gob writes it: one byte below 128, or the
-// negated count of its bytes before them.
+// readLength decodes an unsigned integer in gob's encoding: a single byte if it is below 128,
+// otherwise the negated byte count followed by the bytes in big-endian order.
 func readLength(data []byte) (length uint64, rest []byte, ok bool) {
-	const single, most = 0x7f, 8
-	if data[0] <= single {
+	const maxSingleByte, maxBytes = 0x7f, 8
+	if data[0] <= maxSingleByte {
 		return uint64(data[0]), data[1:], true
 	}
 	count := -int(int8(data[0]))
-	if count > most || count >= len(data) {
+	if count > maxBytes || count >= len(data) {
 		return 0, nil, false
 	}
-	var number [most]byte
-	copy(number[most-count:], data[1:1+count])
+	var number [maxBytes]byte
+	copy(number[maxBytes-count:], data[1:1+count])
 	return binary.BigEndian.Uint64(number[:]), data[1+count:], true
 }
