--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -1,6 +1,6 @@
-// Package strictjson reads JSON objects that other programs have written, more strictly
-// than encoding/json: names that stand twice in an object, or differ from a field's name
-// in case only, can mean two things to two readers, and so can what follows the object.
+// Package strictjson parses JSON objects that other programs have written, more strictly
+// than encoding/json: it rejects names that occur twice in an object, also if they differ
+// only in case, and data after the object, because two parsers may read these differently.
 // It is pure.
 package strictjson
 
@@ -13,18 +13,18 @@
 	"strings"
 )
 
-// maxDepth bounds how deep objects and lists may be nested; what is read here is flat.
+// maxDepth limits the nesting of objects and arrays; the expected input is nearly flat.
 const maxDepth = 16
 
-// Errors of Unmarshal beside those of encoding/json.
+// Errors of Unmarshal in addition to those of encoding/json.
 var (
-	ErrNoObject  = errors.New("no object")
-	ErrTwice     = errors.New("name stands twice")
-	ErrTooDeep   = errors.New("nested too deep")
-	ErrMoreBytes = errors.New("bytes after the object")
+	ErrNotObject     = errors.New("not a JSON object")
+	ErrDuplicateName = errors.New("duplicate name")
+	ErrTooDeep       = errors.New("nested too deeply")
+	ErrTrailingData  = errors.New("data after the object")
 )
 
-// Unmarshal reads one object. Unknown names pass.
+// Unmarshal parses data, which must be exactly one object. Unknown names are ignored.
 func Unmarshal(data []byte, into any) error {
 	if err := checkObject(data); err != nil {
 		return err
@@ -37,21 +37,21 @@
 	decoder.UseNumber()
 	first, err := decoder.Token()
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrNoObject, err)
+		return fmt.Errorf("%w: %w", ErrNotObject, err)
 	}
 	if first != json.Delim('{') {
-		return ErrNoObject
+		return ErrNotObject
 	}
 	if err := checkMembers(decoder, 1); err != nil {
 		return err
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return ErrMoreBytes
+		return ErrTrailingData
 	}
 	return nil
 }
 
-// checkMembers reads an object whose first token was read.
+// checkMembers checks the members of an object whose opening brace has been read.
 func checkMembers(decoder *json.Decoder, depth int) error {
 	seen := map[string]bool{}
 	for decoder.More() {
@@ -61,11 +61,11 @@
 		}
 		name, ok := token.(string)
 		if !ok {
-			return ErrNoObject
+			return ErrNotObject
 		}
 		folded := strings.ToLower(name)
 		if seen[folded] {
-			return fmt.Errorf("%.64q: %w", name, ErrTwice)
+			return fmt.Errorf("%.64q: %w", name, ErrDuplicateName)
 		}
 		seen[folded] = true
 		if err := checkValue(decoder, depth); err != nil {
@@ -81,13 +81,13 @@
 	if err != nil {
 		return err
 	}
-	begin, ok := token.(json.Delim)
+	opening, ok := token.(json.Delim)
 	switch {
 	case !ok:
 		return nil
 	case depth >= maxDepth:
 		return ErrTooDeep
-	case begin == '{':
+	case opening == '{':
 		return checkMembers(decoder, depth+1)
 	}
 	for decoder.More() {
