--- a/internal/plannedstop/admission.go
+++ b/internal/plannedstop/admission.go
@@ -1,11 +1,10 @@
-// Package plannedstop says which work a process may still begin while it stops
-// as planned.
+// Package plannedstop decides which work a process may still start during a planned stop
+// (graceful shutdown).
 //
-// A planned stop has an end, at which the process closes its connections. Work
-// that is begun during the stop and may last beyond that end would be cut off
-// while a back end is at it, so that nobody knows whether it ran. It is refused
-// instead, with proof that it has not run. The package is pure: times are
-// arguments.
+// A planned stop has an end time, at which the process closes its connections. Work
+// that starts during the stop and may last beyond the end would be cut off while a
+// back end is processing it, leaving its outcome unknown. It is rejected instead, so
+// that the caller knows that it has not run. The package is pure: times are arguments.
 package plannedstop
 
 import (
@@ -13,27 +12,26 @@
 	"time"
 )
 
-// AnswerMargin is kept between the latest deadline of admitted work and the end
-// of the stop, for the answer to be written, also where it says that the
-// deadline has passed: one pause of a processor quota (100 ms), and the writing.
+// AnswerMargin is the minimum time between the deadline of admitted work and the end of the
+// stop. It leaves time to write the answer, also one that says that the deadline has passed:
+// one CPU quota period for which the process may be throttled (100 ms), and the write itself.
 const AnswerMargin = 150 * time.Millisecond
 
-// Admission admits all work until a planned stop begins, and from then on what
-// ends before the stop does. The zero value is ready. It may be used by many
-// goroutines.
+// Admission admits all work until a planned stop begins, and from then on only work that
+// ends before the stop does. The zero value is ready for use. It is safe for concurrent use.
 type Admission struct {
-	// end is nil until a stop has begun. It keeps the monotonic reading.
+	// end is nil until a stop has begun. It includes the monotonic clock reading.
 	end atomic.Pointer[time.Time]
 }
 
-// Begin begins a planned stop that ends at the given time. A later call has no
-// effect: an end that was announced stays.
+// Begin begins a planned stop that ends at the given time. Later calls have no effect,
+// because work may already have been admitted by the first end.
 func (a *Admission) Begin(end time.Time) { a.end.CompareAndSwap(nil, &end) }
 
-// Stopping says that a planned stop has begun.
+// Stopping reports whether a planned stop has begun.
 func (a *Admission) Stopping() bool { return a.end.Load() != nil }
 
-// Left is how long a stop that has begun lasts on; zero where none has begun.
+// Left returns the remaining time of the planned stop, or zero if none has begun.
 func (a *Admission) Left(now time.Time) time.Duration {
 	end := a.end.Load()
 	if end == nil {
@@ -42,8 +40,8 @@
 	return max(end.Sub(now), 0)
 }
 
-// Admits says whether work may begin that ends by its deadline at the latest.
-// The zero deadline is none: such work is admitted only while no stop has begun.
+// Admits reports whether work with the given deadline may start. A zero deadline
+// means none: such work is admitted only while no stop has begun.
 func (a *Admission) Admits(deadline time.Time) bool {
 	end := a.end.Load()
 	if end == nil {
--- a/internal/plannedstop/admission_test.go
+++ b/internal/plannedstop/admission_test.go
@@ -9,9 +9,9 @@
 	"github.com/quartzdock/quartzdock/internal/plannedstop"
 )
 
-// Work that may outlast the stop is refused, to the nanosecond, and so is work
+// During a stop, work that may outlast it is rejected, to the nanosecond, and so is work
 // without a deadline.
-func TestAdmitsOnlyWhatEndsBeforeTheStop(t *testing.T) {
+func TestAdmitsOnlyWorkThatEndsBeforeTheStop(t *testing.T) {
 	start := time.Now()
 	latest := start.Add(5*time.Second - plannedstop.AnswerMargin)
 	var admission plannedstop.Admission
@@ -29,9 +29,9 @@
 	assert.Assert(t, !admission.Admits(time.Time{}))
 }
 
-// A second signal or a stop that is asked for twice does not move the end, by
-// which work was admitted already.
-func TestEndOfAStopStays(t *testing.T) {
+// A second signal or stop request doesn't move the end, because work has already been
+// admitted by the first one.
+func TestFirstEndOfAStopIsFinal(t *testing.T) {
 	start := time.Now()
 	var admission plannedstop.Admission
 	admission.Begin(start.Add(5 * time.Second))
