--- a/internal/warmup/share.go
+++ b/internal/warmup/share.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// Share is the part of what a cold back end bears that one of many senders uses.
-// Senders do not ask each other: each takes its equal part, so that together they
-// send about what the back end bears and none learns it by refusals. The zero value
-// is ready for use.
+// Share is one sender's part of the rate of a cold back end. Senders don't coordinate:
+// each is limited to an equal part, so that together they send at about the back end's
+// rate, and none of them has to discover the limit by rejections. The zero value is
+// ready for use.
 type Share struct {
 	tokens float64
 	at     time.Time
 }
 
-// Take reports whether a sender may send now, and counts it. Rate is what the back
-// end bears in requests a second, and senders how many there are. The first request
-// of a share is drawn by lot: draw is a random number from 0 to 1.
+// Take reports whether the sender may send a request now, and if so counts it. Rate is the
+// back end's limit in requests per second, and senders is the number of senders. Draw is a
+// random number from 0 to 1 and becomes the share's first tokens, so that senders don't all
+// begin at the same time.
 func (s *Share) Take(rate float64, senders int, draw float64, now time.Time) bool {
 	if !s.Has(rate, senders, draw, now) {
 		return false
@@ -22,7 +23,7 @@
 	return true
 }
 
-// Has reports whether a sender may send now.
+// Has reports whether the sender may send a request now, without counting it.
 func (s *Share) Has(rate float64, senders int, draw float64, now time.Time) bool {
 	if s.at.IsZero() {
 		s.tokens = draw
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -1,108 +1,109 @@
-// Package warmup bounds what a cold back end is sent. A back end that has just
-// started, or stood empty for a while, bears a few requests a second until its
-// caches are filled; well above that it fails, and each failure makes the next
-// start cold again. The package is pure: readings of the clock go in, decisions
-// come out.
+// Package warmup limits the rate of requests to a cold back end. A back end that has just
+// started, or has been idle for a while, can handle only a few requests per second until
+// its caches are filled. Well above that rate it fails, and after each failure it starts
+// cold again. The package is pure: the time is an argument of every call.
 //
 // # Load pattern
 //
-// A zone comes back after an outage while the rest of the fleet is full: without a
-// bound every caller's next request goes to the back ends that look idle.
+// The critical case is a zone that returns after an outage while the rest of the fleet is
+// at capacity: without a limit, every caller's next request goes to the back ends that look
+// idle.
 package warmup
 
 import "time"
 
 const (
-	// unboundedRate says that a back end is warm.
-	unboundedRate = 0
-	// burst is how many requests may follow each other at once while cold. The rate
-	// holds for a second; with 2 beside it a second has 15 requests at a rate of 13,
-	// where the users' bound is 27.5.
+	// unlimitedRate is the rate of a warm back end.
+	unlimitedRate = 0
+	// burst is the size of the token bucket, which is how many requests may be sent at once
+	// to a cold back end. At a rate of 13 per second, a burst of 2 allows 15 requests in a
+	// second, where the limit for users' back ends is 27.5.
 	burst = 2
-	// longestCold bounds what a back end may say of itself, lest a wrong unit makes it
-	// cold for good.
-	longestCold = 5 * time.Minute
-	// longestDebt is how much of what a back end was sent while it was taken for warm
-	// counts once it says that it is cold: what it got in the last second.
-	longestDebt = time.Second
+	// maxColdTime limits the cold time that a back end may report, so that a wrong unit
+	// doesn't make it cold forever.
+	maxColdTime = 5 * time.Minute
+	// maxDebt limits how far the bucket may be overdrawn while the back end is considered
+	// warm. Once it turns out to be cold, only the requests of the last second count.
+	maxDebt = time.Second
 )
 
-// Limiter is a token bucket that binds while a back end is cold. It also counts
-// what is sent while it is not, so that one which turns cold under load is given
-// the time to work that off. The zero value takes the back end for warm.
+// Limiter is a token bucket that is enforced while a back end is cold. It also counts
+// the requests sent while the back end is warm, so that one which becomes cold under load
+// gets time to work them off. The zero value considers the back end warm.
 type Limiter struct {
-	// rate is what the back end bears while cold, in requests a second; zero is
-	// unbounded.
+	// rate is the limit while the back end is cold, in requests per second; zero is
+	// unlimited.
 	rate float64
-	// length is how long a back end is cold at the longest, where that is known.
-	length time.Duration
-	// until is when the back end is warm. Unknown says that nobody has said so, and
-	// suspectedUntil for how long that makes it cold.
-	until          time.Time
-	unknown        bool
-	suspectedUntil time.Time
+	// coldTime is how long a back end stays cold after its start, zero if not known.
+	coldTime time.Duration
+	// coldUntil is when the back end becomes warm, according to its own reports. While
+	// stateUnknown is set, it hasn't reported whether it is cold, and is considered cold until
+	// assumedColdUntil.
+	coldUntil        time.Time
+	stateUnknown     bool
+	assumedColdUntil time.Time
 
 	tokens float64
 	at     time.Time
 }
 
-// Configure says how many requests a second the back end bears while it is cold,
-// any number where it is zero or less, and how long one is cold after its start.
+// Configure sets the limit in requests per second while the back end is cold (zero or less
+// is unlimited) and how long a back end stays cold after its start.
 func (l *Limiter) Configure(perSecond float64, length time.Duration) {
-	l.rate, l.length = max(perSecond, 0), max(length, 0)
+	l.rate, l.coldTime = max(perSecond, 0), max(length, 0)
 }
 
-// Rate is what the back end bears while it is cold, in requests a second; zero is
-// unbounded.
+// Rate returns the limit while the back end is cold, in requests per second; zero is
+// unlimited.
 func (l *Limiter) Rate() float64 { return l.rate }
 
-// Suspect says that it is not known whether the back end is cold. It is taken for
-// cold until it is told, or as long as one is cold after its start.
+// Suspect records that it isn't known whether the back end is cold. It is considered cold
+// until it reports its state, but no longer than a back end stays cold after its start.
 func (l *Limiter) Suspect(now time.Time) {
-	l.unknown = true
-	l.suspectedUntil = now.Add(l.length)
+	l.stateUnknown = true
+	l.assumedColdUntil = now.Add(l.coldTime)
 }
 
-// Suspected reports whether the back end should be asked.
-func (l *Limiter) Suspected() bool { return l.unknown && l.rate > 0 }
+// Suspected reports whether the back end should be asked for its state.
+func (l *Limiter) Suspected() bool { return l.stateUnknown && l.rate > 0 }
 
-// Tell takes a back end's answer on how much longer it is cold, asked after the last
-// suspicion.
+// Tell records how much longer the back end stays cold, as it answered a question that was
+// asked after the last call of Suspect.
 func (l *Limiter) Tell(left time.Duration, now time.Time) {
-	l.unknown = false
+	l.stateUnknown = false
 	l.Hear(left, now)
 }
 
-// Hear takes any other word of a back end on how much longer it is cold. Words can
-// arrive late, behind what they don't know of: none makes the time shorter, and one
-// that says warm ends no suspicion.
+// Hear records how much longer the back end stays cold, as it reported in any other message.
+// Such a message may be older than an event that made the back end cold: it never shortens
+// the cold time, and one that reports a warm back end doesn't clear an unknown state.
 func (l *Limiter) Hear(left time.Duration, now time.Time) {
 	if left > 0 {
-		l.unknown = false
+		l.stateUnknown = false
 	}
-	if until := now.Add(min(left, longestCold)); left > 0 && until.After(l.until) {
-		l.until = until
+	if until := now.Add(min(left, maxColdTime)); left > 0 && until.After(l.coldUntil) {
+		l.coldUntil = until
 	}
 }
 
-// Forget begins a new life of the back end, of which nothing is known.
-func (l *Limiter) Forget() { *l = Limiter{rate: l.rate, length: l.length} }
+// Forget resets the state after a restart of the back end. The settings stay.
+func (l *Limiter) Forget() { *l = Limiter{rate: l.rate, coldTime: l.coldTime} }
 
-// Cold reports whether the bound holds.
+// Cold reports whether the back end is considered cold and the limit is enforced.
 func (l *Limiter) Cold(now time.Time) bool {
-	return l.rate > 0 && (now.Before(l.until) || l.unknown && now.Before(l.suspectedUntil))
+	return l.rate > 0 && (now.Before(l.coldUntil) || l.stateUnknown && now.Before(l.assumedColdUntil))
 }
 
-// Bears returns how many requests a second the back end bears now; zero is
-// unbounded.
+// Bears returns the limit that is enforced now, in requests per second; zero is
+// unlimited.
 func (l *Limiter) Bears(now time.Time) float64 {
 	if !l.Cold(now) {
-		return unboundedRate
+		return unlimitedRate
 	}
 	return l.rate
 }
 
-// Wait returns how long the next request has to wait; zero is not at all.
+// Wait returns how long the next request has to wait; zero means that it may be sent now.
 func (l *Limiter) Wait(now time.Time) time.Duration {
 	if !l.Cold(now) {
 		return 0
@@ -111,7 +112,7 @@
 	if l.tokens >= 1 {
 		return 0
 	}
-	// Rounded up, so that the token is there when the time has passed.
+	// Rounded up, so that the token is available when the wait is over.
 	return time.Duration((1-l.tokens)/l.rate*float64(time.Second)) + time.Microsecond
 }
 
@@ -121,10 +122,10 @@
 		return
 	}
 	l.fill(now)
-	l.tokens = max(l.tokens-1, -l.rate*longestDebt.Seconds())
+	l.tokens = max(l.tokens-1, -l.rate*maxDebt.Seconds())
 }
 
-// fill adds what has come since the last look.
+// fill adds the tokens that have accrued since the last call.
 func (l *Limiter) fill(now time.Time) {
 	elapsed := now.Sub(l.at)
 	switch {
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	rate   = 13.0
-	length = 3 * time.Second
-	// bound is what one second may have: the rate, a half of it over, and 8 beside.
-	bound = 1.5*rate + 8
+	rate     = 13.0
+	coldTime = 3 * time.Second
+	// maxInAnySecond is the number of requests allowed in any second: 1.5 times the rate, plus 8.
+	maxInAnySecond = 1.5*rate + 8
 )
 
 var start = time.Unix(1_000_000, 0)
 
-// sendAll sends as fast as the limiter lets it, from a time for a time, and
-// returns when each request was sent.
+// sendAll sends requests as fast as the limiter allows for the given time, and returns the
+// times at which they were sent.
 func sendAll(l *warmup.Limiter, from time.Time, length time.Duration) []time.Time {
 	var sent []time.Time
 	for now := from; now.Before(from.Add(length)); now = now.Add(time.Millisecond) {
@@ -32,8 +32,8 @@
 	return sent
 }
 
-// busiest returns the most requests of any second.
-func busiest(sent []time.Time) int {
+// maxPerSecond returns the largest number of requests in any second.
+func maxPerSecond(sent []time.Time) int {
 	most, first := 0, 0
 	for last := range sent {
 		for sent[last].Sub(sent[first]) > time.Second {
@@ -44,19 +44,19 @@
 	return most
 }
 
-func TestAColdBackEndGetsWhatItBears(t *testing.T) {
+func TestColdBackEndGetsItsConfiguredRate(t *testing.T) {
 	l := &warmup.Limiter{}
-	l.Configure(rate, length)
+	l.Configure(rate, coldTime)
 	l.Tell(10*time.Second, start)
 	sent := sendAll(l, start, 8*time.Second)
-	assert.Assert(t, float64(busiest(sent)) <= bound, "%d in one second", busiest(sent))
+	assert.Assert(t, float64(maxPerSecond(sent)) <= maxInAnySecond, "%d in one second", maxPerSecond(sent))
 	assert.Assert(t, float64(len(sent)) >= 0.95*8*rate, "%d in 8 s", len(sent))
 }
 
-// One that turns cold under load is given the time to work off what it got.
-func TestABackEndThatTurnsColdUnderLoadRests(t *testing.T) {
+// A back end that becomes cold under load gets time to work off what it has been sent.
+func TestBackEndThatTurnsColdUnderLoadGetsAPause(t *testing.T) {
 	l := &warmup.Limiter{}
-	l.Configure(rate, length)
+	l.Configure(rate, coldTime)
 	for i := range 200 {
 		l.Sent(start.Add(time.Duration(i) * 5 * time.Millisecond))
 	}
@@ -66,10 +66,9 @@
 	assert.Assert(t, l.Wait(now) < 1200*time.Millisecond)
 }
 
-// Who does not know takes the back end for cold.
-func TestAnUnknownBackEndIsCold(t *testing.T) {
+func TestBackEndOfUnknownStateIsConsideredCold(t *testing.T) {
 	l := &warmup.Limiter{}
-	l.Configure(rate, length)
+	l.Configure(rate, coldTime)
 	assert.Assert(t, !l.Cold(start))
 	l.Suspect(start)
 	assert.Assert(t, l.Cold(start) && l.Suspected())
@@ -79,44 +78,44 @@
 	assert.Equal(t, l.Bears(start), 0.0)
 }
 
-// A heartbeat may have been sent before the back end turned cold.
-func TestAHeartbeatThatSaysWarmEndsNoSuspicion(t *testing.T) {
+// A heartbeat that reports a warm back end may have been sent before it became cold.
+func TestHeartbeatReportingWarmDoesNotClearUnknownState(t *testing.T) {
 	l := &warmup.Limiter{}
-	l.Configure(rate, length)
+	l.Configure(rate, coldTime)
 	l.Suspect(start)
 	l.Hear(0, start)
 	assert.Assert(t, l.Cold(start) && l.Suspected())
 	l.Hear(time.Second, start)
-	assert.Assert(t, l.Cold(start) && !l.Suspected(), "it has said for how long")
+	assert.Assert(t, l.Cold(start) && !l.Suspected(), "the back end has reported its cold time")
 }
 
-// One that answers no question is not taken for cold for ever.
-func TestASuspicionEnds(t *testing.T) {
+// A back end that never answers isn't considered cold forever.
+func TestUnknownStateExpires(t *testing.T) {
 	l := &warmup.Limiter{}
-	l.Configure(rate, length)
+	l.Configure(rate, coldTime)
 	l.Suspect(start)
-	assert.Assert(t, l.Cold(start.Add(length-time.Millisecond)))
-	assert.Assert(t, !l.Cold(start.Add(length)))
+	assert.Assert(t, l.Cold(start.Add(coldTime-time.Millisecond)))
+	assert.Assert(t, !l.Cold(start.Add(coldTime)))
 }
 
-// A word that was sent before the back end turned cold may arrive after it.
-func TestALateWordMakesNothingWarm(t *testing.T) {
+// A message that was sent before the back end became cold may arrive afterwards.
+func TestLateMessageDoesNotShortenTheColdTime(t *testing.T) {
 	l := &warmup.Limiter{}
-	l.Configure(rate, length)
+	l.Configure(rate, coldTime)
 	l.Tell(3*time.Second, start)
 	l.Tell(0, start.Add(100*time.Millisecond))
 	assert.Assert(t, l.Cold(start.Add(2*time.Second)))
 	assert.Assert(t, !l.Cold(start.Add(3*time.Second)))
 	l.Tell(3*time.Second, start.Add(4*time.Second))
 	l.Forget()
-	assert.Assert(t, !l.Cold(start.Add(4*time.Second)), "a new life")
+	assert.Assert(t, !l.Cold(start.Add(4*time.Second)), "after a restart")
 	assert.Equal(t, l.Rate(), rate)
 }
 
-// Services that say nothing of it have no bound.
-func TestWithoutARateNothingIsBounded(t *testing.T) {
+// A service without a configured rate has no limit.
+func TestWithoutARateNothingIsLimited(t *testing.T) {
 	l := &warmup.Limiter{}
-	l.Configure(-1, length)
+	l.Configure(-1, coldTime)
 	l.Suspect(start)
 	l.Tell(time.Hour, start)
 	l.Sent(start)
@@ -124,8 +123,8 @@
 	assert.Assert(t, !l.Suspected())
 }
 
-// Seventy senders that do not know of each other keep to what one back end bears.
-func TestManySendersShareWhatIsBorne(t *testing.T) {
+// Seventy senders that don't coordinate stay together close to the rate of one back end.
+func TestManySendersShareOneRate(t *testing.T) {
 	const senders = 70
 	random := rand.New(rand.NewPCG(7, 7))
 	shares := make([]warmup.Share, senders)
@@ -139,6 +138,6 @@
 			}
 		}
 	}
-	assert.Assert(t, float64(sent) <= seconds*rate*1.2, "%d", sent)
-	assert.Assert(t, float64(sent) >= seconds*rate*0.8, "%d", sent)
+	assert.Assert(t, float64(sent) <= seconds*rate*1.2, "%d requests sent", sent)
+	assert.Assert(t, float64(sent) >= seconds*rate*0.8, "%d requests sent", sent)
 }
