--- a/internal/fleetcontroller/controller.go
+++ b/internal/fleetcontroller/controller.go
@@ -134,9 +134,8 @@
 // StopLimit is the longest time that Stop takes.
 const StopLimit = transferTimeout + redirectTimeout + goroutineTimeout + replica.StopLimit
 
-// Stop transfers leadership to another controller, if this one leads, and stops serving
-// sessions and the replica. It returns within StopLimit, whatever peers, gateways and the
-// disk do.
+// Stop transfers leadership to another controller, if this one leads, ends the sessions and
+// stops the replica. It returns within StopLimit, whatever peers, gateways and the disk do.
 func (c *Controller) Stop() error {
 	c.transferLeadership()
 	c.stop()
--- a/internal/fleetcontroller/members.go
+++ b/internal/fleetcontroller/members.go
@@ -17,7 +17,7 @@
 )
 
 // removeDeadMember removes one member that has been silent for DeadAfter, if all others
-// answer. Without it, the group keeps a quorum after a further loss.
+// answer, so that the group still has a quorum after the loss of another member.
 func (c *Controller) removeDeadMember(status consensus.Status, now time.Duration) {
 	var dead consensus.Member
 	answering := 1
