--- a/internal/keylease/instances.go
+++ b/internal/keylease/instances.go
@@ -8,26 +8,26 @@
 	"github.com/quartzdock/quartzdock/internal/fleetwire"
 )
 
-// instance is what the leader knows of one life of a back end.
+// instance is what the leader knows of one incarnation of a back end.
 type instance struct {
 	fleetwire.Instance
-	firstSeen time.Duration
-	heardAt   time.Duration
+	firstSeen    time.Duration
+	lastReportAt time.Duration
 	// leasedUntil is when the last lease given to it ends.
 	leasedUntil time.Duration
 	load        loadTable
-	// runs tells how long its runs take.
+	// runs measures how long its requests run.
 	runs runTimes
-	// boot is the gateway's process that was heard last.
+	// boot identifies the gateway process that sent the last report.
 	boot uint64
-	// silent says that its gateway has not heard of it for some time.
+	// silent is set while its gateway has not heard from it for some time.
 	silent bool
 }
 
-// Revision counts changes of what Instances returns.
+// Revision increases whenever the result of Instances changes.
 func (p *Planner) Revision() uint64 { return p.revision }
 
-// Instances returns the live instances in the order of their IDs.
+// Instances returns the live instances, sorted by ID.
 func (p *Planner) Instances() []fleetwire.Instance {
 	var all []fleetwire.Instance
 	for _, known := range p.instances {
@@ -39,32 +39,34 @@
 	return all
 }
 
-// Known returns the last that was told of the instance beside a gateway.
+// Known returns the last reported state of the instance behind a gateway, nil
+// where there is none.
 func (p *Planner) Known(node string) *fleetwire.Instance {
 	known := p.instances[p.nodes[node]]
 	if known == nil {
 		return nil
 	}
-	told := known.Instance
-	return &told
+	reported := known.Instance
+	return &reported
 }
 
-// learn keeps the newest that was told of an instance.
-func (p *Planner) learn(told *fleetwire.Instance, now time.Duration) *instance {
-	known, ok := p.instances[told.ID]
+// updateInstance records what a gateway reports of its instance. Reports of a
+// superseded incarnation change nothing.
+func (p *Planner) updateInstance(reported *fleetwire.Instance, now time.Duration) *instance {
+	known, ok := p.instances[reported.ID]
 	if !ok {
-		known = &instance{Instance: *told, firstSeen: now, leasedUntil: p.settledAt}
-		p.instances[told.ID] = known
+		known = &instance{Instance: *reported, firstSeen: now, leasedUntil: p.earlierLeasesEnd}
+		p.instances[reported.ID] = known
 		p.revision++
 	}
-	if ok && p.succeeded(known) {
+	if ok && p.isSuperseded(known) {
 		return known
 	}
-	p.succeed(told)
-	known.heardAt = now
-	newer := *told
+	p.replaceEarlierIncarnations(reported)
+	known.lastReportAt = now
+	newer := *reported
 	if newer.Sequence < known.Sequence {
-		// An older word, kept by a gateway that has just started.
+		// A gateway that has just started may report an outdated state.
 		newer.State, newer.Sequence = known.State, known.Sequence
 	}
 	if newer != known.Instance {
@@ -80,22 +82,23 @@
 	return known
 }
 
-// succeed notes that another life of the back end beside a gateway is the present one. Those
-// before it, also those that only the owners of keys tell of, get nothing more, but what they
-// hold is theirs until its time is over: one may have closed its listener alone.
-func (p *Planner) succeed(told *fleetwire.Instance) {
-	earlier := p.nodes[told.Node]
-	if earlier == told.ID {
+// replaceEarlierIncarnations makes the reported incarnation the current one behind its
+// gateway. Earlier ones, including those known only as owners of keys, get no new keys, but
+// keep those that they hold until their leases end: such a process may still run and have
+// closed only its listener.
+func (p *Planner) replaceEarlierIncarnations(reported *fleetwire.Instance) {
+	earlier := p.nodes[reported.Node]
+	if earlier == reported.ID {
 		return
 	}
-	p.nodes[told.Node] = told.ID
+	p.nodes[reported.Node] = reported.ID
 	if known := p.instances[earlier]; known != nil {
 		p.supersede(known)
 	}
 	for service, owners := range p.state.AllOwners() {
 		for _, owned := range owners.All() {
-			if owned.Node == told.Node && owned.Owner != told.ID && p.instances[owned.Owner] == nil {
-				former := &instance{Instance: fleetwire.Instance{ID: owned.Owner, Service: service, Node: owned.Node}, leasedUntil: p.settledAt}
+			if owned.Node == reported.Node && owned.Owner != reported.ID && p.instances[owned.Owner] == nil {
+				former := &instance{Instance: fleetwire.Instance{ID: owned.Owner, Service: service, Node: owned.Node}, leasedUntil: p.earlierLeasesEnd}
 				p.instances[owned.Owner] = former
 				p.supersede(former)
 			}
@@ -103,39 +106,39 @@
 	}
 }
 
-// supersede says that a later life has taken an instance's place.
+// supersede marks an instance as replaced by a later incarnation.
 func (p *Planner) supersede(known *instance) {
 	known.State = fleetwire.InstanceGone
 	p.superseded[known.Node] = append(p.superseded[known.Node], known.ID)
 	p.revision++
 }
 
-// earlierOver takes a gateway's word that nothing is held any more by earlier lives of its
-// back end than the one it tells of.
-func (p *Planner) earlierOver(told *instance) {
-	if p.nodes[told.Node] != told.ID {
-		return // a late word
-	}
-	for _, id := range p.superseded[told.Node] {
-		if known := p.instances[id]; known != nil && id != told.ID {
+// releaseSuperseded frees the keys of earlier incarnations once their gateway has confirmed
+// that they hold none any more.
+func (p *Planner) releaseSuperseded(reported *instance) {
+	if p.nodes[reported.Node] != reported.ID {
+		return // a delayed report
+	}
+	for _, id := range p.superseded[reported.Node] {
+		if known := p.instances[id]; known != nil && id != reported.ID {
 			known.Released, known.leasedUntil = true, 0
 		}
 	}
-	delete(p.superseded, told.Node)
+	delete(p.superseded, reported.Node)
 }
 
-// succeeded says that a later life of a back end was told of than one that is told of
-// again: a late word, which changes nothing.
-func (p *Planner) succeeded(known *instance) bool {
+// isSuperseded reports whether a later incarnation of the back end has been reported
+// already, so that a report of this one is a delayed one.
+func (p *Planner) isSuperseded(known *instance) bool {
 	present := p.nodes[known.Node]
 	return known.State == fleetwire.InstanceGone && present != "" && present != known.ID
 }
 
-// forget drops instances that ended long ago.
-func (p *Planner) forget(now time.Duration) {
+// expireInstances drops instances that own nothing and were last reported long ago.
+func (p *Planner) expireInstances(now time.Duration) {
 	const kept = time.Minute
 	for id, known := range p.instances {
-		if now > known.heardAt+kept && now > known.leasedUntil && len(p.state.Owners(known.Service).OwnedBy(id)) == 0 {
+		if now > known.lastReportAt+kept && now > known.leasedUntil && len(p.state.Owners(known.Service).OwnedBy(id)) == 0 {
 			delete(p.instances, id)
 			if p.nodes[known.Node] == id {
 				delete(p.nodes, known.Node)
@@ -145,14 +148,14 @@
 	}
 }
 
-// targets returns the instances of a service that may get keys, in the order of
-// their IDs: those that bear their full load, or where all are cold, all of them.
-// Keys of a full back end would make a cold one fail.
+// targets returns the instances of a service that may get keys, sorted by ID: the
+// warmed-up ones, or all of them if none is warmed up. A cold back end would fail
+// under the keys of a fully loaded one.
 func (p *Planner) targets(service string, now time.Duration) []*instance {
 	var found []*instance
 	for _, known := range p.instances {
 		evacuated := p.state.Evacuated(known.Zone)
-		if known.Service == service && known.State == fleetwire.InstanceReady && !evacuated && !known.silent && now < known.heardAt+p.config.SilentAfter {
+		if known.Service == service && known.State == fleetwire.InstanceReady && !evacuated && !known.silent && now < known.lastReportAt+p.config.SilentAfter {
 			found = append(found, known)
 		}
 	}
@@ -165,7 +168,7 @@
 
 func isWarm(target *instance) bool { return !target.Cold }
 
-// settled says that no new back end has come for a while.
+// settled reports whether no new back end has appeared for a while.
 func (p *Planner) settled(targets []*instance, now time.Duration) bool {
 	if len(targets) == 0 {
 		return false
--- a/internal/keylease/large_test.go
+++ b/internal/keylease/large_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// largeLeader is a leader of 137 back ends that have keys under load.
+// largeLeader returns a leader of largeFleet back ends that have keys under load.
 func largeLeader() *leader {
 	l := newLeader()
 	random := rand.New(rand.NewPCG(3, 3))
@@ -25,30 +25,30 @@
 // largeFleet is the number of back ends of the users' largest keyed service.
 const largeFleet = 137
 
-// reportLarge reports all back ends, some of them as draining.
+// reportLarge reports all back ends with random load, some of them as draining.
 func (l *leader) reportLarge(random *rand.Rand, draining map[int]bool) {
 	for node := range largeFleet {
-		told := instance(node, 0)
+		reported := instance(node, 0)
 		if draining[node] {
-			told.State, told.Sequence = fleetwire.InstanceDraining, 2
+			reported.State, reported.Sequence = fleetwire.InstanceDraining, 2
 		}
 		var load []fleetwire.KeyLoad
-		for _, owned := range l.state.Owners(service).OwnedBy(told.ID) {
+		for _, owned := range l.state.Owners(service).OwnedBy(reported.ID) {
 			for range 40 {
 				key := owned.First + keyspace.Key(random.IntN(owned.Size()))
 				load = append(load, fleetwire.KeyLoad{Bucket: keylease.BucketOf(key), BusyMicros: uint64(random.IntN(4000))})
 			}
 		}
-		l.planner.Report(&fleetwire.Report{Boot: 1, Instance: told, Load: load}, l.now)
+		l.planner.Report(&fleetwire.Report{Boot: 1, Instance: reported, Load: load}, l.now)
 	}
 }
 
-// What a leader decides at once must not keep it from its heartbeats: a tenth of
-// its back ends leave together.
-func BenchmarkManyBackEndsLeave(b *testing.B) { benchmarkLeaving(b, largeLeader) }
+// BenchmarkManyBackEndsDrain measures the decisions of a leader when a tenth of its back
+// ends drain at once. They must not delay its heartbeats.
+func BenchmarkManyBackEndsDrain(b *testing.B) { benchmarkDraining(b, largeLeader) }
 
-// aTenth are back ends that leave together.
-func aTenth() map[int]bool {
+// drainingTenth returns the nodes of a tenth of the back ends.
+func drainingTenth() map[int]bool {
 	draining := map[int]bool{}
 	for node := range 14 {
 		draining[node*9] = true
@@ -56,8 +56,8 @@
 	return draining
 }
 
-func benchmarkLeaving(b *testing.B, newLeader func() *leader) {
-	draining := aTenth()
+func benchmarkDraining(b *testing.B, newLeader func() *leader) {
+	draining := drainingTenth()
 	random := rand.New(rand.NewPCG(4, 4))
 	for b.Loop() {
 		b.StopTimer()
@@ -72,7 +72,7 @@
 	}
 }
 
-// BenchmarkLargeTick is one look of a leader at a calm fleet.
+// BenchmarkLargeTick measures a tick with a large fleet in which nothing changes.
 func BenchmarkLargeTick(b *testing.B) {
 	l := largeLeader()
 	for b.Loop() {
@@ -82,36 +82,36 @@
 	}
 }
 
-// BenchmarkLargeReport is one report of a gateway of a large fleet.
+// BenchmarkLargeReport measures one report of a gateway in a large fleet.
 func BenchmarkLargeReport(b *testing.B) {
 	l := largeLeader()
-	told := instance(5, 0)
+	reported := instance(5, 0)
 	for b.Loop() {
-		l.planner.Report(&fleetwire.Report{Boot: 1, Instance: told}, l.now)
+		l.planner.Report(&fleetwire.Report{Boot: 1, Instance: reported}, l.now)
 	}
 }
 
-// All keys of back ends that leave find other owners, spread over many.
-func TestTheKeysOfManyThatLeaveAreSpread(t *testing.T) {
+// When many back ends drain at once, their keys are spread over all others.
+func TestKeysOfManyDrainingBackEndsAreSpread(t *testing.T) {
 	l := largeLeader()
-	draining := aTenth()
+	draining := drainingTenth()
 	for range 200 {
 		for node := range largeFleet {
-			told := instance(node, 0)
+			reported := instance(node, 0)
 			if draining[node] {
-				told.State, told.Sequence = fleetwire.InstanceDraining, 2
+				reported.State, reported.Sequence = fleetwire.InstanceDraining, 2
 			}
-			lease := l.report(told)
-			l.report(told, promisesOf(lease.Release, "")...)
+			lease := l.report(reported)
+			l.report(reported, releasesOf(lease.Release, "")...)
 		}
 		l.advance(25 * time.Millisecond)
 	}
-	takers := map[string]bool{}
+	owners := map[string]bool{}
 	for _, owned := range l.state.Owners(service).All() {
-		takers[owned.Owner] = true
+		owners[owned.Owner] = true
 	}
 	for node := range draining {
-		assert.Assert(t, !takers[instance(node, 0).ID])
+		assert.Assert(t, !owners[instance(node, 0).ID])
 	}
-	assert.Equal(t, len(takers), largeFleet-len(draining))
+	assert.Equal(t, len(owners), largeFleet-len(draining))
 }
--- a/internal/keylease/ranges_test.go
+++ b/internal/keylease/manyranges_test.go
@@ -11,17 +11,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// rangesEach is how many ranges a back end has once keys have run hot for a while.
-const rangesEach = 24
+// rangesPerOwner is how many ranges a back end has once keys have been hot for a while.
+const rangesPerOwner = 24
 
-// scatteredLeader is a leader of as many back ends as largeLeader's, whose keys have
-// moved to and fro: each has many ranges.
-func scatteredLeader() *leader {
+// fragmentedLargeLeader returns a leader of largeFleet back ends that own many small
+// ranges each, as after many moves.
+func fragmentedLargeLeader() *leader {
 	l := largeLeader()
 	random := rand.New(rand.NewPCG(6, 6))
-	size := (int(keyspace.LastKey) + 1) / (largeFleet * rangesEach)
+	size := (int(keyspace.LastKey) + 1) / (largeFleet * rangesPerOwner)
 	var batch fleetstate.ChangeOwnership
-	for i := range largeFleet * rangesEach {
+	for i := range largeFleet * rangesPerOwner {
 		keys := keyspace.Range{First: keyspace.Key(i * size), Last: keyspace.Key((i+1)*size - 1)}
 		from := l.state.Owners(service).Find(keys.First).Owner
 		if l.state.Owners(service).Find(keys.Last).Owner != from {
@@ -38,15 +38,15 @@
 	return l
 }
 
-// BenchmarkManyBackEndsWithManyRangesLeave is what a leader decides where a tenth of
-// its back ends leave together, after keys have run hot.
-func BenchmarkManyBackEndsWithManyRangesLeave(b *testing.B) { benchmarkLeaving(b, scatteredLeader) }
+// BenchmarkFragmentedBackEndsDrain measures the decisions of a leader when a tenth of
+// its back ends, with many ranges each, drain at once.
+func BenchmarkFragmentedBackEndsDrain(b *testing.B) { benchmarkDraining(b, fragmentedLargeLeader) }
 
-// A leader that decides for seconds sends no heartbeats meanwhile and loses its
-// office. What it allocates tells how often it goes over all ranges, on any machine.
-func TestWhatALeaderDecidesAtOnceGrowsWithItsRangesOnly(t *testing.T) {
-	draining := aTenth()
-	l := scatteredLeader()
+// A leader whose tick takes seconds sends no heartbeats meanwhile and loses its leadership.
+// The number of allocations shows, on any machine, how often a tick iterates over all ranges.
+func TestTickAllocationsAreLinearInRanges(t *testing.T) {
+	draining := drainingTenth()
+	l := fragmentedLargeLeader()
 	l.reportLarge(rand.New(rand.NewPCG(4, 4)), draining)
 	ranges := len(l.state.Owners(service).All())
 	var before, after runtime.MemStats
--- a/internal/keylease/join_test.go
+++ b/internal/keylease/merge_test.go
@@ -10,9 +10,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// divided is a leader with two back ends, of which one owns many neighbouring
-// ranges under a fence each.
-func divided(ranges int) *leader {
+// fragmentedLeader returns a leader with two back ends, one of which owns many adjacent
+// ranges with a fence each.
+func fragmentedLeader(ranges int) *leader {
 	l := newLeader()
 	for range 60 {
 		l.report(instance(0, 0))
@@ -29,17 +29,17 @@
 	return l
 }
 
-// step reports both back ends, which give up what they are asked for.
+// step reports both back ends, which release what they are asked for.
 func (l *leader) step() {
 	for node := range 2 {
 		lease := l.report(instance(node, 0))
-		l.report(instance(node, 0), promisesOf(lease.Release, "")...)
+		l.report(instance(node, 0), releasesOf(lease.Release, "")...)
 	}
 	l.advance(100 * time.Millisecond)
 }
 
-func TestNeighbouringRangesOfAnOwnerThatHasManyAreJoined(t *testing.T) {
-	l := divided(30)
+func TestAdjacentRangesAreMergedIfOwnerHasMany(t *testing.T) {
+	l := fragmentedLeader(30)
 	before := l.state.Owners(service).OwnedBy("i-0-0")
 	assert.Assert(t, len(before) > 30)
 	highest := keyspace.Fence(0)
@@ -51,15 +51,15 @@
 	}
 	after := l.state.Owners(service).OwnedBy("i-0-0")
 	assert.Equal(t, len(after), 1)
-	assert.Assert(t, after[0].Fence > highest, "a fence is not used twice")
+	assert.Assert(t, after[0].Fence > highest, "the merged range has a new fence")
 	assert.Equal(t, after[0].Range, keyspace.Range{First: 0, Last: 32767})
 	lease := l.report(instance(0, 0))
 	assert.Equal(t, len(lease.Held), 1)
 	assert.Equal(t, len(lease.Release), 0, "nothing moves")
 }
 
-func TestFewRangesAreLeftAlone(t *testing.T) {
-	l := divided(5)
+func TestFewRangesAreNotMerged(t *testing.T) {
+	l := fragmentedLeader(5)
 	before := l.state.OwnersIndex()
 	for range 80 {
 		l.step()
@@ -67,10 +67,10 @@
 	assert.Equal(t, l.state.OwnersIndex(), before)
 }
 
-// What the last owner left is lost where a range is joined before its back end
-// has taken it.
-func TestRangesRestBeforeTheyAreJoined(t *testing.T) {
-	l := divided(30)
+// If a range is merged before its back end has taken over the previous owner's handover,
+// that handover is lost.
+func TestRangesAreMergedOnlyAfterDelay(t *testing.T) {
+	l := fragmentedLeader(30)
 	l.elect()
 	began := l.now
 	for len(l.state.Owners(service).OwnedBy("i-0-0")) > 1 {
@@ -79,12 +79,12 @@
 	assert.Assert(t, l.now-began >= 5*time.Second)
 }
 
-// A range that is being given up stays apart.
-func TestARangeThatMovesIsNotJoined(t *testing.T) {
-	l := divided(30)
+// A range that is being released is not merged.
+func TestMovingRangeIsNotMerged(t *testing.T) {
+	l := fragmentedLeader(30)
 	draining := instance(0, 0)
 	draining.State, draining.Sequence = fleetwire.InstanceDraining, 2
-	// The lease that lists them lasts for longer.
+	// The lease that lists the ranges lasts longer than this loop.
 	for range 70 {
 		l.report(draining)
 		l.report(instance(1, 0))
--- a/internal/keylease/moves.go
+++ b/internal/keylease/moves.go
@@ -8,21 +8,25 @@
 	"github.com/quartzdock/quartzdock/internal/keyspace"
 )
 
-// move is a range on its way from one owner to another.
+// move is a range that is being transferred from one owner to another.
 type move struct {
 	service string
 	held    fleetwire.Held
 	from    string
 	began   time.Duration
-	// to is the wanted target; another one is taken where that is lost.
+	// to is the preferred target; another one is chosen if it is lost.
 	to string
-	// freeAt is when every lease that lists the range has ended.
-	freeAt   time.Duration
+	// leasesEndAt is when every lease that lists the range has ended.
+	leasesEndAt time.Duration
+	// released is set once the gateway has confirmed the release, and handover is what
+	// the back end left for the next owner.
 	released bool
 	handover string
+	// proposed is set once the change of owner is in a batch.
 	proposed bool
 }
 
+// subtract returns what is left of ranges without the keys of taken.
 func subtract(ranges []keyspace.Range, taken keyspace.Range) []keyspace.Range {
 	var rest []keyspace.Range
 	for _, keys := range ranges {
@@ -31,12 +35,13 @@
 	return rest
 }
 
-func (p *Planner) takeReleased(told *instance, promises []fleetwire.Released) {
-	for _, promise := range promises {
+// recordReleases marks the moves whose ranges the owner's gateway has released.
+func (p *Planner) recordReleases(owner *instance, releases []fleetwire.Released) {
+	for _, release := range releases {
 		for _, moving := range p.moves {
-			if moving.from == told.ID && moving.held.Fence == promise.Fence && promise.Keys == moving.held.Keys && !moving.released {
+			if moving.from == owner.ID && moving.held.Fence == release.Fence && release.Keys == moving.held.Keys && !moving.released {
 				moving.released = true
-				moving.handover = promise.Handover
+				moving.handover = release.Handover
 			}
 		}
 	}
@@ -53,47 +58,47 @@
 	return rest
 }
 
-// wholeRange is the size up to which a range is moved to one target.
-const wholeRange = 2048
+// maxUndividedSize is the size up to which a range is moved to one target.
+const maxUndividedSize = 2048
 
-// spread begins to move a range to several targets, the least loaded first. A
-// small range goes to one.
+// spread starts to move a range to several targets, the least loaded first. A
+// small range goes to one target.
 func (p *Planner) spread(service string, from keyspace.Assignment, keys keyspace.Range, targets []*instance, now time.Duration) {
-	parts := divide(keys, min(len(targets), 1+keys.Size()/wholeRange))
+	parts := divide(keys, min(len(targets), 1+keys.Size()/maxUndividedSize))
 	least := p.usageOf(service, now).leastLoaded(targets, len(parts))
 	for i, part := range parts {
-		p.begin(service, from, part, least[i].ID, now)
+		p.startMove(service, from, part, least[i].ID, now)
 	}
 }
 
-// begin starts a move. From now on no lease lists the range.
-func (p *Planner) begin(service string, from keyspace.Assignment, keys keyspace.Range, to string, now time.Duration) {
-	freeAt := p.settledAt
+// startMove starts a move. From now on no lease lists the range as held.
+func (p *Planner) startMove(service string, from keyspace.Assignment, keys keyspace.Range, to string, now time.Duration) {
+	freeAt := p.earlierLeasesEnd
 	if owner, ok := p.instances[from.Owner]; ok {
 		freeAt = owner.leasedUntil
 	}
-	p.concerned[from.Node] = true
+	p.nodesToReport[from.Node] = true
 	begun := &move{
-		service: service,
-		held:    fleetwire.Held{Keys: keys, Fence: from.Fence},
-		from:    from.Owner,
-		began:   now,
-		to:      to,
-		freeAt:  freeAt,
+		service:     service,
+		held:        fleetwire.Held{Keys: keys, Fence: from.Fence},
+		from:        from.Owner,
+		began:       now,
+		to:          to,
+		leasesEndAt: freeAt,
 	}
-	p.usageOf(service, now).shift(begun)
+	p.usageOf(service, now).applyMove(begun)
 	p.moves = append(p.moves, begun)
 }
 
-// completeMoves gives the ranges whose owners can't serve them any more to
-// their targets.
+// completeMoves returns the changes of owner for all moves whose source can no
+// longer serve the range.
 func (p *Planner) completeMoves(now time.Duration) []fleetstate.OwnershipChange {
 	var changes []fleetstate.OwnershipChange
 	for _, moving := range p.moves {
 		if owner, ok := p.instances[moving.from]; ok && owner.leasedUntil == 0 {
-			moving.freeAt = 0
+			moving.leasesEndAt = 0
 		}
-		if !moving.released && now <= moving.freeAt {
+		if !moving.released && now <= moving.leasesEndAt {
 			continue
 		}
 		to := p.target(moving, now)
@@ -108,8 +113,8 @@
 	return changes
 }
 
-// target returns the wanted target, or the least loaded one where that is
-// lost; nil is none.
+// target returns the preferred target of a move, the least loaded one if that is
+// lost, or nil if there is none.
 func (p *Planner) target(moving *move, now time.Duration) *instance {
 	used := p.usageOf(moving.service, now)
 	targets := used.targets
--- a/internal/keylease/joiner_test.go
+++ b/internal/keylease/newbackend_test.go
@@ -10,31 +10,31 @@
 	"gotest.tools/v3/assert"
 )
 
-// reportCalm reports an owner whose keys use a fifth of its four slots, and that
-// gives up what it is asked for.
-func (l *leader) reportCalm(told *fleetwire.Instance) {
-	const buckets, calmMicros = 64, 80_000
+// reportLowLoad reports an owner whose keys use a fifth of its four slots, and that
+// releases what it is asked for.
+func (l *leader) reportLowLoad(reported *fleetwire.Instance) {
+	const buckets, busyMicros = 64, 80_000
 	var load []fleetwire.KeyLoad
-	for _, owned := range l.state.Owners(service).OwnedBy(told.ID) {
+	for _, owned := range l.state.Owners(service).OwnedBy(reported.ID) {
 		step := keyspace.Key(max(owned.Size()/buckets, 1))
 		for i := range keyspace.Key(buckets) {
-			load = append(load, fleetwire.KeyLoad{Bucket: keylease.BucketOf(owned.First + i*step), BusyMicros: calmMicros / buckets})
+			load = append(load, fleetwire.KeyLoad{Bucket: keylease.BucketOf(owned.First + i*step), BusyMicros: busyMicros / buckets})
 		}
 	}
-	lease := l.planner.Report(&fleetwire.Report{Boot: 1, Instance: told, Load: load}, l.now)
-	l.report(told, promisesOf(lease.Release, "")...)
+	lease := l.planner.Report(&fleetwire.Report{Boot: 1, Instance: reported, Load: load}, l.now)
+	l.report(reported, releasesOf(lease.Release, "")...)
 }
 
-// A back end that joins while nobody is short of room serves nobody until it
-// holds keys: it must get some all the same, and once.
-func TestABackEndThatJoinsInACalmTimeGetsKeys(t *testing.T) {
+// A new back end gets no requests until it holds keys. It must get some even if no other
+// back end is short of capacity, and only once.
+func TestNewBackEndGetsKeysAtLowLoad(t *testing.T) {
 	l := newLeader()
 	step := func(joined bool) {
 		for node := range 2 {
-			l.reportCalm(instance(node, 0))
+			l.reportLowLoad(instance(node, 0))
 		}
 		if joined {
-			l.reportCalm(instance(2, 0))
+			l.reportLowLoad(instance(2, 0))
 		}
 		l.advance(100 * time.Millisecond)
 	}
@@ -46,11 +46,11 @@
 		step(false)
 	}
 	assert.DeepEqual(t, l.state.Owners(service).All(), before)
-	came := l.now
-	for len(l.state.Owners(service).OwnedBy("i-2-0")) == 0 && l.now < came+10*time.Second {
+	started := l.now
+	for len(l.state.Owners(service).OwnedBy("i-2-0")) == 0 && l.now < started+10*time.Second {
 		step(true)
 	}
-	assert.Assert(t, l.now <= came+5*time.Second, "no keys after %v", l.now-came)
+	assert.Assert(t, l.now <= started+5*time.Second, "no keys after %v", l.now-started)
 	got := l.state.Owners(service).All()
 	for range 100 {
 		step(true)
--- a/internal/keylease/owners.go
+++ b/internal/keylease/owners.go
@@ -9,8 +9,8 @@
 	"github.com/quartzdock/quartzdock/internal/keyspace"
 )
 
-// renewFences gives owners whose gateway has another process their keys under a
-// new fence. Moves that the last process did not end begin anew.
+// renewFences gives owners whose gateway has restarted their keys under a new fence.
+// Moves that the previous gateway process has not released start over.
 func (p *Planner) renewFences(service string) []fleetstate.OwnershipChange {
 	var changes []fleetstate.OwnershipChange
 	for _, owned := range p.state.Owners(service).All() {
@@ -30,7 +30,7 @@
 	return changes
 }
 
-// firstOwners gives the keys that never had an owner evenly to all targets.
+// firstOwners distributes keys that never had an owner evenly over all targets.
 func (p *Planner) firstOwners(service string, now time.Duration) []fleetstate.OwnershipChange {
 	var free []keyspace.Range
 	for _, assignment := range p.state.Owners(service).All() {
@@ -51,7 +51,7 @@
 	return changes
 }
 
-// divide cuts a range into at most a number of nearly equal parts.
+// divide splits a range into at most the given number of nearly equal parts.
 func divide(keys keyspace.Range, parts int) []keyspace.Range {
 	size := keys.Size()
 	parts = min(parts, size)
@@ -65,21 +65,22 @@
 	return divided
 }
 
-// takeFromEnded begins moves for the ranges of owners that end or are lost.
-func (p *Planner) takeFromEnded(service string, now time.Duration) {
+// moveFromEnded starts moves for the ranges of owners that drain, have ended or are
+// lost.
+func (p *Planner) moveFromEnded(service string, now time.Duration) {
 	targets := p.usageOf(service, now).targets
 	if len(targets) == 0 {
 		return
 	}
 	for _, assignment := range p.state.Owners(service).All() {
-		if assignment.Owner == "" || !p.ends(assignment.Owner, now) {
+		if assignment.Owner == "" || !p.shouldLoseKeys(assignment.Owner, now) {
 			continue
 		}
 		candidates := targets
 		if successor := p.successor(p.usageOf(service, now), assignment); successor != nil {
 			candidates = []*instance{successor}
 		}
-		if p.renewing(assignment) {
+		if p.awaitsNewFence(assignment) {
 			continue
 		}
 		for _, keys := range p.notMoving(service, assignment.Range) {
@@ -88,14 +89,15 @@
 	}
 }
 
-// renewing says that an owner is about to get a new fence for an assignment.
-func (p *Planner) renewing(assignment keyspace.Assignment) bool {
+// awaitsNewFence reports whether an owner is about to get a new fence for an
+// assignment.
+func (p *Planner) awaitsNewFence(assignment keyspace.Assignment) bool {
 	owner, ok := p.instances[assignment.Owner]
 	return ok && owner.boot != 0 && owner.boot != assignment.Boot && owner.State != fleetwire.InstanceGone
 }
 
-// successor is the next life of an ended owner, which gets all its keys: it has
-// no others.
+// successor returns the next incarnation of an ended owner if it has no keys yet. It
+// then gets all keys of that owner.
 func (p *Planner) successor(used *usage, ended keyspace.Assignment) *instance {
 	for _, target := range used.targets {
 		if target.Node == ended.Node && len(used.ownedBy(target.ID)) == 0 {
@@ -105,15 +107,15 @@
 	return nil
 }
 
-// ends says that an owner should lose its keys: it drains, it has ended or fallen
-// silent, its zone is evacuated, or its lease ran out.
-func (p *Planner) ends(owner string, now time.Duration) bool {
+// shouldLoseKeys reports whether an owner's keys should move away: it drains, has
+// ended or is silent, its zone is evacuated, or its lease has ended.
+func (p *Planner) shouldLoseKeys(owner string, now time.Duration) bool {
 	known, ok := p.instances[owner]
 	if !ok {
-		return now > p.settledAt
+		return now > p.earlierLeasesEnd
 	}
 	if known.State == fleetwire.InstanceGone {
-		// Until its time is over it may be reached again, and keep its keys.
+		// Until its lease ends it may become reachable again and keep its keys.
 		return now > known.leasedUntil
 	}
 	if known.State != fleetwire.InstanceReady || known.silent || p.state.Evacuated(known.Zone) {
--- a/internal/keylease/planner_test.go
+++ b/internal/keylease/planner_test.go
@@ -17,14 +17,15 @@
 
 const service = "keyed"
 
-// leader is a planner over a state, with the log in between.
+// leader is a planner and the state to which its batches are applied.
 type leader struct {
 	state   *fleetstate.State
 	planner *keylease.Planner
 	index   uint64
 	now     time.Duration
-	// earlierHold says that gateways don't vouch for it that earlier lives hold nothing.
-	earlierHold bool
+	// withholdEarlierOver keeps gateways from confirming that earlier incarnations hold no
+	// keys.
+	withholdEarlierOver bool
 }
 
 func newLeader() *leader {
@@ -44,12 +45,12 @@
 	l.state.Apply(l.index, data)
 }
 
-// elect begins a new term; all that the leader alone knew is forgotten.
+// elect begins a new term with a new planner, which knows only the replicated state.
 func (l *leader) elect() {
 	l.planner = keylease.New(keylease.Config{}, l.state, l.now, l.now)
 }
 
-// advance lets time pass and puts batches through the log.
+// advance lets time pass and applies the next batch.
 func (l *leader) advance(step time.Duration) {
 	l.now += step
 	if batch := l.planner.Tick(l.now); batch != nil {
@@ -58,34 +59,34 @@
 	}
 }
 
-func instance(node int, life int) *fleetwire.Instance {
+func instance(node int, incarnation int) *fleetwire.Instance {
 	return &fleetwire.Instance{
-		ID: fmt.Sprintf("i-%d-%d", node, life), Service: service, Node: fmt.Sprintf("node-%d", node),
-		Slots: 4, State: fleetwire.InstanceReady, Sequence: uint64(life + 1),
+		ID: fmt.Sprintf("i-%d-%d", node, incarnation), Service: service, Node: fmt.Sprintf("node-%d", node),
+		Slots: 4, State: fleetwire.InstanceReady, Sequence: uint64(incarnation + 1),
 	}
 }
 
-func (l *leader) report(told *fleetwire.Instance, released ...fleetwire.Released) *fleetwire.Lease {
-	return l.reportFrom(1, told, released...)
+func (l *leader) report(reported *fleetwire.Instance, released ...fleetwire.Released) *fleetwire.Lease {
+	return l.reportFrom(1, reported, released...)
 }
 
 // reportFrom reports from a process of the gateway.
-func (l *leader) reportFrom(boot uint64, told *fleetwire.Instance, released ...fleetwire.Released) *fleetwire.Lease {
-	return l.planner.Report(&fleetwire.Report{Boot: boot, Instance: told, Released: released, EarlierOver: !l.earlierHold}, l.now)
+func (l *leader) reportFrom(boot uint64, reported *fleetwire.Instance, released ...fleetwire.Released) *fleetwire.Lease {
+	return l.planner.Report(&fleetwire.Report{Boot: boot, Instance: reported, Released: released, EarlierOver: !l.withholdEarlierOver}, l.now)
 }
 
-// promisesOf gives up what a lease asks for, each range with a handover.
-func promisesOf(asked []fleetwire.Held, handover string) []fleetwire.Released {
-	var promises []fleetwire.Released
+// releasesOf confirms all releases that a lease asks for, each with a handover.
+func releasesOf(asked []fleetwire.Held, handover string) []fleetwire.Released {
+	var releases []fleetwire.Released
 	for _, held := range asked {
-		promises = append(promises, fleetwire.Released{Keys: held.Keys, Fence: held.Fence, Handover: handover})
+		releases = append(releases, fleetwire.Released{Keys: held.Keys, Fence: held.Fence, Handover: handover})
 	}
-	return promises
+	return releases
 }
 
-// A gateway that was restarted does not know what its last process sent to the
-// back end; a grant of that may still be taken.
-func TestARestartedGatewayGetsItsKeysUnderANewFence(t *testing.T) {
+// A restarted gateway does not know what its previous process sent to the back end,
+// which may still accept a grant of that process.
+func TestRestartedGatewayGetsItsKeysUnderNewFence(t *testing.T) {
 	l := newLeader()
 	for range 60 {
 		l.report(instance(0, 0))
@@ -103,7 +104,7 @@
 	assert.Assert(t, l.planner.Concerned()["node-0"])
 }
 
-func TestFirstOwnersShareTheKeys(t *testing.T) {
+func TestFirstOwnersShareKeysEvenly(t *testing.T) {
 	l := newLeader()
 	for range 60 {
 		for node := range 4 {
@@ -118,7 +119,7 @@
 	}
 }
 
-func TestKeysOfASilentOwnerMoveOnlyAfterItsLease(t *testing.T) {
+func TestKeysOfSilentOwnerMoveOnlyAfterItsLease(t *testing.T) {
 	l := newLeader()
 	for range 60 {
 		l.report(instance(0, 0))
@@ -133,7 +134,7 @@
 	assert.Assert(t, l.now-lastHeard >= keylease.DefaultLeaseDuration-100*time.Millisecond, "%s", l.now-lastHeard)
 }
 
-func TestANewLeaderWaitsForItsPredecessorsLeases(t *testing.T) {
+func TestNewLeaderWaitsForLeasesOfItsPredecessor(t *testing.T) {
 	l := newLeader()
 	for range 60 {
 		l.report(instance(0, 0))
@@ -149,9 +150,10 @@
 	assert.Assert(t, l.now-elected >= keylease.DefaultLeaseDuration, "%s", l.now-elected)
 }
 
-// The next life of a back end gets the keys of the last one once its gateway vouches for it
-// that nothing is held any more, also from a leader that never heard of the last one.
-func TestTheNextLifeAtTheSameGatewayGetsTheKeysOnceTheLastOneHoldsNone(t *testing.T) {
+// The next incarnation of a back end gets the keys of the previous one once its gateway
+// confirms that these are no longer held, even from a leader to which the previous one was
+// never reported.
+func TestNextIncarnationGetsKeysOnceEarlierOnesHoldNone(t *testing.T) {
 	l := newLeader()
 	for range 60 {
 		l.report(instance(0, 0))
@@ -160,12 +162,12 @@
 	}
 	before := l.state.Owners(service).OwnedBy("i-0-0")
 	l.elect()
-	l.earlierHold = true
+	l.withholdEarlierOver = true
 	l.report(instance(0, 1))
 	l.report(instance(1, 0))
 	l.advance(100 * time.Millisecond)
 	assert.Equal(t, len(l.state.Owners(service).OwnedBy("i-0-1")), 0)
-	l.earlierHold = false
+	l.withholdEarlierOver = false
 	l.report(instance(0, 1))
 	l.report(instance(1, 0))
 	l.advance(100 * time.Millisecond)
@@ -175,7 +177,7 @@
 	assert.Assert(t, after[0].Fence > before[0].Fence)
 }
 
-func TestADrainingOwnerHandsItsKeysOver(t *testing.T) {
+func TestDrainingOwnerHandsKeysOver(t *testing.T) {
 	l := newLeader()
 	for range 60 {
 		l.report(instance(0, 0))
@@ -189,8 +191,8 @@
 	lease := l.report(leaving)
 	assert.Equal(t, len(lease.Held), 0)
 	assert.Assert(t, len(lease.Release) > 0)
-	promises := promisesOf(lease.Release, "left")
-	l.report(leaving, promises...)
+	releases := releasesOf(lease.Release, "left")
+	l.report(leaving, releases...)
 	l.advance(25 * time.Millisecond)
 	for _, owned := range l.state.Owners(service).OwnedBy("i-1-0") {
 		assert.Assert(t, owned.Handover == "left" || owned.Handover == "")
@@ -198,8 +200,8 @@
 	assert.Equal(t, len(l.state.Owners(service).OwnedBy("i-0-0")), 0)
 }
 
-// A hot range leaves a busy owner as one range with few keys.
-func TestAHotRangeMovesToAnIdleOwner(t *testing.T) {
+// A hot range moves away from a busy owner as one range with few keys.
+func TestHotRangeMovesToIdleOwner(t *testing.T) {
 	l := newLeader()
 	for range 60 {
 		l.report(instance(0, 0))
@@ -217,57 +219,57 @@
 	assert.Assert(t, len(l.state.Owners(service).All()) <= 4, "few ranges: %v", l.state.Owners(service).All())
 }
 
-// reportHot reports an owner whose slots a hot range fills, and that gives up
+// reportHot reports an owner whose slots are filled by a hot range, and that releases
 // what it is asked for.
-func (l *leader) reportHot(told *fleetwire.Instance, hot keyspace.Key) {
+func (l *leader) reportHot(reported *fleetwire.Instance, hot keyspace.Key) {
 	var load []fleetwire.KeyLoad
 	for bucket := range uint32(4) {
 		load = append(load, fleetwire.KeyLoad{Bucket: keylease.BucketOf(hot) + bucket, BusyMicros: 90_000})
 	}
-	lease := l.planner.Report(&fleetwire.Report{Boot: 1, Instance: told, Load: load}, l.now)
-	promises := promisesOf(lease.Release, "")
-	l.report(told, promises...)
+	lease := l.planner.Report(&fleetwire.Report{Boot: 1, Instance: reported, Load: load}, l.now)
+	releases := releasesOf(lease.Release, "")
+	l.report(reported, releases...)
 }
 
-// A back end that has just started is slow for some seconds, but an owner
-// without room refuses: its keys must not wait for the new one to be warm.
-func TestAFullOwnerGivesKeysToABackEndThatHasJustCome(t *testing.T) {
+// A back end that has just started is slow for some seconds. But a full owner refuses
+// requests, so its keys must not wait until the new one is warm.
+func TestFullOwnerGivesKeysToNewBackEnd(t *testing.T) {
 	l := newLeader()
 	for range 60 {
 		l.reportHot(instance(0, 0), 4096)
 		l.advance(100 * time.Millisecond)
 	}
-	came := l.now
-	for len(l.state.Owners(service).OwnedBy("i-1-0")) == 0 && l.now < came+10*time.Second {
+	started := l.now
+	for len(l.state.Owners(service).OwnedBy("i-1-0")) == 0 && l.now < started+10*time.Second {
 		l.reportHot(instance(0, 0), 4096)
 		l.report(instance(1, 0))
 		l.advance(100 * time.Millisecond)
 	}
-	assert.Assert(t, l.now <= came+time.Second, "got keys after %v", l.now-came)
+	assert.Assert(t, l.now <= started+time.Second, "got keys after %v", l.now-started)
 }
 
-// gatewayModel is what a gateway believes after its last lease.
-type gatewayModel struct {
-	life  int
-	held  []fleetwire.Held
-	until time.Duration
-	asked []fleetwire.Held
+// gatewayState is what a gateway knows from its last lease.
+type gatewayState struct {
+	incarnation int
+	held        []fleetwire.Held
+	until       time.Duration
+	asked       []fleetwire.Held
 }
 
-// TestNoKeyHasTwoHolders draws silences, restarts, drains, promises, elections
-// and lost batches, and compares what any two gateways may serve.
+// TestNoKeyHasTwoHolders draws pauses, restarts, drains, releases, elections and lost
+// batches, and checks that no two gateways may serve the same key.
 func TestNoKeyHasTwoHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const nodes = 3
 		l := newLeader()
-		gateways := make([]gatewayModel, nodes)
+		gateways := make([]gatewayState, nodes)
 		for range 150 {
 			l.now += time.Duration(rapid.IntRange(10, 900).Draw(t, "pause")) * time.Millisecond
 			node := rapid.IntRange(0, nodes-1).Draw(t, "node")
 			g := &gateways[node]
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
-			case 0: // the back end starts anew and holds nothing
-				g.life++
+			case 0: // the back end restarts and holds no keys
+				g.incarnation++
 				g.held, g.asked = nil, nil
 			case 1:
 				l.elect()
@@ -276,23 +278,24 @@
 					l.elect()
 				}
 			default:
-				promises := promisesOf(g.asked, "")
-				told := instance(node, g.life)
+				releases := releasesOf(g.asked, "")
+				reported := instance(node, g.incarnation)
 				if rapid.IntRange(0, 20).Draw(t, "drain") == 0 {
-					told.State = fleetwire.InstanceDraining
-					told.Sequence += 1000
+					reported.State = fleetwire.InstanceDraining
+					reported.Sequence += 1000
 				}
-				lease := l.report(told, promises...)
-				// The gateway counts from the sending and stops what is asked for.
+				lease := l.report(reported, releases...)
+				// The gateway counts the lease from when it sent its report, and stops serving
+				// the ranges to be released.
 				g.held, g.asked, g.until = lease.Held, lease.Release, l.now+lease.Duration
 			}
 			l.advance(0)
-			check(t, l.now, gateways)
+			checkNoOverlap(t, l.now, gateways)
 		}
 	})
 }
 
-func check(t *rapid.T, now time.Duration, gateways []gatewayModel) {
+func checkNoOverlap(t *rapid.T, now time.Duration, gateways []gatewayState) {
 	for a := range gateways {
 		for b := range gateways[:a] {
 			if now >= gateways[a].until || now >= gateways[b].until {
@@ -309,9 +312,9 @@
 	}
 }
 
-// After others have left, one owner may hold many small ranges and be asked for
-// much more than it has slots. A new back end must still get a part.
-func TestANewBackEndGetsKeysOfAnOwnerWithManySmallRanges(t *testing.T) {
+// After other back ends have gone, one owner may hold many small ranges with a load far
+// above its slots. A new back end must still get some of them.
+func TestNewBackEndGetsKeysOfOwnerWithManySmallRanges(t *testing.T) {
 	l := newLeader()
 	const ranges = 32
 	var batch fleetstate.ChangeOwnership
@@ -328,8 +331,8 @@
 			load = append(load, fleetwire.KeyLoad{Bucket: bucket, BusyMicros: 60_000})
 		}
 		lease := l.planner.Report(&fleetwire.Report{Boot: 1, Instance: instance(0, 0), Load: load}, l.now)
-		promises := promisesOf(lease.Release, "")
-		l.report(instance(0, 0), promises...)
+		releases := releasesOf(lease.Release, "")
+		l.report(instance(0, 0), releases...)
 		l.report(instance(1, 0))
 		l.advance(100 * time.Millisecond)
 	}
@@ -340,9 +343,9 @@
 	assert.Assert(t, moved > 8192, "%d keys", moved)
 }
 
-// A back end that stands still behind a gateway that is well keeps its lease; its
-// keys go to others once they are surely free, and it gets none until it is heard.
-func TestKeysOfASilentBackEndMoveAndNoneComeToIt(t *testing.T) {
+// A back end that hangs behind a working gateway keeps its lease. Its keys move once they
+// are released, and it gets none until it responds again.
+func TestSilentBackEndLosesKeysAndGetsNone(t *testing.T) {
 	l := newLeader()
 	for range 60 {
 		l.report(instance(0, 0))
@@ -358,9 +361,9 @@
 	l.advance(100 * time.Millisecond)
 	lease := l.planner.Report(silent, l.now)
 	assert.Equal(t, len(lease.Held), 0)
-	assert.Assert(t, len(lease.Release) > 0, "its gateway is asked for them")
+	assert.Assert(t, len(lease.Release) > 0, "its gateway is asked to release the keys")
 	assert.Assert(t, l.state.Owners(service).OwnedBy("i-0-0") != nil, "not free yet")
-	silent.Released = promisesOf(lease.Release, "")
+	silent.Released = releasesOf(lease.Release, "")
 	for range 100 {
 		l.planner.Report(silent, l.now)
 		l.report(instance(1, 0))
--- a/internal/keylease/pace_test.go
+++ b/internal/keylease/runtimes_test.go
@@ -10,22 +10,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// pacedLoad is what a test's back ends ask for in each step: busy slots of single keys, at
-// the mean pace, and how long each back end takes for a run.
-type pacedLoad struct {
+// loadProfile is the load of a test's back ends: the busy slots of single keys at the mean
+// run time, and the run time of each back end.
+type loadProfile struct {
 	runTime map[int]time.Duration
 	mean    time.Duration
 	slots   map[keyspace.Key]float64
 }
 
-// work lets all back ends report and obey what they are told.
-func (l *leader) work(load pacedLoad) {
+// reportLoad lets all back ends report and release what they are asked for.
+func (l *leader) reportLoad(load loadProfile) {
 	const interval = 100 * time.Millisecond
 	for node := range len(load.runTime) {
-		told := instance(node, 0)
+		reported := instance(node, 0)
 		runTime := load.runTime[node]
-		report := &fleetwire.Report{Boot: 1, Instance: told, Runs: 4, RunMicros: uint64(4 * runTime.Microseconds())}
-		for _, owned := range l.state.Owners(service).OwnedBy(told.ID) {
+		report := &fleetwire.Report{Boot: 1, Instance: reported, Runs: 4, RunMicros: uint64(4 * runTime.Microseconds())}
+		for _, owned := range l.state.Owners(service).OwnedBy(reported.ID) {
 			for key, slots := range load.slots {
 				if owned.First <= key && key <= owned.Last {
 					busy := slots * runTime.Seconds() / load.mean.Seconds() * float64(interval.Microseconds())
@@ -34,13 +34,13 @@
 			}
 		}
 		lease := l.planner.Report(report, l.now)
-		l.report(told, promisesOf(lease.Release, "")...)
+		l.report(reported, releasesOf(lease.Release, "")...)
 	}
 	l.advance(interval)
 }
 
-// runTimesOf gives the first back end one run time and the others another; the last one is
-// fast.
+// runTimesOf returns run times for a number of back ends: one for the first, one for the
+// last and one for all others.
 func runTimesOf(nodes int, first, others, last time.Duration) map[int]time.Duration {
 	times := map[int]time.Duration{}
 	for node := range nodes {
@@ -50,61 +50,61 @@
 	return times
 }
 
-// A single key that asks for more than any back end has is served by the fastest: a third
-// of the time for a run is three times as many answers.
-func TestAKeyThatFillsASlowBackEndGoesToTheFastest(t *testing.T) {
+// A single key whose load exceeds the capacity of any back end goes to the fastest one: with
+// a third of the run time it answers three times as many requests.
+func TestHotKeyMovesFromSlowToFastestBackEnd(t *testing.T) {
 	l := newLeader()
 	const nodes, hot = 6, keyspace.Key(100)
-	load := pacedLoad{runTime: runTimesOf(nodes, 340*time.Millisecond, 200*time.Millisecond, 90*time.Millisecond), mean: 200 * time.Millisecond}
+	load := loadProfile{runTime: runTimesOf(nodes, 340*time.Millisecond, 200*time.Millisecond, 90*time.Millisecond), mean: 200 * time.Millisecond}
 	for range 60 {
-		l.work(load)
+		l.reportLoad(load)
 	}
 	assert.Equal(t, l.state.Owners(service).Find(hot).Owner, "i-0-0")
 	load.slots = map[keyspace.Key]float64{hot: 12}
 	for range 30 {
-		l.work(load)
+		l.reportLoad(load)
 	}
 	assert.Equal(t, l.state.Owners(service).Find(hot).Owner, "i-5-0")
 	all := len(l.state.Owners(service).All())
 	for range 50 {
-		l.work(load)
+		l.reportLoad(load)
 	}
 	assert.Equal(t, l.state.Owners(service).Find(hot).Owner, "i-5-0", "and stays there")
 	assert.Equal(t, len(l.state.Owners(service).All()), all, "nothing else moves")
 }
 
-// Neighbouring keys that run hot together are spread over several back ends at once.
-func TestAHotRangeIsSpreadOverSeveralBackEnds(t *testing.T) {
+// Adjacent keys that become hot together are spread over several back ends at once.
+func TestHotRangeIsSpreadOverSeveralBackEnds(t *testing.T) {
 	l := newLeader()
 	const nodes = 8
-	load := pacedLoad{runTime: runTimesOf(nodes, 200*time.Millisecond, 200*time.Millisecond, 200*time.Millisecond), mean: 200 * time.Millisecond}
+	load := loadProfile{runTime: runTimesOf(nodes, 200*time.Millisecond, 200*time.Millisecond, 200*time.Millisecond), mean: 200 * time.Millisecond}
 	for range 60 {
-		l.work(load)
+		l.reportLoad(load)
 	}
 	load.slots = map[keyspace.Key]float64{}
 	for key := range keyspace.Key(60) {
 		load.slots[1000+key*4] = 0.25
 	}
 	for range 15 {
-		l.work(load)
+		l.reportLoad(load)
 	}
 	owners := map[string]bool{}
 	for key := range load.slots {
 		owners[l.state.Owners(service).Find(key).Owner] = true
 	}
-	assert.Assert(t, len(owners) >= 4, "%d owners after 1.5 s of 15 slots asked of one with 4", len(owners))
+	assert.Assert(t, len(owners) >= 4, "%d owners after 1.5 s of a load of 15 slots on a back end with 4", len(owners))
 }
 
-// Back ends that take twice as long end up with about half of what the others serve.
+// A back end with twice the run time of the others ends up with clearly less load.
 func TestSlowBackEndsServeLess(t *testing.T) {
 	l := newLeader()
 	const nodes = 4
-	load := pacedLoad{runTime: runTimesOf(nodes, 300*time.Millisecond, 150*time.Millisecond, 150*time.Millisecond), mean: 150 * time.Millisecond, slots: map[keyspace.Key]float64{}}
+	load := loadProfile{runTime: runTimesOf(nodes, 300*time.Millisecond, 150*time.Millisecond, 150*time.Millisecond), mean: 150 * time.Millisecond, slots: map[keyspace.Key]float64{}}
 	for key := keyspace.Key(0); key < 65000; key += 500 {
 		load.slots[key] = 0.08
 	}
 	for range 200 {
-		l.work(load)
+		l.reportLoad(load)
 	}
 	share := map[string]float64{}
 	for key, slots := range load.slots {
--- a/internal/keylease/usage.go
+++ b/internal/keylease/usage.go
@@ -8,24 +8,25 @@
 	"github.com/quartzdock/quartzdock/internal/keyspace"
 )
 
-// usage is what the back ends of a service have and use, worked out once for each
-// tick of the planner. With thousands of ranges and hundreds of moves to decide, a
-// leader that works it out anew for each of them stands still for seconds.
+// usage holds the ranges and the used slots of a service's back ends, computed once per
+// tick of the planner. With thousands of ranges and hundreds of moves to decide,
+// computing it for each of them would block the leader for seconds.
 type usage struct {
 	planner *Planner
 	service string
-	// targets are the instances that may get keys, in the order of their IDs.
+	// targets are the instances that may get keys, sorted by ID.
 	targets []*instance
-	// owned are the assignments of each owner, nil until they are asked for: most
+	// owned are the assignments of each owner. It is nil until it is needed, since most
 	// ticks decide nothing.
 	owned map[string][]keyspace.Assignment
-	// slots that each instance uses, incoming keys included and outgoing ones not.
+	// slots is how many slots each instance uses, with incoming keys and without
+	// outgoing ones.
 	slots map[string]float64
-	// meanRun is how long a run takes on average over the targets, in seconds.
+	// meanRun is the mean run time over the targets, in seconds.
 	meanRun float64
 }
 
-// usageOf returns the usage of a service in the present tick.
+// usageOf returns the usage of a service in the current tick.
 func (p *Planner) usageOf(service string, now time.Duration) *usage {
 	known, ok := p.usages[service]
 	if !ok {
@@ -39,8 +40,8 @@
 	return &usage{planner: p, service: service, targets: p.targets(service, now)}
 }
 
-// fill works out what is owned and used.
-func (u *usage) fill() {
+// compute fills in the owned ranges and the used slots, once.
+func (u *usage) compute() {
 	if u.owned != nil {
 		return
 	}
@@ -54,47 +55,48 @@
 	}
 	for id, known := range p.instances {
 		if known.Service == service && len(u.owned[id]) > 0 {
-			u.slots[id] += known.load.within(owners, id)
+			u.slots[id] += known.load.loadOwnedBy(owners, id)
 		}
 	}
 	for _, moving := range p.moves {
 		if moving.service == service {
-			u.shift(moving)
+			u.applyMove(moving)
 		}
 	}
 }
 
 // ownedBy returns the assignments of an instance.
 func (u *usage) ownedBy(id string) []keyspace.Assignment {
-	u.fill()
+	u.compute()
 	return u.owned[id]
 }
 
-// shift counts a move as done.
-func (u *usage) shift(moving *move) {
-	u.fill()
+// applyMove counts a move as completed.
+func (u *usage) applyMove(moving *move) {
+	u.compute()
 	load := float64(moving.held.Keys.Size()) * keyWeight
 	if from, ok := u.planner.instances[moving.from]; ok {
-		load = from.load.of(moving.held.Keys)
+		load = from.load.loadOf(moving.held.Keys)
 	}
 	u.slots[moving.from] -= load
-	u.slots[moving.to] += load * u.paceOf(moving.to) / u.paceOf(moving.from)
+	u.slots[moving.to] += load * u.runTimeRatioOf(moving.to) / u.runTimeRatioOf(moving.from)
 }
 
-// utilization of an instance: what its own and incoming keys use, over its slots.
+// utilization returns the share of an instance's slots that its own and incoming keys
+// use.
 func (u *usage) utilization(target *instance) float64 {
-	u.fill()
+	u.compute()
 	return u.slots[target.ID] / float64(max(target.Slots, 1))
 }
 
-// byLoad orders targets by their utilization, the least first.
+// byLoad returns the targets sorted by utilization, the lowest first.
 func (u *usage) byLoad(targets []*instance) []*instance {
 	ordered := slices.Clone(targets)
 	slices.SortStableFunc(ordered, func(a, b *instance) int { return cmp.Compare(u.utilization(a), u.utilization(b)) })
 	return ordered
 }
 
-// leastLoaded returns a number of targets, the least loaded first.
+// leastLoaded returns the given number of targets, the least loaded first.
 func (u *usage) leastLoaded(targets []*instance, count int) []*instance {
 	if count > 1 {
 		return u.byLoad(targets)[:count]
@@ -108,10 +110,10 @@
 	return []*instance{least}
 }
 
-// within returns the load of the buckets that an owner has, in busy slots.
-func (t *loadTable) within(owners *keyspace.Map, owner string) float64 {
+// loadOwnedBy returns the load of the buckets that an owner holds, in busy slots.
+func (t *loadTable) loadOwnedBy(owners *keyspace.Map, owner string) float64 {
 	var sum float64
-	for bucket, slots := range t.busy {
+	for bucket, slots := range t.slots {
 		if owners.Find(keyspace.Key(bucket*KeysPerBucket)).Owner == owner {
 			sum += slots
 		}
