--- a/internal/keyhold/bound.go
+++ b/internal/keyhold/bound.go
@@ -1,72 +1,75 @@
-// Package keyhold works out until when a back end may hold keys at most, by what it was sent
-// and what it has answered. It is pure: readings of the sender's clock go in.
+// Package keyhold computes an upper bound on how long a back end may hold keys, from the grants
+// that it was sent and its answers. It does no I/O and reads no clock: readings of the sender's
+// clock go in.
 //
-// A back end counts the time of an order from its arrival, which no sender knows: a process
-// that stands still between working an order out and sending it lets it arrive later by all of
-// that time. So nothing is taken for over while an order is on its way, and its time counts
+// A back end counts the duration of a grant from its arrival, which the sender doesn't know: if
+// the sender is suspended between creating a grant and sending it, the grant arrives later by
+// that time. So the keys never count as free while a grant is in flight, and its duration counts
 // from its answer. That the back end seems to have ended changes nothing: one that refuses
-// connections may live, and what it holds runs out by itself.
+// connections may still run, and what it holds expires by itself.
 package keyhold
 
 import "time"
 
-// ClockDrift bounds how slowly a back end's clock may run, as a share. The users' back ends
-// promise 0.02.
+// ClockDrift bounds how much slower than the sender's clock a back end's clock may run, as a
+// fraction. Users' back ends guarantee 0.02.
 const ClockDrift = 0.03
 
-// Bound is until when a back end may hold the keys of one series of orders. The zero value
-// is that of keys that were never granted. It is not safe for concurrent use.
+// Bound tracks until when a back end may hold the keys of one series of grants. The zero value
+// stands for keys that were never granted. It is not safe for concurrent use.
 type Bound struct {
-	until   time.Time
-	sending bool
-	hold    time.Duration
+	until    time.Time
+	inFlight bool
+	hold     time.Duration
 }
 
-// Send notes that an order of a length is about to leave. One is on its way at a time.
+// Send records that a grant for the duration hold is about to be sent. At most one may be in
+// flight.
 func (b *Bound) Send(hold time.Duration) {
-	b.sending, b.hold = true, hold
+	b.inFlight, b.hold = true, hold
 }
 
-// Sending reports whether an order is on its way.
-func (b *Bound) Sending() bool { return b.sending }
+// Sending reports whether a grant is in flight.
+func (b *Bound) Sending() bool { return b.inFlight }
 
-// Answered notes that the order on its way has arrived before now.
+// Answered records that the grant in flight has arrived before now.
 func (b *Bound) Answered(now time.Time) {
-	b.sending = false
+	b.inFlight = false
 	b.Given(now, b.hold)
 }
 
-// Unanswered notes that the order on its way is given up. It may arrive until a time; one that
-// is carried out later is made harmless by its fence alone.
+// Unanswered records that no answer to the grant in flight is awaited any more. It may still
+// arrive until the time arrives; if it is applied later, its fence alone makes it ineffective.
 func (b *Bound) Unanswered(now, arrives time.Time) {
 	if arrives.Before(now) {
 		arrives = now
 	}
-	b.sending = false
+	b.inFlight = false
 	b.Given(arrives, b.hold)
 }
 
-// NotTaken notes that the order on its way was surely not carried out and never will be.
-func (b *Bound) NotTaken() { b.sending = false }
+// NotTaken records that the grant in flight was certainly not applied and never will be.
+func (b *Bound) NotTaken() { b.inFlight = false }
 
-// TakenBack notes that the order on its way took the keys back: it was answered by the one
+// TakenBack records that the message in flight revoked the keys, as confirmed by the back end
 // that held them.
 func (b *Bound) TakenBack() { *b = Bound{} }
 
-// Given notes keys that are held for a length from a time on, at the latest.
+// Given records that the keys may be held for the duration hold, counted from a time that is
+// not before the grant's arrival.
 func (b *Bound) Given(from time.Time, hold time.Duration) {
 	if until := from.Add(Longest(hold)); until.After(b.until) {
 		b.until = until
 	}
 }
 
-// Until is when what was answered for has run out. What is on its way is not in it.
+// Until returns when the answered grants have expired. It does not include a grant in flight.
 func (b *Bound) Until() time.Time { return b.until }
 
-// Over reports whether the keys are surely not held any more.
-func (b *Bound) Over(now time.Time) bool { return !b.sending && !now.Before(b.until) }
+// Over reports whether the keys are certainly no longer held.
+func (b *Bound) Over(now time.Time) bool { return !b.inFlight && !now.Before(b.until) }
 
-// Longest is how long a hold may last by the clock of its sender.
+// Longest returns how long a hold may last by the sender's clock, given ClockDrift.
 func Longest(hold time.Duration) time.Duration {
 	return time.Duration(float64(hold) * (1 + ClockDrift))
 }
--- a/internal/keyhold/bound_test.go
+++ b/internal/keyhold/bound_test.go
@@ -13,9 +13,9 @@
 
 const hold = 2 * time.Second
 
-// A gateway stood still for a second between working a grant out and sending it. By its own
-// count the back end's time was over 0.6 s before it was.
-func TestNothingIsOverWhileAnOrderIsOnItsWay(t *testing.T) {
+// A gateway was suspended for a second between creating a grant and sending it. Counted from
+// its creation, the grant seemed to expire 0.6 s before it did at the back end.
+func TestKeysAreHeldWhileGrantIsInFlight(t *testing.T) {
 	var bound keyhold.Bound
 	start := time.Now()
 	bound.Send(hold)
@@ -25,7 +25,7 @@
 	assert.Assert(t, bound.Over(start.Add(time.Second+keyhold.Longest(hold))))
 }
 
-func TestWhatWasNotTakenLengthensNothing(t *testing.T) {
+func TestRejectedGrantDoesNotExtendBound(t *testing.T) {
 	var bound keyhold.Bound
 	start := time.Now()
 	bound.Given(start, hold)
@@ -37,9 +37,9 @@
 	assert.Assert(t, bound.Over(start))
 }
 
-// Whatever is sent, answered late, refused or lost: a back end whose clock is as slow as it
-// may be never holds keys that are taken for free.
-func TestKeysAreNeverHeldOnceTheyAreTakenForOver(t *testing.T) {
+// Whatever is sent, answered late or refused: a back end with the slowest clock that ClockDrift
+// allows never holds keys that the sender considers free.
+func TestKeysAreNeverHeldOnceBoundHasExpired(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var bound keyhold.Bound
 		now := time.Now()
@@ -47,7 +47,7 @@
 		pass := func(label string) {
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, label)) * time.Millisecond)
 			if bound.Over(now) && now.Before(heldUntil) {
-				t.Fatalf("taken for over %v before it is", heldUntil.Sub(now))
+				t.Fatalf("considered expired %v too early", heldUntil.Sub(now))
 			}
 		}
 		for range rapid.IntRange(1, 20).Draw(t, "orders") {
