--- a/internal/quarantine/desk.go
+++ b/internal/quarantine/desk.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Terms are the leader's times about suspects.
+// Terms are the leader's time limits for suspects.
 type Terms struct {
-	// TrialLimit is how long a granted trial may go without a word of its end: its gateway
-	// may have ended.
+	// TrialLimit is how long after its grant a trial counts as lost unless its end is
+	// reported: its gateway may have ended.
 	TrialLimit time.Duration
-	// FurtherAfter is how long a held request waits for one more trial.
+	// FurtherAfter is how long a request is held back before it gets one more trial.
 	FurtherAfter time.Duration
 }
 
@@ -21,14 +21,14 @@
 	DefaultFurtherAfter = 10 * time.Minute
 )
 
-// WithDefaults returns the terms with defaults where nothing is set.
+// WithDefaults returns the terms with defaults in place of zeros.
 func (t Terms) WithDefaults() Terms {
 	t.TrialLimit = cmp.Or(t.TrialLimit, DefaultTrialLimit)
 	t.FurtherAfter = cmp.Or(t.FurtherAfter, DefaultFurtherAfter)
 	return t
 }
 
-// Check refuses terms that can't be kept.
+// Check returns an error if a limit is negative.
 func (t Terms) Check() error {
 	if t.TrialLimit < 0 || t.FurtherAfter < 0 {
 		return fmt.Errorf("trial limit %v, further trial after %v: neither may be below zero", t.TrialLimit, t.FurtherAfter)
@@ -36,36 +36,36 @@
 	return nil
 }
 
-// Desk is the leader's knowledge of when suspects came into their states, for one term of
-// leadership. A new leader counts anew. The zero value is ready. It is not safe for concurrent
-// use.
+// Desk tracks since when trials are granted and requests are held back, for one term of
+// leadership. A new leader starts from zero. The zero value is ready to use. It is not safe for
+// concurrent use.
 type Desk struct {
-	trials map[trialOf]time.Duration
+	trials map[trialKey]time.Duration
 	held   map[Digest]time.Duration
 }
 
-// trialOf names a trial.
-type trialOf struct {
+// trialKey identifies a trial.
+type trialKey struct {
 	request Digest
 	number  uint64
 }
 
-// Review returns what is due at a time of the leader's clock: trials whose end nobody tells,
-// and held requests that may be tried once more.
+// Review returns the changes that are due at now, by the leader's clock: trials that count as
+// lost, and held requests that get one more trial.
 func (d *Desk) Review(set *Set, terms Terms, now time.Duration) Change {
 	var due Change
-	trials, held := map[trialOf]time.Duration{}, map[Digest]time.Duration{}
+	trials, held := map[trialKey]time.Duration{}, map[Digest]time.Duration{}
 	for i := range set.Suspects {
 		suspect := &set.Suspects[i]
 		if trial := suspect.Trial; trial != nil {
-			of := trialOf{suspect.Request, trial.Number}
-			trials[of] = since(d.trials, of, now)
+			of := trialKey{suspect.Request, trial.Number}
+			trials[of] = firstSeen(d.trials, of, now)
 			if now-trials[of] >= terms.TrialLimit {
 				due.Over = append(due.Over, Over{Request: suspect.Request, Number: trial.Number, Lost: true})
 			}
 		}
-		if suspect.Held() && !suspect.Spent() {
-			held[suspect.Request] = since(d.held, suspect.Request, now)
+		if suspect.Held() && !suspect.Exhausted() {
+			held[suspect.Request] = firstSeen(d.held, suspect.Request, now)
 			if now-held[suspect.Request] >= terms.FurtherAfter {
 				due.Further = append(due.Further, suspect.Request)
 			}
@@ -75,8 +75,8 @@
 	return due
 }
 
-// since returns when a state was seen first.
-func since[Of comparable](seen map[Of]time.Duration, of Of, now time.Duration) time.Duration {
+// firstSeen returns when a state was seen first, or now if it is new.
+func firstSeen[Of comparable](seen map[Of]time.Duration, of Of, now time.Duration) time.Duration {
 	if at, ok := seen[of]; ok {
 		return at
 	}
--- a/internal/quarantine/digest.go
+++ b/internal/quarantine/digest.go
@@ -6,15 +6,15 @@
 	"encoding/hex"
 )
 
-// Digest names a request by what a back end is given of it. Two requests that differ have the
-// same one only by a collision of the first 128 bits of SHA-256.
+// Digest identifies a request by what a back end receives of it. Different requests have the
+// same digest only if the first 128 bits of SHA-256 collide.
 type Digest [16]byte
 
 // String implements fmt.Stringer.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// Request is what makes two requests the same. Its id, its deadline and the gateway that took
-// it are not part of it: they differ each time it comes.
+// Request holds the parts of a request that identify it. Its ID, its deadline and the gateway
+// that received it are not among them: they differ at each attempt.
 type Request struct {
 	Service string
 	// Key is as the caller sent it, empty where the service has none.
@@ -26,7 +26,7 @@
 	Body   []byte
 }
 
-// Digest returns the request's name.
+// Digest returns the digest of the request.
 func (r *Request) Digest() Digest {
 	hash := sha256.New()
 	var length [8]byte
--- a/internal/quarantine/digest_test.go
+++ b/internal/quarantine/digest_test.go
@@ -8,8 +8,9 @@
 	"github.com/quartzdock/quartzdock/internal/quarantine"
 )
 
-// Each part counts, and bytes that move from one part to the next make another request.
-func TestRequestsThatDifferHaveOtherDigests(t *testing.T) {
+// Every part of a request affects its digest, and so does moving bytes from one part to the
+// next.
+func TestDifferentRequestsHaveDifferentDigests(t *testing.T) {
 	base := quarantine.Request{Service: "s", Method: "GET", Host: "h", Target: "/a?b=1", Body: []byte("body")}
 	same := base
 	same.Body = []byte("body")
--- a/internal/quarantine/set.go
+++ b/internal/quarantine/set.go
@@ -6,116 +6,121 @@
 )
 
 const (
-	// ManyEnds is how many lives of back ends may end under a request before it counts as
-	// the likely cause.
+	// ManyEnds is the number of incarnations of back ends that have ended while processing a
+	// request from which it counts as the likely cause.
 	ManyEnds = 3
-	// MostLateTrials is how often a request may be sent in all once ManyEnds have ended,
-	// unless it is answered.
-	MostLateTrials = 3
-	// failedTrials is under how many trials a back end may end before a request with
-	// ManyEnds is held back. Ends at the same moment, as where a zone loses power, are no
+	// MaxLateTrials is how often a request may be sent in all once ManyEnds incarnations have
+	// ended, unless it is answered.
+	MaxLateTrials = 3
+	// maxFailedTrials is the number of failed trials from which a request with ManyEnds is
+	// held back. Several ends at the same moment, as when a zone loses power, are not failed
 	// trials.
-	failedTrials = 2
-	// MostSuspects bounds the set. The oldest with fewer than ManyEnds goes first.
-	MostSuspects = 512
-	// mostLives bounds the lives whose end is remembered, so that it counts once.
-	mostLives = 512
-	// mostName bounds names of services, lives and gateways, in bytes.
-	mostName = 256
-	// MostEnded bounds the requests that are told to have been at work when a life ended.
+	maxFailedTrials = 2
+	// MaxSuspects bounds the set. The oldest suspect with fewer than ManyEnds is evicted
+	// first.
+	MaxSuspects = 512
+	// maxIncarnations bounds the incarnations whose end is remembered so that it counts once.
+	maxIncarnations = 512
+	// maxNameLength bounds names of services, incarnations and gateways, in bytes.
+	maxNameLength = 256
+	// MostEnded bounds the requests that are reported as in process when an incarnation
+	// ended.
 	MostEnded = 256
 )
 
 // Trial lets one gateway send a request once.
 type Trial struct {
-	// Node is the gateway, and Boot its process.
+	// Node is the gateway, and Boot identifies its process.
 	Node string
 	Boot uint64
-	// Number is the log index that granted it.
+	// Number is the log index at which the trial was granted.
 	Number uint64
 }
 
-// Suspect is a request under which a back end has ended.
+// Suspect is a request during which a back end has ended.
 type Suspect struct {
 	Request Digest
 	Service string
-	// Ends is how many lives have ended under it, and FailedTrials how many of them while
-	// it was on trial.
+	// Ends is how many incarnations have ended while processing it, and FailedTrials how many
+	// of these were trials.
 	Ends, FailedTrials int
-	// LateTrials is how often it may have been sent since ManyEnds had ended.
+	// LateTrials is how often it may have been sent since ManyEnds incarnations had ended.
 	LateTrials int
-	// Further is how many more failed trials it is given than failedTrials.
+	// Further is how many failed trials it is allowed beyond maxFailedTrials.
 	Further int
-	// Trial is the one that is granted, nil where none is.
+	// Trial is the current trial, nil where none is granted.
 	Trial *Trial
-	// Untold are the numbers of trials that were granted before ManyEnds had ended and that
-	// are over without their gateways' word: they may be sent yet.
+	// Untold are the numbers of trials that were granted before ManyEnds incarnations had
+	// ended and that were closed without a report of their gateways: they may still be sent.
 	Untold []uint64
 }
 
-// Held reports whether no trial is left.
+// Held reports whether the request is held back, as no trial is left.
 func (s *Suspect) Held() bool {
-	return s.Spent() || s.Ends >= ManyEnds && s.FailedTrials >= failedTrials+s.Further
+	return s.Exhausted() || s.Ends >= ManyEnds && s.FailedTrials >= maxFailedTrials+s.Further
 }
 
-// Spent reports whether a held request gets no further trial by itself.
-func (s *Suspect) Spent() bool { return s.LateTrials+len(s.Untold) >= MostLateTrials }
+// Exhausted reports whether all late trials are used up, so that a held request gets no
+// further trial by waiting.
+func (s *Suspect) Exhausted() bool { return s.LateTrials+len(s.Untold) >= MaxLateTrials }
 
-// Ended is one life of a back end that has ended, with the requests that it was at work on.
+// Ended reports that an incarnation of a back end has ended, with the requests that it was
+// processing.
 type Ended struct {
 	Life     string
 	Service  string
 	Requests []Digest
 }
 
-// Check refuses what no gateway tells.
+// Check returns an error for a report that no gateway sends.
 func (e *Ended) Check() error {
 	switch {
-	case e.Life == "" || len(e.Life) > mostName || len(e.Service) > mostName:
-		return fmt.Errorf("end of a back end: life of %d bytes, service of %d bytes", len(e.Life), len(e.Service))
+	case e.Life == "" || len(e.Life) > maxNameLength || len(e.Service) > maxNameLength:
+		return fmt.Errorf("end of a back end: incarnation name of %d bytes, service name of %d bytes", len(e.Life), len(e.Service))
 	case len(e.Requests) > MostEnded:
-		return fmt.Errorf("end of %.64q: %d requests, %d at most", e.Life, len(e.Requests), MostEnded)
+		return fmt.Errorf("end of back end %.64q: %d requests, %d at most", e.Life, len(e.Requests), MostEnded)
 	}
 	return nil
 }
 
-// Asked is a gateway that has a suspect to send.
+// Asked is a gateway's request for a trial of a suspect.
 type Asked struct {
 	Request Digest
 	Node    string
 	Boot    uint64
 }
 
-// Over is the end of a trial without an answer.
+// Over reports the end of a trial that got no answer.
 type Over struct {
 	Request Digest
 	// Number is that of the trial.
 	Number uint64
-	// Sent says that a back end may have been sent the request, and Failed that it ended.
+	// Sent says that the request may have been sent to a back end, and Failed that this back
+	// end ended.
 	Sent, Failed bool
-	// Lost says that the gateway has not told it, and may send the request yet.
+	// Lost says that the gateway has not reported the end and may still send the request.
 	Lost bool
 }
 
-// Change is what happened, in the order in which the fields are applied.
+// Change is a set of events. They are applied in the order of the fields.
 type Change struct {
 	Ended []Ended
-	// Answered are suspects that got a whole answer.
+	// Answered are suspects that got a complete answer.
 	Answered []Digest
 	Over     []Over
-	// Further are held ones that get one more trial, and Released those that an operator
-	// has cleared.
+	// Further are held requests that get one more trial, and Released suspects that an
+	// operator has cleared.
 	Further  []Digest
 	Released []Digest
 	Asked    []Asked
 }
 
-// Empty reports whether nothing happened.
+// Empty reports whether the change has no events.
 func (c *Change) Empty() bool {
 	return len(c.Ended)+len(c.Answered)+len(c.Over)+len(c.Further)+len(c.Released)+len(c.Asked) == 0
 }
 
-// Add adds what happened besides.
+// Add appends the events of another change.
 func (c *Change) Add(other *Change) {
 	c.Ended = append(c.Ended, other.Ended...)
 	c.Answered = append(c.Answered, other.Answered...)
@@ -128,14 +133,14 @@
 // Set is the replicated set of suspects, the oldest first. The zero value is empty. It is a
 // deterministic state machine: its replicas apply the same changes.
 type Set struct {
-	// Index is the log index of the last change that changed anything.
+	// Index is the log index of the last change that had an effect.
 	Index    uint64
 	Suspects []Suspect
-	// Lives are those whose end was counted, the latest last.
+	// Lives are the incarnations whose end was counted, the latest last.
 	Lives []string
 }
 
-// Find returns a suspect, nil where a request is none.
+// Find returns the suspect for a request, nil if there is none.
 func (s *Set) Find(request Digest) *Suspect {
 	for i := range s.Suspects {
 		if s.Suspects[i].Request == request {
@@ -145,10 +150,10 @@
 	return nil
 }
 
-// Knows reports whether the end of a life was counted.
-func (s *Set) Knows(life string) bool { return slices.Contains(s.Lives, life) }
+// HasCounted reports whether the end of an incarnation was counted.
+func (s *Set) Knows(incarnation string) bool { return slices.Contains(s.Lives, incarnation) }
 
-// Clone returns a copy that shares nothing.
+// Clone returns a deep copy.
 func (s *Set) Clone() Set {
 	copied := Set{Index: s.Index, Suspects: slices.Clone(s.Suspects), Lives: slices.Clone(s.Lives)}
 	for i := range copied.Suspects {
@@ -161,25 +166,25 @@
 	return copied
 }
 
-// Apply puts a change of a log index in force and reports whether it changed anything.
+// Apply applies the change at a log index and reports whether it had an effect.
 func (s *Set) Apply(index uint64, change *Change) (changed bool) {
 	for i := range change.Ended {
-		changed = s.ended(&change.Ended[i]) || changed
+		changed = s.recordEnd(&change.Ended[i]) || changed
 	}
 	for _, request := range change.Answered {
 		changed = s.clear(request) || changed
 	}
 	for _, over := range change.Over {
-		changed = s.over(over) || changed
+		changed = s.endTrial(over) || changed
 	}
 	for _, request := range change.Further {
-		changed = s.further(request) || changed
+		changed = s.allowFurtherTrial(request) || changed
 	}
 	for _, request := range change.Released {
 		changed = s.clear(request) || changed
 	}
 	for _, asked := range change.Asked {
-		changed = s.grant(index, asked) || changed
+		changed = s.grantTrial(index, asked) || changed
 	}
 	if changed {
 		s.Index = index
@@ -187,25 +192,25 @@
 	return changed
 }
 
-// Effective returns the part of a change that would change anything.
+// Effective returns the events of a change that would have an effect.
 func (s *Set) Effective(change *Change) Change {
 	after := s.Clone()
 	var part Change
 	for i := range change.Ended {
-		if after.ended(&change.Ended[i]) {
+		if after.recordEnd(&change.Ended[i]) {
 			part.Ended = append(part.Ended, change.Ended[i])
 		}
 	}
-	part.Answered = keep(change.Answered, after.clear)
-	part.Over = keep(change.Over, after.over)
-	part.Further = keep(change.Further, after.further)
-	part.Released = keep(change.Released, after.clear)
-	part.Asked = keep(change.Asked, func(asked Asked) bool { return after.grant(s.Index+1, asked) })
+	part.Answered = applicable(change.Answered, after.clear)
+	part.Over = applicable(change.Over, after.endTrial)
+	part.Further = applicable(change.Further, after.allowFurtherTrial)
+	part.Released = applicable(change.Released, after.clear)
+	part.Asked = applicable(change.Asked, func(asked Asked) bool { return after.grantTrial(s.Index+1, asked) })
 	return part
 }
 
-// keep returns the events that change anything, in their order.
-func keep[Event any](events []Event, apply func(Event) bool) []Event {
+// applicable returns the events that have an effect, in their order.
+func applicable[Event any](events []Event, apply func(Event) bool) []Event {
 	var kept []Event
 	for _, event := range events {
 		if apply(event) {
@@ -215,48 +220,49 @@
 	return kept
 }
 
-// ended counts the end of a life against all that it was at work on.
-func (s *Set) ended(ended *Ended) bool {
+// recordEnd counts the end of an incarnation for all requests that it was processing.
+func (s *Set) recordEnd(ended *Ended) bool {
 	if ended.Check() != nil || s.Knows(ended.Life) {
 		return false
 	}
-	s.Lives = append(s.Lives[max(0, len(s.Lives)+1-mostLives):], ended.Life)
+	s.Lives = append(s.Lives[max(0, len(s.Lives)+1-maxIncarnations):], ended.Life)
 	counted := map[Digest]bool{}
 	for _, request := range ended.Requests {
 		if !counted[request] {
 			counted[request] = true
-			s.endedUnder(request, ended.Service)
+			s.countEnd(request, ended.Service)
 		}
 	}
 	return true
 }
 
-func (s *Set) endedUnder(request Digest, service string) {
+func (s *Set) countEnd(request Digest, service string) {
 	suspect := s.Find(request)
 	if suspect == nil {
-		s.makeRoom()
+		s.evictIfFull()
 		s.Suspects = append(s.Suspects, Suspect{Request: request, Service: service})
 		suspect = &s.Suspects[len(s.Suspects)-1]
 	}
 	if suspect.Trial != nil {
-		// Its gateway may yet send it: the life may have ended under an earlier copy.
+		// The gateway of the trial may still send the request: the incarnation may have ended
+		// while processing an earlier copy.
 		suspect.FailedTrials++
-		suspect.lose()
+		suspect.loseTrial()
 	}
 	suspect.Ends++
 }
 
-// lose ends the present trial without its gateway's word.
-func (s *Suspect) lose() {
+// loseTrial closes the current trial without a report of its gateway.
+func (s *Suspect) loseTrial() {
 	if s.Ends < ManyEnds {
 		s.Untold = append(s.Untold, s.Trial.Number)
 	}
 	s.Trial = nil
 }
 
-// makeRoom pushes one suspect out where there are too many.
-func (s *Set) makeRoom() {
-	if len(s.Suspects) < MostSuspects {
+// evictIfFull evicts one suspect if the set is full.
+func (s *Set) evictIfFull() {
+	if len(s.Suspects) < MaxSuspects {
 		return
 	}
 	oldest := max(0, slices.IndexFunc(s.Suspects, func(suspect Suspect) bool { return suspect.Ends < ManyEnds }))
@@ -269,15 +275,15 @@
 	return len(s.Suspects) < before
 }
 
-func (s *Set) over(over Over) bool {
+func (s *Set) endTrial(over Over) bool {
 	suspect := s.Find(over.Request)
 	switch {
 	case suspect == nil:
 		return false
 	case suspect.Trial == nil || suspect.Trial.Number != over.Number:
-		return !over.Lost && suspect.tellLate(over)
+		return !over.Lost && suspect.recordLateResult(over)
 	case over.Lost:
-		suspect.lose()
+		suspect.loseTrial()
 		return true
 	}
 	suspect.Trial = nil
@@ -290,8 +296,8 @@
 	return true
 }
 
-// tellLate takes a gateway's word of a trial that was over without it.
-func (s *Suspect) tellLate(over Over) bool {
+// recordLateResult records a gateway's report of a trial that was closed without it.
+func (s *Suspect) recordLateResult(over Over) bool {
 	place := slices.Index(s.Untold, over.Number)
 	if place < 0 {
 		return false
@@ -303,18 +309,18 @@
 	return true
 }
 
-func (s *Set) further(request Digest) bool {
+func (s *Set) allowFurtherTrial(request Digest) bool {
 	suspect := s.Find(request)
-	if suspect == nil || !suspect.Held() || suspect.Spent() {
+	if suspect == nil || !suspect.Held() || suspect.Exhausted() {
 		return false
 	}
-	suspect.Further = suspect.FailedTrials + 1 - failedTrials
+	suspect.Further = suspect.FailedTrials + 1 - maxFailedTrials
 	return true
 }
 
-func (s *Set) grant(index uint64, asked Asked) bool {
+func (s *Set) grantTrial(index uint64, asked Asked) bool {
 	suspect := s.Find(asked.Request)
-	if suspect == nil || suspect.Trial != nil || suspect.Held() || len(asked.Node) > mostName {
+	if suspect == nil || suspect.Trial != nil || suspect.Held() || len(asked.Node) > maxNameLength {
 		return false
 	}
 	suspect.Trial = &Trial{Node: asked.Node, Boot: asked.Boot, Number: index}
@@ -324,15 +330,15 @@
 	return true
 }
 
-// Check refuses a set that no log makes.
+// Check returns an error for a set that can't result from a log.
 func (s *Set) Check() error {
-	if len(s.Suspects) > MostSuspects || len(s.Lives) > mostLives {
-		return fmt.Errorf("quarantine of %d requests and %d lives", len(s.Suspects), len(s.Lives))
+	if len(s.Suspects) > MaxSuspects || len(s.Lives) > maxIncarnations {
+		return fmt.Errorf("quarantine of %d requests and %d incarnations", len(s.Suspects), len(s.Lives))
 	}
 	seen := map[Digest]bool{}
 	for i := range s.Suspects {
 		suspect := &s.Suspects[i]
-		if seen[suspect.Request] || suspect.Ends < 1 || suspect.LateTrials < 0 || suspect.FailedTrials < 0 || suspect.LateTrials+len(suspect.Untold) > MostLateTrials {
+		if seen[suspect.Request] || suspect.Ends < 1 || suspect.LateTrials < 0 || suspect.FailedTrials < 0 || suspect.LateTrials+len(suspect.Untold) > MaxLateTrials {
 			return fmt.Errorf("quarantine of %v: %d ends, %d late trials", suspect.Request, suspect.Ends, suspect.LateTrials)
 		}
 		seen[suspect.Request] = true
