--- a/internal/keyspace/map.go
+++ b/internal/keyspace/map.go
@@ -1,6 +1,6 @@
-// Package keyspace keeps which back end owns which keys of a service. Keys are
-// whole numbers and owners hold ranges of them, so that neighbouring keys move
-// together. It is pure.
+// Package keyspace maps the keys of a service to the back ends that own them. Keys
+// are integers and owners hold ranges of them, so that adjacent keys move together.
+// The package does no I/O.
 package keyspace
 
 import (
@@ -14,28 +14,28 @@
 // LastKey is the highest key.
 const LastKey Key = 65535
 
-// Range is a span of keys, both ends included.
+// Range is a range of keys, both ends included.
 type Range struct{ First, Last Key }
 
-// Size is how many keys the range has.
+// Size returns the number of keys in the range.
 func (r Range) Size() int { return int(r.Last-r.First) + 1 }
 
-// Valid says that the range has keys, and none that do not exist.
+// Valid reports whether the range is not empty and has only existing keys.
 func (r Range) Valid() bool { return r.First <= r.Last && r.Last <= LastKey }
 
-// Overlaps says that two ranges share a key.
+// Overlaps reports whether two ranges have a key in common.
 func (r Range) Overlaps(other Range) bool { return r.First <= other.Last && other.First <= r.Last }
 
-// Contains says that all of another range lies within this one.
+// Contains reports whether another range lies within this one.
 func (r Range) Contains(other Range) bool { return r.First <= other.First && other.Last <= r.Last }
 
-// Intersect returns the keys that both ranges have.
+// Intersect returns the keys that both ranges have, and whether there are any.
 func (r Range) Intersect(other Range) (Range, bool) {
 	common := Range{First: max(r.First, other.First), Last: min(r.Last, other.Last)}
 	return common, common.First <= common.Last
 }
 
-// Without returns the keys of a range that another one lacks.
+// Without returns the keys of the range that are not in another one.
 func (r Range) Without(other Range) []Range {
 	common, ok := r.Intersect(other)
 	if !ok {
@@ -57,23 +57,23 @@
 // Assignment is a range with its owner.
 type Assignment struct {
 	Range
-	// Owner is the instance that owns the range; empty is nobody.
+	// Owner is the instance that owns the range, empty without an owner.
 	Owner string
-	// Node is the gateway beside the owner. Another instance there means that
-	// the owner has ended.
+	// Node is the gateway of the owner. Another instance at that gateway replaces
+	// the owner.
 	Node string
 	// Boot is the process of that gateway to which the fence was given. Another
-	// process does not know what the last one sent to the owner, and needs a new
-	// fence.
+	// process does not know what the previous one sent to the owner, and needs a
+	// new fence.
 	Boot uint64
-	// Fence of the owner; zero where there never was one.
+	// Fence of the owner; zero if there never was one.
 	Fence Fence
-	// Handover is what the last owner left for this one.
+	// Handover is what the previous owner left for this one.
 	Handover string
 }
 
-// Map holds the assignments of one service in the order of their keys. They
-// cover the whole key space without a gap. The zero value has no owners.
+// Map holds the assignments of one service, sorted by key. They cover the whole key
+// space without a gap. The zero value has no owners.
 type Map struct {
 	Assignments []Assignment
 }
@@ -86,8 +86,8 @@
 	return m.Assignments
 }
 
-// Covers says that each key is in exactly one assignment, in the order of the keys: what
-// another process has written may be otherwise.
+// Covers reports whether the assignments are sorted and have each key exactly once. This
+// must be checked for a map that another process has written.
 func (m *Map) Covers() bool {
 	next := Key(0)
 	for _, assignment := range m.All() {
@@ -99,14 +99,14 @@
 	return next == LastKey+1
 }
 
-// Find returns the assignment of a key.
+// Find returns the assignment that contains a key.
 func (m *Map) Find(key Key) Assignment {
 	all := m.All()
-	at, found := slices.BinarySearchFunc(all, key, func(a Assignment, key Key) int { return cmp.Compare(a.First, key) })
+	index, found := slices.BinarySearchFunc(all, key, func(a Assignment, key Key) int { return cmp.Compare(a.First, key) })
 	if !found {
-		at--
+		index--
 	}
-	return all[at]
+	return all[index]
 }
 
 // OwnedBy returns the assignments of an owner.
@@ -120,13 +120,13 @@
 	return owned
 }
 
-// Assign puts an assignment in the place of what its range has, where every
-// key in it has the owner "from" and a lower fence. It reports whether it did.
-func (m *Map) Assign(from string, given Assignment) bool {
+// Assign replaces the assignments of a range if every key in it has the owner from and a
+// lower fence. It reports whether it did.
+func (m *Map) Assign(from string, assigned Assignment) bool {
 	all := m.All()
-	keys := given.Range
+	keys := assigned.Range
 	for _, assignment := range all {
-		if assignment.Overlaps(keys) && (assignment.Owner != from || assignment.Fence >= given.Fence) {
+		if assignment.Overlaps(keys) && (assignment.Owner != from || assignment.Fence >= assigned.Fence) {
 			return false
 		}
 	}
@@ -138,12 +138,12 @@
 			continue
 		}
 		for _, rest := range assignment.Without(keys) {
-			left := assignment
-			left.Range = rest
-			next = append(next, left)
+			remaining := assignment
+			remaining.Range = rest
+			next = append(next, remaining)
 		}
 		if !added {
-			next = append(next, given)
+			next = append(next, assigned)
 			added = true
 		}
 	}
--- a/internal/keyspace/map_test.go
+++ b/internal/keyspace/map_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestAssignmentsCoverAllKeysAndFencesRise draws changes of owners and compares
-// the map with one entry a key.
+// TestAssignmentsCoverAllKeysAndFencesRise draws changes of owners and compares the map
+// with a model that has one entry per key.
 func TestAssignmentsCoverAllKeysAndFencesRise(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var owners keyspace.Map
@@ -23,16 +23,16 @@
 				from = "nobody"
 			}
 			fence := keyspace.Fence(rapid.IntRange(1, step+2).Draw(t, "fence"))
-			given := keyspace.Assignment{Range: keyspace.Range{First: first, Last: last}, Owner: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "to"), Fence: fence}
-			fits := true
+			assigned := keyspace.Assignment{Range: keyspace.Range{First: first, Last: last}, Owner: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "to"), Fence: fence}
+			allowed := true
 			for key := first; key <= last; key++ {
-				fits = fits && model[key].Owner == from && model[key].Fence < fence
+				allowed = allowed && model[key].Owner == from && model[key].Fence < fence
 			}
-			if owners.Assign(from, given) != fits {
-				t.Fatalf("assign %+v from %q: want %v", given, from, fits)
+			if owners.Assign(from, assigned) != allowed {
+				t.Fatalf("assign %+v from %q: want %v", assigned, from, allowed)
 			}
-			for key := first; fits && key <= last; key++ {
-				model[key] = given
+			for key := first; allowed && key <= last; key++ {
+				model[key] = assigned
 			}
 		}
 		next := keyspace.Key(0)
