--- a/internal/overload/cold.go
+++ b/internal/overload/cold.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// What a cold back end is given, beside its slots (see package warmup).
+// Limits the request rate of a cold back end, in addition to its slots (see package warmup).
 
-// ConfigureWarmth says how many requests a second a cold back end bears, and how long
-// one is cold after its start.
+// ConfigureWarmth sets how many requests a second a cold back end can serve, and how long
+// a back end is cold after its start.
 func (q *SlotQueue) ConfigureWarmth(perSecond float64, length time.Duration) {
 	q.warmth.Configure(perSecond, length)
 }
 
-// SuspectCold takes the back end for cold until it is told otherwise.
+// SuspectCold treats the back end as cold until it reports otherwise.
 func (q *SlotQueue) SuspectCold(now time.Time) { q.warmth.Suspect(now) }
 
-// HearWarmth takes a heartbeat's word on how much longer the back end is cold; fresh
-// says that it is the first of a life.
+// HearWarmth applies a heartbeat's statement of how much longer the back end is cold. Fresh
+// is set for the first heartbeat of an incarnation.
 func (q *SlotQueue) HearWarmth(left time.Duration, fresh bool, now time.Time) {
 	if fresh {
 		q.warmth.Forget()
@@ -23,26 +23,25 @@
 	q.admit(now)
 }
 
-// TellWarmth takes the back end's answer to the question how much longer it is cold.
+// TellWarmth applies the back end's answer when asked how much longer it is cold.
 func (q *SlotQueue) TellWarmth(left time.Duration, now time.Time) {
 	q.warmth.Tell(left, now)
 	q.admit(now)
 }
 
-// Coldness reports whether the back end is taken for cold, and whether it should be
-// asked.
+// Coldness reports whether the back end counts as cold, and whether it should be asked.
 func (q *SlotQueue) Coldness(now time.Time) (cold, ask bool) {
 	return q.warmth.Cold(now), q.warmth.Suspected()
 }
 
-// BearsNow reports whether a request that came now would not wait for the back end
-// to become warmer.
+// BearsNow reports whether a request that arrives now would not have to wait because the
+// back end is cold.
 func (q *SlotQueue) BearsNow(now time.Time) bool {
 	return q.warmth.Wait(now) == 0 && len(q.short.queue)+len(q.long.queue) == 0
 }
 
-// PaceIn returns in how long the next request may go to a cold back end for which some
-// wait; zero where none waits for that. Pace is then to be called.
+// PaceIn returns after how long the next waiting request may go to a cold back end, and Pace
+// is to be called; zero if none waits for that.
 func (q *SlotQueue) PaceIn(now time.Time) time.Duration {
 	if q.short.waiting()+q.long.waiting() == 0 {
 		return 0
@@ -50,12 +49,12 @@
 	return q.warmth.Wait(now)
 }
 
-// Pace lets requests in that waited for the back end to bear them.
+// Pace admits requests that waited for the rate limit of a cold back end.
 func (q *SlotQueue) Pace(now time.Time) { q.admit(now) }
 
-// paced is how long a request waits behind a number of others at the rate that a
-// cold back end bears; zero where it is warm.
-func (q *SlotQueue) paced(ahead int, now time.Time) time.Duration {
+// warmUpWait returns how long a request waits behind a number of others at the rate that a
+// cold back end can serve; zero if the back end is warm.
+func (q *SlotQueue) warmUpWait(ahead int, now time.Time) time.Duration {
 	if !q.warmth.Cold(now) {
 		return 0
 	}
--- a/internal/overload/doc.go
+++ b/internal/overload/doc.go
@@ -1,13 +1,13 @@
-// Package overload decides which work a back end is given when more is asked for than
-// it can do: who waits, in which order, who is refused at once, and when those come
-// back. It is pure: state, inputs and readings of the clock go in, decisions come out;
-// the caller waits, sends, logs and locks.
+// Package overload decides which requests a back end gets when there are more than it can
+// serve: which ones wait, in which order, which are refused at once, and when these should
+// be retried. It does no I/O and reads no clock: state, inputs and readings of the clock go
+// in, decisions come out; the caller waits, sends, logs and locks.
 //
-//   - SlotQueue (slots.go, late.go): the slots of a back end and the requests that wait
-//     for them.
-//   - FirstTries (firsttry.go): how long ago a caller that comes back tried first.
-//   - Refusals (comeback.go): when who was refused should come back.
-//   - Link (link.go): the machine's link and the large answers that go over it.
+//   - SlotQueue (slots.go, late.go, cold.go): the slots of a back end and the requests that
+//     wait for them.
+//   - FirstTries (retries.go): how long ago a caller that retries made its first attempt.
+//   - Refusals (refusals.go): when a refused request should be retried.
+//   - Link (link.go): the machine's network link and the large answers that are sent over it.
 //
 // No type is safe for concurrent use.
 package overload
--- a/internal/overload/late.go
+++ b/internal/overload/late.go
@@ -5,30 +5,29 @@
 	"time"
 )
 
-// Late requests can't be answered in time any more, but before their callers
-// leave. They get the slots that requests in time leave over; a caller is better
-// served late than sent away to come again. Where nothing is left over, they are
-// refused at once.
+// Late requests can no longer be answered in time, but before their callers give up. They
+// get the slots that requests in time don't need, since a late answer is better than a
+// refusal and a retry. If no slots are left over, they are refused at once.
 
-// leastLeftOver is the part of the slots that must be left over for late requests
-// to wait at all: the rate is measured over a second, and with less its error is as
-// large as itself, and late requests would take slots from those in time.
-const leastLeftOver = 0.2
+// minLeftOver is the share of the slots that must be left over for late requests to wait at
+// all. The rate is measured over a second; below this share its error is as large as the
+// rate itself, and late requests would take slots from those in time.
+const minLeftOver = 0.2
 
-// leastLasting is the same for the long run, where the error is smaller.
-const leastLasting = 0.06
+// minLongTermLeftOver is the same for the long-term average, whose error is smaller.
+const minLongTermLeftOver = 0.06
 
-// lateCheckInterval is how often it is checked whether a late request that waits is still
-// likely to get a slot: what was left over when it came may be used by now. It is a
+// lateCheckInterval is how often to check whether a waiting late request is still likely to
+// get a slot, as the slots that were left over when it arrived may be in use by now. It is a
 // quarter of the time over which that is measured (busyHalfLife).
 const lateCheckInterval = busyHalfLife / 4
 
-// waiting is how many requests wait.
+// waiting returns how many requests wait.
 func (u *slotUse) waiting() int { return len(u.queue) + len(u.late) }
 
-// waitLate lets a request wait as a late one, if it is likely to get a slot before
-// its caller leaves.
-func (q *SlotQueue) waitLate(waiting *Ticket, now time.Time) bool {
+// queueLate queues a request as a late one, if it is likely to get a slot before its caller
+// gives up, and reports whether it did.
+func (q *SlotQueue) queueLate(waiting *Ticket, now time.Time) bool {
 	ahead := len(q.short.late) + len(q.long.late)
 	if q.estimateLate(waiting, ahead, now) > waiting.timeLeft(now) {
 		return false
@@ -39,20 +38,20 @@
 	return true
 }
 
-// timeLeft is how much longer a request may wait as a late one.
-func (t *Ticket) timeLeft(now time.Time) time.Duration { return t.Latest - now.Sub(t.since) }
+// timeLeft returns how much longer a request may wait as a late one.
+func (t *Ticket) timeLeft(now time.Time) time.Duration { return t.Latest - now.Sub(t.arrivedAt) }
 
-// untilCheck is when to check a request that waits: when it can't be answered in
-// time any more, and from then on each lateCheckInterval.
+// untilCheck returns after how long to check a waiting request: when it can no longer be
+// answered in time, and from then on every lateCheckInterval.
 func (t *Ticket) untilCheck(now time.Time) time.Duration {
 	if t.late {
 		return min(lateCheckInterval, t.timeLeft(now))
 	}
-	return t.Patience - now.Sub(t.since)
+	return t.Patience - now.Sub(t.arrivedAt)
 }
 
-// hopeful reports whether a late request that waits is still likely to get a slot.
-func (q *SlotQueue) hopeful(waiting *Ticket, now time.Time) bool {
+// likelyToGetSlot reports whether a waiting late request is still likely to get a slot.
+func (q *SlotQueue) likelyToGetSlot(waiting *Ticket, now time.Time) bool {
 	q.advance(now)
 	ahead := 0
 	for _, queue := range []ticketQueue{q.short.late, q.long.late} {
@@ -65,12 +64,12 @@
 	return q.estimateLate(waiting, ahead, now) <= waiting.timeLeft(now)
 }
 
-// estimateLate is how long a late request will wait behind a number of other late ones, at
-// the rate at which slots are left over.
+// estimateLate returns how long a late request will wait behind a number of other late ones,
+// at the rate at which slots are left over.
 func (q *SlotQueue) estimateLate(waiting *Ticket, ahead int, now time.Time) time.Duration {
 	const never = time.Hour
 	if q.warmth.Cold(now) {
-		return q.paced(len(q.short.queue)+len(q.long.queue)+ahead, now)
+		return q.warmUpWait(len(q.short.queue)+len(q.long.queue)+ahead, now)
 	}
 	slots := q.usable(waiting.short, waiting.Priority)
 	leftOver := q.leftOver(waiting, slots)
@@ -83,28 +82,28 @@
 	return time.Duration(float64(use.serviceTime) * (inTime + behind))
 }
 
-// leftOver is how many of the slots that a late request may use are left over on average;
-// zero where those are too few to wait for. One that can be served nowhere else waits for a
-// few as well, by what is left over in the long run: sent away for a burst that passes, it
-// would come back to the same back end.
+// leftOver returns how many of the slots that a late request may use are left over on average,
+// or zero if these are too few to wait for. A request that no other back end can serve also
+// waits for a few slots, judged by the long-term average: refused because of a short burst, it
+// would be retried at the same back end.
 func (q *SlotQueue) leftOver(waiting *Ticket, slots float64) float64 {
-	passing := slots - (q.long.busy - q.lateBusy)
-	lasting := slots - (q.long.lasting - q.lateLasting)
+	shortTerm := slots - (q.long.busy - q.lateBusy)
+	longTerm := slots - (q.long.longTermBusy - q.lateLongTermBusy)
 	if waiting.short {
-		passing -= q.short.busy
-		lasting -= q.short.lasting
+		shortTerm -= q.short.busy
+		longTerm -= q.short.longTermBusy
 	}
 	switch {
-	case passing >= leastLeftOver*slots:
-		return passing
-	case waiting.OnlyHere && lasting >= leastLasting*slots:
-		return lasting
+	case shortTerm >= minLeftOver*slots:
+		return shortTerm
+	case waiting.OnlyHere && longTerm >= minLongTermLeftOver*slots:
+		return longTerm
 	}
 	return 0
 }
 
-// usable is how many slots requests of a kind and priority may use: long ones those
-// that are not kept for short ones, nor used by more of these.
+// usable returns how many slots requests of a kind and priority may use. Long ones may use
+// those that are neither reserved for nor in use by short ones.
 func (q *SlotQueue) usable(short bool, priority int) float64 {
 	slots := float64(q.capacity)
 	if short {
--- a/internal/overload/slots.go
+++ b/internal/overload/slots.go
@@ -8,71 +8,72 @@
 	"github.com/quartzdock/quartzdock/internal/warmup"
 )
 
-// slotUse counts the slots of one kind of request.
+// slotUse holds the slot use and the queues of one kind of request.
 type slotUse struct {
 	running int
-	// queue of those that wait and can be answered in time, and late of those that
+	// queue has the waiting requests that can be answered in time, and late those that
 	// can't.
 	queue ticketQueue
 	late  ticketQueue
-	// serviceTime is a moving average of how long a slot is used, and busy one
-	// of how many are.
-	// lasting is the same as busy over a longer time.
-	serviceTime time.Duration
-	busy        float64
-	lasting     float64
-	refused     Refusals
-	// priority of the request that came last.
+	// serviceTime is a moving average of how long a slot is in use, and busy one of
+	// how many are. longTermBusy is the same as busy over a longer time.
+	serviceTime  time.Duration
+	busy         float64
+	longTermBusy float64
+	refused      Refusals
+	// priority of the last request that arrived.
 	priority int
 }
 
-// SlotQueue lets as many requests to the back end as it has slots, the most
-// urgent first, and refuses what would wait too long. Short requests go before
-// long ones that are no more urgent, and some slots are kept for them, so that
-// requests which wait for each other's calls can't fill all slots of a circle of
-// services.
+// SlotQueue admits as many requests to the back end as it has slots, the most
+// urgent first, and refuses those that would wait too long. Short requests go before
+// long ones that are no more urgent, and some slots are reserved for them, so that
+// services which call each other in a cycle can't deadlock with all slots taken by
+// requests that wait for each other.
 type SlotQueue struct {
 	capacity int
 	short    slotUse
 	long     slotUse
 	usedAt   time.Time
-	// lateRunning is how many slots late requests use, and lateBusy a moving
-	// average of it.
-	lateRunning int
-	lateBusy    float64
-	lateLasting float64
-	// target is the mean target of requests, weighed by the slot time they use.
+	// lateRunning is how many slots late requests use, and lateBusy and
+	// lateLongTermBusy are moving averages of it.
+	lateRunning      int
+	lateBusy         float64
+	lateLongTermBusy float64
+	// target is the mean target of requests, weighted by the slot time they use.
 	target time.Duration
-	// warmth bounds what the back end gets while it is cold.
+	// warmth limits the request rate of the back end while it is cold.
 	warmth warmup.Limiter
 }
 
 const (
-	// InitialServiceTime stands until something was measured.
+	// InitialServiceTime is assumed until there is a measurement.
 	InitialServiceTime = 50 * time.Millisecond
-	// serviceTimeWeight of a new measurement.
+	// serviceTimeWeight is the weight of a new measurement.
 	serviceTimeWeight = 0.1
-	// busyHalfLife weighs older counts of used slots.
+	// busyHalfLife is the age at which a count of used slots counts half.
 	busyHalfLife = time.Second
-	// lastingHalfLife is the same for what tells a passing burst from overload.
-	lastingHalfLife = 4 * time.Second
-	// keptForLessUrgent are kept for short requests before a long one that is more
-	// urgent: what calls need to end at all, and no more.
-	keptForLessUrgent = 1
-	leastBusy         = 0.05
-	// mostShort is the part of the slots that short requests may use while long
-	// ones wait, so that these are not starved.
-	mostShort = 0.72
-	// shortShare is the part of the mean target up to which one is short.
-	shortShare = 0.6
-	// targetWeight is the weight of a second of slot time in the mean target,
-	// mostTargetWeight that of any one request.
-	targetWeight     = 0.25
-	mostTargetWeight = 0.1
+	// longTermHalfLife is the same for the long-term average, which distinguishes lasting
+	// overload from a short burst.
+	longTermHalfLife = 4 * time.Second
+	// reservedForLessUrgent is how many slots are reserved for short requests against a
+	// more urgent long one: the least with which nested calls can complete at all.
+	reservedForLessUrgent = 1
+	// minBusy is the average use of slots by short requests below which none are reserved.
+	minBusy = 0.05
+	// maxShortShare is the share of the slots that short requests may use while long
+	// ones wait, so that these don't starve.
+	maxShortShare = 0.72
+	// shortTargetShare is the share of the mean target up to which a request's target
+	// makes it a short one.
+	shortTargetShare = 0.6
+	// targetWeight is the weight of a second of slot time in the mean target, and
+	// maxTargetWeight the highest weight of any one request.
+	targetWeight    = 0.25
+	maxTargetWeight = 0.1
 )
 
-// NewSlotQueue returns the queue of a back end that takes one request at a time and is
-// warm.
+// NewSlotQueue returns the queue of a warm back end with one slot.
 func NewSlotQueue(now time.Time) *SlotQueue {
 	unknown := slotUse{serviceTime: InitialServiceTime}
 	return &SlotQueue{capacity: 1, short: unknown, long: unknown, usedAt: now}
@@ -84,11 +85,11 @@
 	q.admit(now)
 }
 
-// SetServiceTime says how long a long request uses a slot, as a starting point for
-// what is measured.
+// SetServiceTime sets how long a long request uses a slot, as the initial value of the moving
+// average.
 func (q *SlotQueue) SetServiceTime(used time.Duration) { q.long.serviceTime = used }
 
-// Load is what a back end has and does.
+// Load describes the capacity and the load of a back end.
 type Load struct {
 	Running, Waiting, Slots int
 	// ServiceTime is how long a long request uses a slot on average, and ShortService
@@ -96,12 +97,12 @@
 	ServiceTime, ShortService time.Duration
 	// ShortUpTo is the longest target of a short request.
 	ShortUpTo time.Duration
-	// Bears is how many requests a second the back end bears while it is cold; zero
-	// is unbounded.
+	// Bears is how many requests a second the back end can serve while it is cold; zero
+	// is unlimited.
 	Bears float64
 }
 
-// Load returns what the back end has and does.
+// Load returns the capacity and the load of the back end.
 func (q *SlotQueue) Load(now time.Time) Load {
 	return Load{
 		Running:      q.short.running + q.long.running,
@@ -114,15 +115,15 @@
 	}
 }
 
-// Running returns how many slots each kind of request uses, and how many of them late
-// ones do.
+// Running returns how many slots each kind of request uses, and how many of them are used by
+// late ones.
 func (q *SlotQueue) Running() (short, long, late int) {
 	return q.short.running, q.long.running, q.lateRunning
 }
 
-// shortUpTo is the longest target that counts as short.
+// shortUpTo returns the longest target that counts as short.
 func (q *SlotQueue) shortUpTo() time.Duration {
-	return time.Duration(shortShare * float64(q.target))
+	return time.Duration(shortTargetShare * float64(q.target))
 }
 
 // use returns the counts for a kind of request.
@@ -139,54 +140,54 @@
 	q.usedAt = now
 	for _, use := range []*slotUse{&q.short, &q.long} {
 		use.busy = average(use.busy, use.running, elapsed, busyHalfLife)
-		use.lasting = average(use.lasting, use.running, elapsed, lastingHalfLife)
+		use.longTermBusy = average(use.longTermBusy, use.running, elapsed, longTermHalfLife)
 	}
 	q.lateBusy = average(q.lateBusy, q.lateRunning, elapsed, busyHalfLife)
-	q.lateLasting = average(q.lateLasting, q.lateRunning, elapsed, lastingHalfLife)
+	q.lateLongTermBusy = average(q.lateLongTermBusy, q.lateRunning, elapsed, longTermHalfLife)
 }
 
-// average moves an average on by a count that held for a time.
+// average updates a moving average with a count that was valid for the elapsed time.
 func average(before float64, running int, elapsed, halfLife time.Duration) float64 {
 	keep := float64(halfLife) / float64(halfLife+max(elapsed, 0))
 	return before*keep + float64(running)*(1-keep)
 }
 
-// reserved is how many slots only short requests may use, before a long one of a
-// priority: as many as they use, in whole slots. Beside them a short request gets the next
-// slot that becomes free, so that no more need to be idle.
+// reserved returns how many slots are reserved for short requests against a long one of a
+// priority: as many as short ones use on average, rounded up. Beyond that a short request
+// gets the next slot that becomes free, so that no more need to be idle.
 func (q *SlotQueue) reserved(priority int) int {
-	if q.short.busy < leastBusy {
+	if q.short.busy < minBusy {
 		return 0
 	}
-	kept := int(math.Ceil(q.short.busy - leastBusy))
+	kept := int(math.Ceil(q.short.busy - minBusy))
 	if priority < q.short.priority {
-		kept = keptForLessUrgent
+		kept = reservedForLessUrgent
 	}
 	return min(kept, q.capacity/2)
 }
 
-// fits says that a request of a kind and priority may take a slot now.
-func (q *SlotQueue) fits(short bool, priority int, now time.Time) bool {
+// mayStart reports whether a request of a kind and priority may take a slot now.
+func (q *SlotQueue) mayStart(short bool, priority int, now time.Time) bool {
 	if q.short.running+q.long.running >= q.capacity || q.warmth.Wait(now) > 0 {
 		return false
 	}
 	if short {
-		return len(q.long.queue) == 0 || float64(q.short.running) < mostShort*float64(q.capacity)
+		return len(q.long.queue) == 0 || float64(q.short.running) < maxShortShare*float64(q.capacity)
 	}
 	return q.long.running < q.capacity-q.reserved(priority)
 }
 
-// Arrive takes a request. It has a slot, waits for one until the caller calls Leave, or
-// is refused at once where the estimated wait is longer than it may be.
+// Arrive handles a new request. It gets a slot, waits for one until the caller calls Leave, or
+// is refused at once if the estimated wait is too long.
 func (q *SlotQueue) Arrive(wanted Demand, admitted func(), now time.Time) (*Ticket, bool) {
 	q.advance(now)
 	if q.target == 0 {
 		q.target = wanted.Target
 	}
-	arrived := &Ticket{Demand: wanted, Admitted: admitted, short: wanted.Target <= q.shortUpTo(), since: now, position: -1}
+	arrived := &Ticket{Demand: wanted, Admitted: admitted, short: wanted.Target <= q.shortUpTo(), arrivedAt: now, position: -1}
 	use := q.use(arrived.short)
 	use.priority = wanted.Priority
-	if q.fits(arrived.short, wanted.Priority, now) && len(use.queue) == 0 {
+	if q.mayStart(arrived.short, wanted.Priority, now) && len(use.queue) == 0 {
 		q.start(use, arrived, now)
 		return arrived, true
 	}
@@ -194,11 +195,11 @@
 		heap.Push(&use.queue, arrived)
 		return arrived, true
 	}
-	return arrived, q.waitLate(arrived, now)
+	return arrived, q.queueLate(arrived, now)
 }
 
-// estimate is how long a request would wait now. Long requests have the slots
-// that short ones do not use.
+// estimate returns how long a request would wait now. Long requests have the slots that short
+// ones do not use.
 func (q *SlotQueue) estimate(wanted *Demand, short bool, now time.Time) time.Duration {
 	use, slots := q.use(short), float64(q.capacity)
 	if !short {
@@ -214,50 +215,50 @@
 	if !short {
 		ahead += len(q.short.queue)
 	}
-	return max(bySlots, q.paced(ahead-1, now))
+	return max(bySlots, q.warmUpWait(ahead-1, now))
 }
 
-// CheckIn is when a request that waits is to be checked: when it can't be answered in
-// time any more, and from then on each lateCheckInterval.
+// CheckIn returns after how long Check is to be called for a waiting request: when it can no
+// longer be answered in time, and from then on every lateCheckInterval.
 func (q *SlotQueue) CheckIn(waiting *Ticket, now time.Time) time.Duration {
 	return waiting.untilCheck(now)
 }
 
-// Check looks at a request that waits, when its time for that has come, and reports
-// whether it is still likely to get a slot. Otherwise it should leave.
-func (q *SlotQueue) Check(waiting *Ticket, now time.Time) (hopeful bool) {
+// Check reports, at the time that CheckIn returned, whether a waiting request is still likely
+// to get a slot. Otherwise the caller should call Leave.
+func (q *SlotQueue) Check(waiting *Ticket, now time.Time) (likely bool) {
 	switch {
 	case waiting.admitted:
 		return true
 	case waiting.late:
-		return q.hopeful(waiting, now)
+		return q.likelyToGetSlot(waiting, now)
 	}
 	heap.Remove(&q.use(waiting.short).queue, waiting.position)
-	return q.waitLate(waiting, now)
+	return q.queueLate(waiting, now)
 }
 
-// Leave takes a request away that has left: out of its queue, or with its slot.
-func (q *SlotQueue) Leave(left *Ticket, now time.Time) {
-	use := q.use(left.short)
+// Leave removes a request from its queue, or frees its slot without measuring its use.
+func (q *SlotQueue) Leave(leaving *Ticket, now time.Time) {
+	use := q.use(leaving.short)
 	switch {
-	case left.admitted:
+	case leaving.admitted:
 		use.running--
-		if left.late {
+		if leaving.late {
 			q.lateRunning--
 		}
 		q.admit(now)
-	case left.position < 0:
-	case left.late:
-		heap.Remove(&use.late, left.position)
+	case leaving.position < 0:
+	case leaving.late:
+		heap.Remove(&use.late, leaving.position)
 	default:
-		heap.Remove(&use.queue, left.position)
+		heap.Remove(&use.queue, leaving.position)
 	}
 }
 
-// Release gives a slot back that was used for a time.
+// Release frees a slot that was in use for a time.
 func (q *SlotQueue) Release(taken Slot, used time.Duration, now time.Time) {
 	q.advance(now)
-	weight := min(targetWeight*used.Seconds(), mostTargetWeight)
+	weight := min(targetWeight*used.Seconds(), maxTargetWeight)
 	q.target += time.Duration(weight * float64(taken.Target-q.target))
 	use := q.use(taken.Short)
 	use.running--
@@ -268,15 +269,14 @@
 	q.admit(now)
 }
 
-// ComeBackIn counts a refusal of a kind of request and returns when there may be
-// room for it.
+// ComeBackIn counts a refusal and returns after how long there may be a slot for the request.
 func (q *SlotQueue) ComeBackIn(target time.Duration, now time.Time) time.Duration {
 	use := q.use(target <= q.shortUpTo())
 	rate := float64(q.capacity) / max(use.serviceTime, time.Millisecond).Seconds()
 	return use.refused.Add(rate, now)
 }
 
-// admit lets waiting requests in while there is room: short ones first, unless a
+// admit admits waiting requests while there are free slots: short ones first, unless a
 // long one is more urgent, and late ones after all that can be answered in time.
 func (q *SlotQueue) admit(now time.Time) {
 	q.admitFrom(func(use *slotUse) *ticketQueue { return &use.queue }, now)
@@ -293,7 +293,7 @@
 	q.warmth.Sent(now)
 }
 
-// admitFrom lets requests of one queue of both kinds in while there is room.
+// admitFrom admits requests from one queue of each kind while there are free slots.
 func (q *SlotQueue) admitFrom(queue func(*slotUse) *ticketQueue, now time.Time) {
 	for {
 		use := q.nextUse(*queue(&q.short), *queue(&q.long), now)
@@ -308,9 +308,9 @@
 	}
 }
 
-// nextUse is the kind of request that gets the next free slot, or nil.
+// nextUse returns the kind of request that gets the next free slot, or nil.
 func (q *SlotQueue) nextUse(shortQueue, longQueue ticketQueue, now time.Time) *slotUse {
-	short, long := q.ready(true, shortQueue, now), q.ready(false, longQueue, now)
+	short, long := q.canAdmit(true, shortQueue, now), q.canAdmit(false, longQueue, now)
 	switch {
 	case short && long && longQueue[0].Priority < shortQueue[0].Priority:
 		return &q.long
@@ -322,7 +322,7 @@
 	return nil
 }
 
-// ready says that a request of a kind waits in a queue and may take a slot now.
-func (q *SlotQueue) ready(short bool, queue ticketQueue, now time.Time) bool {
-	return len(queue) > 0 && q.fits(short, queue[0].Priority, now)
+// canAdmit reports whether a request of a kind waits in a queue and may take a slot now.
+func (q *SlotQueue) canAdmit(short bool, queue ticketQueue, now time.Time) bool {
+	return len(queue) > 0 && q.mayStart(short, queue[0].Priority, now)
 }
--- a/internal/overload/tickets.go
+++ b/internal/overload/tickets.go
@@ -4,27 +4,28 @@
 	"time"
 )
 
-// Demand is what a request asks of the slots.
+// Demand describes what a request needs of the slots.
 type Demand struct {
-	// Priority ranks requests; 0 goes first. Among equals, who is due first.
+	// Priority ranks requests; 0 goes first. Among equals the one that is due first goes
+	// first.
 	Priority int
 	Due      time.Time
-	// Target is the time within which the answer is worth most. Requests with a
-	// short one may use the slots that are kept for them: others that hold
-	// slots, here or elsewhere, may be waiting for their answers.
+	// Target is the time within which the answer is in time. Slots are reserved for
+	// requests with a short target: others that hold slots, here or elsewhere, may be
+	// waiting for their answers.
 	Target time.Duration
-	// Patience is how long it may wait and still be answered in time, and Latest
-	// how long it may wait at all, if there is room for late ones.
+	// Patience is how long the request may wait and still be answered in time, and Latest
+	// how long it may wait at all, if there are slots for late ones.
 	Patience time.Duration
 	Latest   time.Duration
-	// OnlyHere says that no other back end can serve it, as that owns its key.
+	// OnlyHere says that no other back end can serve the request, as this one owns its key.
 	OnlyHere bool
 }
 
-// Slot is one that was given to a request.
+// Slot describes a slot that was given to a request.
 type Slot struct {
 	Short bool
-	// Late says that the request can't be answered in time any more.
+	// Late says that the request can no longer be answered in time.
 	Late   bool
 	Target time.Duration
 }
@@ -32,21 +33,21 @@
 // Ticket is a request that has a slot or waits for one.
 type Ticket struct {
 	Demand
-	// Admitted is called once the request has a slot; nil is not.
+	// Admitted is called once a waiting request gets a slot. It may be nil.
 	Admitted func()
 
-	short bool
-	late  bool
-	since time.Time
-	// position in the queue, below zero where it has left that.
+	short     bool
+	late      bool
+	arrivedAt time.Time
+	// position in the queue, negative when not in a queue.
 	position int
 	admitted bool
 }
 
-// Slot returns what the request has or waits for.
+// Slot returns the slot that the request has or waits for.
 func (t *Ticket) Slot() Slot { return Slot{Short: t.short, Late: t.late, Target: t.Target} }
 
-// HasSlot reports whether the request has got its slot.
+// HasSlot reports whether the request has been given its slot.
 func (t *Ticket) HasSlot() bool { return t.admitted }
 
 // ticketQueue orders tickets by priority, then by when they are due.
@@ -75,6 +76,7 @@
 	return t
 }
 
+// before reports whether a request goes before another one.
 func (d *Demand) before(other *Demand) bool {
 	if d.Priority != other.Priority {
 		return d.Priority < other.Priority
