--- a/internal/grants/grants_test.go
+++ b/internal/grants/grants_test.go
@@ -22,7 +22,7 @@
 	shards = 4
 )
 
-// server takes grants as the back end protocol says. Its clock is the agent's.
+// server handles grants according to the back end protocol. It shares the agent's clock.
 type server struct {
 	boot     int
 	sequence uint64
@@ -39,7 +39,7 @@
 	return backendapi.Reading{Boot: fmt.Sprint(s.boot), ClockMilliseconds: now.Milliseconds(), Sequence: s.sequence}
 }
 
-func (s *server) take(message backendapi.Grants) error {
+func (s *server) handle(message backendapi.Grants) error {
 	if message.Boot != fmt.Sprint(s.boot) {
 		return backendapi.ErrOtherBoot
 	}
@@ -65,24 +65,24 @@
 	return nil
 }
 
-// held is a message that has not arrived, or whose answer has not.
-type held struct {
+// delayedMessage is a message that arrives late.
+type delayedMessage struct {
 	message *grants.Message
 	boot    int
 }
 
-// run is an agent and its back end on virtual time.
-type run struct {
+// simulation is an agent and its back end in virtual time.
+type simulation struct {
 	now     time.Duration
 	state   *grants.State
 	server  *server
 	owned   map[topology.ShardID]topology.Shard
 	closing map[topology.ShardID]grants.Closing
 	lease   time.Duration
-	late    []held
+	delayed []delayedMessage
 }
 
-func (r *run) wanted() grants.Wanted {
+func (r *simulation) wanted() grants.Wanted {
 	return grants.Wanted{
 		Backend: 1, Owned: r.owned, LeaseUntil: r.lease,
 		Closing: func(id topology.ShardID) (grants.Closing, bool) {
@@ -92,9 +92,9 @@
 	}
 }
 
-// exchange sends the next message; it may be lost, or taken without answer, or
-// taken later without answer.
-func (r *run) exchange(t *rapid.T) {
+// exchange sends the next message. It may be lost, accepted without an answer, or
+// accepted later without an answer.
+func (r *simulation) exchange(t *rapid.T) {
 	next := r.state.Next(r.wanted(), r.now)
 	if next == nil {
 		return
@@ -103,31 +103,31 @@
 	case 0:
 		r.state.Answered(next, backendapi.Reading{}, r.now, errLost)
 	case 1:
-		_ = r.server.take(next.Grants)
+		_ = r.server.handle(next.Grants)
 		r.state.Answered(next, backendapi.Reading{}, r.now, errLost)
 	case 2:
-		r.late = append(r.late, held{next, r.server.boot})
+		r.delayed = append(r.delayed, delayedMessage{next, r.server.boot})
 		r.state.Answered(next, backendapi.Reading{}, r.now, errLost)
 	default:
-		err := r.server.take(next.Grants)
+		err := r.server.handle(next.Grants)
 		r.state.Answered(next, r.server.reading(r.now), r.now, err)
 	}
 }
 
-// arrive lets a late message arrive.
-func (r *run) arrive() {
-	if len(r.late) == 0 {
+// deliverDelayed delivers the oldest delayed message.
+func (r *simulation) deliverDelayed() {
+	if len(r.delayed) == 0 {
 		return
 	}
-	first := r.late[0]
-	r.late = r.late[1:]
+	first := r.delayed[0]
+	r.delayed = r.delayed[1:]
 	if first.boot == r.server.boot {
-		_ = r.server.take(first.message.Grants)
+		_ = r.server.handle(first.message.Grants)
 	}
 }
 
-// change moves ownership of one shard on.
-func (r *run) change(t *rapid.T) {
+// changeOwner advances the ownership of one shard: not owned, owned, being released.
+func (r *simulation) changeOwner(t *rapid.T) {
 	id := topology.ShardID{Service: 1, Shard: topology.ShardNumber(rapid.IntRange(1, shards).Draw(t, "shard"))}
 	shard, owned := r.owned[id]
 	switch _, releasing := r.closing[id]; {
@@ -141,14 +141,14 @@
 	}
 }
 
-// check compares what the agent believes possible with what the back end could
+// check compares what the agent considers possible with what the back end could
 // do.
-func (r *run) check(t *rapid.T) {
+func (r *simulation) check(t *rapid.T) {
 	if r.now.Milliseconds() >= r.server.until {
 		return
 	}
 	if r.now >= r.state.AllEndBy() {
-		t.Fatalf("at %v the back end acts until %d ms, which the agent holds impossible after %v", r.now, r.server.until, r.state.AllEndBy())
+		t.Fatalf("at %v the back end acts until %d ms, which the agent considers impossible after %v", r.now, r.server.until, r.state.AllEndBy())
 	}
 	for number := range shards {
 		id := topology.ShardID{Service: 1, Shard: topology.ShardNumber(number + 1)}
@@ -158,12 +158,11 @@
 	}
 }
 
-// TestNothingIsHeldThatTheAgentDoesNotKnowOf: whatever is lost, late or
-// restarted, the agent never believes a grant gone that the back end could act
-// on.
-func TestNothingIsHeldThatTheAgentDoesNotKnowOf(t *testing.T) {
+// Whatever is lost, delayed or restarted, the agent never considers a grant gone that the
+// back end could still act on.
+func TestBackEndHoldsOnlyGrantsThatTheAgentConsidersPossible(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := &run{
+		r := &simulation{
 			state:   grants.New(0, 0),
 			server:  newServer(1),
 			owned:   make(map[topology.ShardID]topology.Shard),
@@ -173,12 +172,12 @@
 			r.now += time.Duration(rapid.IntRange(1, 60).Draw(t, "pass")) * time.Millisecond
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0:
-				r.change(t)
+				r.changeOwner(t)
 			case 1:
-				r.arrive()
+				r.deliverDelayed()
 			case 2:
 				r.server = newServer(r.server.boot + 1)
-			case 3: // the agent starts anew; its late messages are still on their way
+			case 3: // the agent restarts; its delayed messages may still arrive
 				r.state = grants.New(0, r.now)
 			case 4, 5:
 				r.lease = r.now + lease
@@ -190,10 +189,9 @@
 	})
 }
 
-// TestFrozenBackEndIsGrantedNothingFurther: while a message has no answer the
-// next ones state no later end.
-func TestFrozenBackEndIsGrantedNothingFurther(t *testing.T) {
-	r := &run{state: grants.New(0, 0), server: newServer(1), owned: map[topology.ShardID]topology.Shard{}}
+// While a message has no answer, the next ones state no later expiry.
+func TestHangingBackEndGetsNoExtension(t *testing.T) {
+	r := &simulation{state: grants.New(0, 0), server: newServer(1), owned: map[topology.ShardID]topology.Shard{}}
 	first := r.state.Next(r.wanted(), 0)
 	r.state.Answered(first, r.server.reading(0), 0, nil)
 	r.lease = lease
--- a/internal/grants/state.go
+++ b/internal/grants/state.go
@@ -12,148 +12,148 @@
 )
 
 const (
-	// retryAfter is the least time between two messages after a failure.
-	retryAfter = 25 * time.Millisecond
-	// failuresToLose messages in a row must fail before the back end counts as
-	// lost.
-	failuresToLose = 2
-	// earlierGrantsEnd is how long after the start of this process the grants of
-	// an earlier one have ended: the longest lease that settings allow, one
-	// minute, with the bound of drift.
-	earlierGrantsEnd = 62 * time.Second
+	// retryDelay is the shortest time between two messages after a failure.
+	retryDelay = 25 * time.Millisecond
+	// lostAfterFailures is how many messages in a row must fail before the back end
+	// counts as lost.
+	lostAfterFailures = 2
+	// earlierGrantsLifetime is how long after the start of this process the grants of
+	// an earlier one have expired: the longest lease that settings allow, one minute,
+	// plus the bound of clock drift.
+	earlierGrantsLifetime = 62 * time.Second
 )
 
-// State is what the back end was granted. It is not safe for concurrent use.
+// State tracks what the back end was granted. It is not safe for concurrent use.
 type State struct {
 	clock backendapi.Clock
 	// started is when this process started.
 	started time.Duration
 	// sequence of the last message. The first message of this process replaces
-	// whatever an earlier process granted.
+	// whatever an earlier process granted; replaced is set once that is confirmed.
 	sequence uint64
 	replaced bool
-	// taken is what the back end confirmed.
-	taken map[topology.ShardID]taken
-	// possible is what the back end may hold: all that was sent, until its
-	// revocation is confirmed.
+	// confirmed has the grants that the back end confirmed.
+	confirmed map[topology.ShardID]confirmedGrant
+	// possible has the grants that the back end may hold: all that were sent, until
+	// their revocation is confirmed.
 	possible map[topology.ShardID]topology.Epoch
-	// refused epochs: the back end has seen a higher one.
+	// refused has the epochs that the back end refused, as it has seen a higher one.
 	refused map[topology.ShardID]topology.Epoch
-	// confirmedUntil is the end of the grants in the last message that was
-	// answered; possibleUntil also counts messages that were not, which the back
-	// end may still take.
+	// confirmedUntil is the expiry stated in the last message that was answered;
+	// possibleUntil also covers messages without an answer, which the back end may
+	// still accept.
 	confirmedUntil time.Duration
 	possibleUntil  time.Duration
-	// sending: a message is on its way.
-	sending bool
+	// inFlight is set while a message has been sent and not been answered.
+	inFlight bool
 	// failures in a row, and when the last message failed.
 	failures int
 	failedAt time.Duration
 }
 
-// taken is a grant that the back end confirmed.
-type taken struct {
-	// epoch is what the back end was told, owner the epoch of the ownership that
-	// the grant serves. They differ after a split, a merge or a cancelled move.
-	epoch, owner topology.Epoch
-	// interrupted: the shard was not owned for a time, and the next grant needs
-	// the epoch of the new ownership.
+// confirmedGrant is a grant that the back end confirmed.
+type confirmedGrant struct {
+	// epoch is the one that was sent to the back end, ownerEpoch that of the ownership
+	// that the grant serves. They differ after a split, a merge or a cancelled move.
+	epoch, ownerEpoch topology.Epoch
+	// interrupted says that the shard was not owned for a time, so that the next grant
+	// needs the epoch of the new ownership.
 	interrupted bool
 }
 
 // New returns the state of an agent that starts at now. Drift bounds how much
-// faster the back end's clock may run, as a share.
+// faster the back end's clock may run, as a fraction.
 func New(drift float64, now time.Duration) *State {
 	return &State{
-		clock:    backendapi.Clock{Drift: drift},
-		started:  now,
-		taken:    make(map[topology.ShardID]taken),
-		possible: make(map[topology.ShardID]topology.Epoch),
-		refused:  make(map[topology.ShardID]topology.Epoch),
+		clock:     backendapi.Clock{Drift: drift},
+		started:   now,
+		confirmed: make(map[topology.ShardID]confirmedGrant),
+		possible:  make(map[topology.ShardID]topology.Epoch),
+		refused:   make(map[topology.ShardID]topology.Epoch),
 	}
 }
 
-// Replaced says that a message of this process has replaced whatever an earlier
-// one granted.
+// Replaced reports whether a message of this process has replaced whatever an
+// earlier process granted.
 func (s *State) Replaced() bool { return s.replaced }
 
-// MayHold says that the back end may hold a grant of the shard. Until a message
-// of this process has replaced them, it may hold those of an earlier one.
+// MayHold reports whether the back end may hold a grant of the shard. Until a message
+// of this process has replaced them, it may hold any grants of an earlier process.
 func (s *State) MayHold(shard topology.ShardID) bool {
 	_, possible := s.possible[shard]
 	return possible || !s.replaced
 }
 
-// PossibleUntil is when the back end can't act on any grant of this process any
-// more, unless another message is sent.
+// PossibleUntil returns from when on the back end can't act on any grant of this
+// process, unless another message is sent.
 func (s *State) PossibleUntil() time.Duration { return s.possibleUntil }
 
-// AllEndBy is PossibleUntil with the grants of earlier processes.
+// AllEndBy is like PossibleUntil, but includes the grants of earlier processes.
 func (s *State) AllEndBy() time.Duration {
 	if s.replaced {
 		return s.possibleUntil
 	}
-	return max(s.possibleUntil, s.started+earlierGrantsEnd)
+	return max(s.possibleUntil, s.started+earlierGrantsLifetime)
 }
 
-// Lost says that the back end has not answered until its grants ended.
+// Lost reports whether the back end has not answered until its grants expired.
 func (s *State) Lost(now time.Duration) bool {
-	return s.failures >= failuresToLose && now >= s.confirmedUntil
+	return s.failures >= lostAfterFailures && now >= s.confirmedUntil
 }
 
-// Closing says how an owned shard is given up.
+// Closing describes the release of an owned shard.
 type Closing struct {
 	Epoch topology.Epoch
-	// KeepGrant: requests that run still need the grant.
+	// KeepGrant says that running requests still need the grant.
 	KeepGrant bool
 }
 
-// Wanted is what the back end should hold.
+// Wanted describes what the back end should hold.
 type Wanted struct {
 	Backend topology.BackendID
-	// Owned is what the routing data give to this back end.
+	// Owned has the shards that the routing data assign to this back end.
 	Owned map[topology.ShardID]topology.Shard
-	// Closing tells of owned shards that are being released.
+	// Closing returns how an owned shard is being released, and whether it is.
 	Closing func(topology.ShardID) (Closing, bool)
-	// Lingers tells of shards that are not owned under their number any more
-	// while requests admitted before still run. If it is set, a shard whose epoch
-	// rises while its owner stays keeps the grant at the epoch that the back end
-	// knows, so that its fence lets running requests finish; nil grants each
-	// epoch anew.
+	// Lingers reports whether a shard is no longer owned under its number while
+	// requests that were admitted before still run. If it is set, a shard whose epoch
+	// rises without a change of owner keeps the grant at the epoch that the back end
+	// knows, so that its fence lets running requests finish; if it is nil, each epoch
+	// gets a new grant.
 	Lingers func(topology.ShardID) bool
-	// LeaseUntil is the end of the agent's lease; zero is none.
+	// LeaseUntil is the end of the agent's lease, zero without one.
 	LeaseUntil time.Duration
-	// Repeat sends a message also where nothing has changed.
+	// Repeat sends a message even if nothing has changed.
 	Repeat bool
 }
 
-// Message is a message on its way.
+// Message is a message to the back end.
 type Message struct {
 	Grants backendapi.Grants
-	// until is the end that it states.
+	// until is the expiry that it states.
 	until time.Duration
-	// possibleBefore is what possibleUntil was before it.
+	// possibleBefore is the value of possibleUntil before it was sent.
 	possibleBefore time.Duration
 	granted        []topology.Shard
 	revoked        []topology.ShardID
-	// epochs are what the back end is told for granted.
+	// epochs are those sent to the back end for the shards in granted.
 	epochs []topology.Epoch
 }
 
-// Next returns the next message, which must be sent once and then answered by
-// Answered. It returns nil while one is on its way, right after a failure, and
-// where the back end has all that it should have.
+// Next returns the next message. The caller must send it once and then call Answered.
+// Next returns nil while a message is in flight, for retryDelay after a failure, and if
+// the back end already has what it should have.
 func (s *State) Next(wanted Wanted, now time.Duration) *Message {
-	s.noteInterrupted(wanted)
-	resting := s.failures > 0 && now-s.failedAt < retryAfter
-	if s.sending || resting {
+	s.markInterrupted(wanted)
+	backoff := s.failures > 0 && now-s.failedAt < retryDelay
+	if s.inFlight || backoff {
 		return nil
 	}
 	next := s.compose(wanted, now)
 	if next == nil {
 		return nil
 	}
-	s.sending = true
+	s.inFlight = true
 	s.sequence++
 	next.Grants.Sequence = s.sequence
 	next.possibleBefore = s.possibleUntil
@@ -164,48 +164,49 @@
 	return next
 }
 
-// noteInterrupted must see every change of what is owned.
-func (s *State) noteInterrupted(wanted Wanted) {
-	for id, held := range s.taken {
-		if _, owned := wanted.Owned[id]; !owned && !wanted.lingers(id) {
+// markInterrupted marks grants whose shards are not owned. It must see every change of
+// what is owned.
+func (s *State) markInterrupted(wanted Wanted) {
+	for id, held := range s.confirmed {
+		if _, owned := wanted.Owned[id]; !owned && !wanted.draining(id) {
 			held.interrupted = true
-			s.taken[id] = held
+			s.confirmed[id] = held
 		}
 	}
 }
 
-func (wanted *Wanted) lingers(id topology.ShardID) bool {
+func (wanted *Wanted) draining(id topology.ShardID) bool {
 	return wanted.Lingers != nil && wanted.Lingers(id)
 }
 
-// EndContinued has grants that continue from an earlier epoch replaced by ones
-// of the present epoch, where the caller says so, so that nothing that was sent
-// to the back end under them can act any more.
+// EndContinued marks the grants that continue from an earlier epoch and for which ends
+// returns true. They will be replaced by grants of the current epoch, so that nothing that
+// was sent to the back end under them can take effect any more.
 func (s *State) EndContinued(ends func(shard topology.ShardID, epoch topology.Epoch) bool) {
-	for id, held := range s.taken {
-		if held.epoch != held.owner && ends(id, held.epoch) {
+	for id, held := range s.confirmed {
+		if held.epoch != held.ownerEpoch && ends(id, held.epoch) {
 			held.interrupted = true
-			s.taken[id] = held
+			s.confirmed[id] = held
 		}
 	}
 }
 
-// Ending says that the back end may still hold a grant that EndContinued ends.
+// Ending reports whether the back end may still hold a grant that EndContinued ends.
 func (s *State) Ending() bool {
-	for _, held := range s.taken {
-		if held.interrupted && held.epoch != held.owner {
+	for _, held := range s.confirmed {
+		if held.interrupted && held.epoch != held.ownerEpoch {
 			return true
 		}
 	}
 	return false
 }
 
-// Epoch is the epoch at which the back end knows a shard; zero is not at all.
-func (s *State) Epoch(shard topology.ShardID) topology.Epoch { return s.taken[shard].epoch }
+// Epoch returns the epoch at which the back end has confirmed a shard, zero without one.
+func (s *State) Epoch(shard topology.ShardID) topology.Epoch { return s.confirmed[shard].epoch }
 
-// epochFor is the epoch to tell the back end for an owned shard.
+// epochFor returns the epoch to send to the back end for an owned shard.
 func (s *State) epochFor(shard topology.Shard, wanted Wanted) topology.Epoch {
-	held, granted := s.taken[shard.ID]
+	held, granted := s.confirmed[shard.ID]
 	if granted && !held.interrupted && wanted.Lingers != nil {
 		return held.epoch
 	}
@@ -225,16 +226,16 @@
 		s.addGrants(next, wanted)
 	}
 	s.addRevocations(next, wanted)
-	news := len(next.granted) > 0 || len(next.revoked) > 0 || next.until != s.confirmedUntil
-	if !news && s.replaced && !wanted.Repeat {
+	changed := len(next.granted) > 0 || len(next.revoked) > 0 || next.until != s.confirmedUntil
+	if !changed && s.replaced && !wanted.Repeat {
 		return nil
 	}
 	return next
 }
 
-// until is the end that the next message states: the lease's, and zero without
-// one. While an earlier message has no answer its end is repeated, so that a
-// back end which is frozen is granted nothing further.
+// until returns the expiry that the next message states: the end of the lease, or zero
+// without one. While an earlier message has no answer, its expiry is repeated, so that
+// the grants of a hanging back end are not extended.
 func (s *State) until(lease, now time.Duration) time.Duration {
 	if lease <= now {
 		return 0
@@ -247,9 +248,9 @@
 
 func (s *State) addGrants(next *Message, wanted Wanted) {
 	for id, shard := range wanted.Owned {
-		held, granted := s.taken[id]
-		serves := granted && !held.interrupted && held.owner == shard.Epoch
-		if serves || s.refused[id] >= shard.Epoch {
+		held, granted := s.confirmed[id]
+		upToDate := granted && !held.interrupted && held.ownerEpoch == shard.Epoch
+		if upToDate || s.refused[id] >= shard.Epoch {
 			continue
 		}
 		if closing, releasing := wanted.Closing(id); releasing && closing.Epoch == shard.Epoch {
@@ -267,7 +268,7 @@
 
 func (s *State) addRevocations(next *Message, wanted Wanted) {
 	for id := range s.possible {
-		if !keeps(wanted, id) {
+		if !shouldKeep(wanted, id) {
 			next.revoked = append(next.revoked, id)
 		}
 	}
@@ -277,10 +278,11 @@
 	}
 }
 
-// keeps says that a granted shard is still to be served or finished here.
-func keeps(wanted Wanted, id topology.ShardID) bool {
+// shouldKeep reports whether the back end still serves a granted shard or finishes its
+// requests.
+func shouldKeep(wanted Wanted, id topology.ShardID) bool {
 	if _, owned := wanted.Owned[id]; !owned {
-		return wanted.lingers(id)
+		return wanted.draining(id)
 	}
 	closing, releasing := wanted.Closing(id)
 	return !releasing || closing.KeepGrant
@@ -290,26 +292,26 @@
 	return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Shard, b.Shard))
 }
 
-// Outcome is what became of a message.
+// Outcome is the result of a message.
 type Outcome struct {
 	// Granted shards may be served now.
 	Granted []topology.Shard
-	// Taken: the back end took the message.
+	// Taken says that the back end accepted the message.
 	Taken bool
-	// Restarted: the back end has neither grants nor warm shards any more.
+	// Restarted says that the back end has restarted and lost its grants and warm shards.
 	Restarted bool
 	// Refused names a shard of which the back end has seen a higher epoch.
 	Refused *backendapi.LowerEpochError
-	// Failed: no answer came, and the message may still be taken.
+	// Failed says that no answer came. The back end may still accept the message.
 	Failed bool
-	// FirstFailure in a row.
+	// FirstFailure says that the failure is the first one in a row.
 	FirstFailure bool
 }
 
-// Answered takes the end of a message: a reading that was received at a time,
-// or why there is none, as backendapi.Client.Grant returns them.
+// Answered records the result of a message: the reading received, or the error, as
+// backendapi.Client.Grant returns them.
 func (s *State) Answered(sent *Message, reading backendapi.Reading, received time.Duration, err error) Outcome {
-	s.sending = false
+	s.inFlight = false
 	var lower *backendapi.LowerEpochError
 	switch {
 	case err == nil:
@@ -337,21 +339,21 @@
 	s.confirmedUntil = sent.until
 	s.possibleUntil = sent.until
 	for index, shard := range sent.granted {
-		s.taken[shard.ID] = taken{epoch: sent.epochs[index], owner: shard.Epoch}
+		s.confirmed[shard.ID] = confirmedGrant{epoch: sent.epochs[index], ownerEpoch: shard.Epoch}
 	}
 	for _, id := range sent.revoked {
-		delete(s.taken, id)
+		delete(s.confirmed, id)
 		delete(s.possible, id)
 	}
 	return Outcome{Granted: sent.granted, Taken: true}
 }
 
-// restarted: the back end has no grants.
+// restarted clears the state after a restart of the back end, which has no grants.
 func (s *State) restarted(reading backendapi.Reading, received time.Duration) Outcome {
 	s.failures = 0
 	s.clock.Observe(reading, received)
 	s.sequence = max(s.sequence, reading.Sequence)
-	clear(s.taken)
+	clear(s.confirmed)
 	clear(s.possible)
 	clear(s.refused)
 	s.possibleUntil = 0
@@ -359,8 +361,9 @@
 	return Outcome{Restarted: true}
 }
 
-// epochRefused: another agent's grant of a higher epoch reached this back end,
-// or the routing data here are old. The shard is not served at this epoch.
+// epochRefused records that the back end has refused an epoch: either another agent's
+// grant of a higher epoch has reached it, or the routing data here are outdated. The
+// shard is not served at this epoch.
 func (s *State) epochRefused(sent *Message, lower *backendapi.LowerEpochError) Outcome {
 	s.possibleUntil = sent.possibleBefore
 	for _, shard := range sent.granted {
