--- a/internal/inforce/inforce_test.go
+++ b/internal/inforce/inforce_test.go
@@ -17,7 +17,7 @@
 	other  topology.ReplicaID = 2
 	before topology.Revision  = 10
 	change topology.Revision  = 11
-	// settled is when every controller has run for long enough to vouch for its
+	// settled is when every controller has run for long enough to know all its
 	// subscribers.
 	settled = time.Minute
 )
@@ -30,8 +30,8 @@
 	return inforce.Key{Role: topology.RoleRouter, Name: name, Address: "127.0.0.1:8080"}
 }
 
-// leader returns the tracker of a leader that has applied the change just now,
-// at settled, and heard from the other controller.
+// leader returns the tracker of a leader that has just applied the change, at settled,
+// and has a report of the other controller.
 func leader() *inforce.Tracker {
 	t := inforce.NewTracker(0)
 	t.TakeReport(other, &wire.SubscriberReport{All: true, Listing: settled}, settled)
@@ -55,13 +55,13 @@
 	return names
 }
 
-func TestEveryoneMustConfirm(t *testing.T) {
+func TestAllSubscribersMustConfirm(t *testing.T) {
 	tracker := leader()
 	tracker.Connected(router("own"), &wire.Hello{Boot: 1, Applied: before}, settled)
 	tracker.TakeReport(other, report("foreign", before), settled)
 	assert.DeepEqual(t, lagging(tracker, settled), []string{"foreign", "own"})
 	assert.Assert(t, tracker.Applied(router("own"), 1, change, settled))
-	assert.Assert(t, !tracker.Applied(router("own"), 1, change, settled), "a repeated confirmation is no news")
+	assert.Assert(t, !tracker.Applied(router("own"), 1, change, settled), "a repeated confirmation is not new")
 	assert.DeepEqual(t, lagging(tracker, settled), []string{"foreign"})
 	tracker.TakeReport(other, report("foreign", change), settled)
 	assert.Assert(t, tracker.Progress(change, &status, settled).Everywhere)
@@ -76,35 +76,35 @@
 	assert.DeepEqual(t, lagging(tracker, settled), []string{"own"})
 }
 
-func TestSilentSubscriberCountsUntilItStopsRelying(t *testing.T) {
+func TestSilentSubscriberCountsUntilStopRelyingAfter(t *testing.T) {
 	tracker := leader()
 	tracker.Connected(router("own"), &wire.Hello{Boot: 1, Applied: before}, settled-time.Second)
 	tracker.Disconnected(router("own"), 1, settled-time.Second)
 	stops := settled - time.Second + wire.StopRelyingAfter
-	heard := func(at time.Duration) {
+	reportAt := func(at time.Duration) {
 		tracker.TakeReport(other, &wire.SubscriberReport{Listing: at}, at)
 	}
-	heard(stops)
+	reportAt(stops)
 	assert.DeepEqual(t, lagging(tracker, stops), []string{"own"})
-	heard(stops + 1)
+	reportAt(stops + 1)
 	assert.Assert(t, tracker.Progress(change, &status, stops+1).Everywhere)
 }
 
-func TestSilentControllerKeepsItBackUntilNoOneCanRelyOnOlderData(t *testing.T) {
+func TestSilentControllerDelaysUntilMaxRelianceTime(t *testing.T) {
 	tracker := leader()
 	late := settled + time.Second
 	assert.DeepEqual(t, lagging(tracker, late), []string{"controller-2"})
-	assert.Assert(t, !tracker.Progress(change, &status, settled+inforce.RelyingBound).Everywhere)
-	assert.Assert(t, tracker.Progress(change, &status, settled+inforce.RelyingBound+1).Everywhere)
+	assert.Assert(t, !tracker.Progress(change, &status, settled+inforce.MaxRelianceTime).Everywhere)
+	assert.Assert(t, tracker.Progress(change, &status, settled+inforce.MaxRelianceTime+1).Everywhere)
 }
 
-// TestControllerThatHasJustStartedCannotVouch: subscribers that it served before
-// its restart may not have come back yet and still serve by older data.
-func TestControllerThatHasJustStartedCannotVouch(t *testing.T) {
+// Subscribers that a controller served before its restart may not have reconnected yet
+// and may still use older data.
+func TestRecentlyStartedControllerCountsAsLagging(t *testing.T) {
 	tracker := leader()
-	tracker.TakeReport(other, &wire.SubscriberReport{All: true, Listing: inforce.RelyingBound}, settled)
+	tracker.TakeReport(other, &wire.SubscriberReport{All: true, Listing: inforce.MaxRelianceTime}, settled)
 	assert.DeepEqual(t, lagging(tracker, settled), []string{"controller-2"})
-	tracker.TakeReport(other, &wire.SubscriberReport{All: true, Listing: inforce.RelyingBound + 1}, settled)
+	tracker.TakeReport(other, &wire.SubscriberReport{All: true, Listing: inforce.MaxRelianceTime + 1}, settled)
 	assert.Assert(t, tracker.Progress(change, &status, settled).Everywhere)
 
 	fresh := inforce.NewTracker(settled)
@@ -113,9 +113,8 @@
 	assert.DeepEqual(t, lagging(fresh, settled), []string{"controller-1"})
 }
 
-// TestSubscribersOfARestartedControllerAreNotListedForEver: its first report
-// names those that it still has.
-func TestSubscribersOfARestartedControllerAreNotListedForEver(t *testing.T) {
+// The first report of a restarted controller lists those subscribers that it still has.
+func TestSubscribersOfRestartedControllerAreDropped(t *testing.T) {
 	tracker := leader()
 	tracker.TakeReport(other, report("gone", before), settled)
 	tracker.TakeReport(other, &wire.SubscriberReport{All: true, Listing: settled}, settled)
@@ -131,15 +130,14 @@
 	assert.DeepEqual(t, lagging(tracker, settled), []string{"controller-2"})
 }
 
-// TestNewLeaderDoesNotVouchForAControllerThatWasRemoved: a router had its
-// session with a controller that was lost with its disk and removed. No member
-// knows of the router, which relies on its data for a while.
-func TestNewLeaderDoesNotVouchForAControllerThatWasRemoved(t *testing.T) {
+// A router had its session with a controller that was lost with its disk and removed. No
+// member knows of the router, which goes on using its data for a while.
+func TestNewLeaderWaitsForSubscribersOfRemovedController(t *testing.T) {
 	tracker := leader()
 	tracker.BecomeLeader(settled)
 	tracker.TakeReport(other, &wire.SubscriberReport{All: true, Listing: settled}, settled)
 	assert.Assert(t, !tracker.Progress(change, &status, settled).Everywhere)
-	later := settled + inforce.RelyingBound + 1
+	later := settled + inforce.MaxRelianceTime + 1
 	tracker.TakeReport(other, &wire.SubscriberReport{Listing: later}, later)
 	tracker.Committed(change+1, later)
 	assert.Assert(t, tracker.Progress(change+1, &status, later).Everywhere)
@@ -164,12 +162,12 @@
 	assert.Assert(t, !freshness.ConfirmedSince(2*time.Second+1))
 }
 
-// TestAgentWithALeaseCountsUntilItConfirms: it needs no proof of freshness.
-func TestAgentWithALeaseCountsUntilItConfirms(t *testing.T) {
+// An agent with a lease counts until it confirms, as it needs no proof of freshness.
+func TestAgentWithLeaseCountsUntilItConfirms(t *testing.T) {
 	tracker := leader()
 	agent := inforce.Key{Role: topology.RoleAgent, Name: "agent", Address: "127.0.0.1:7201"}
 	tracker.Connected(agent, &wire.Hello{Boot: 1, Applied: before}, settled)
-	late := settled + 2*inforce.RelyingBound
+	late := settled + 2*inforce.MaxRelianceTime
 	assert.DeepEqual(t, lagging(tracker, late), []string{"agent"})
 	tracker.Disconnected(agent, 1, late)
 	assert.DeepEqual(t, lagging(tracker, late+wire.StopRelyingAfter), []string{"agent"})
--- a/internal/inforce/progress.go
+++ b/internal/inforce/progress.go
@@ -9,31 +9,32 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// RelyingBound is how long after its commit a revision is in force everywhere,
-// whoever was heard: wire.StopRelyingAfter by a clock that runs slow by the
-// bound of clock drift.
-const RelyingBound = wire.StopRelyingAfter + wire.StopRelyingAfter/50
+// MaxRelianceTime is how long after its commit a revision is in force at all routers,
+// whichever subscribers have confirmed it: wire.StopRelyingAfter by a clock that runs
+// slow by the bound of clock drift.
+const MaxRelianceTime = wire.StopRelyingAfter + wire.StopRelyingAfter/50
 
-// ReportInterval is how often a controller that follows reports to the leader.
+// ReportInterval is the interval of a follower's reports to the leader.
 const ReportInterval = 100 * time.Millisecond
 
-// reportSlack is how late a report may be before its controller counts as
-// silent.
+// reportSlack is how much later than two intervals a report may be before its
+// controller counts as silent.
 const reportSlack = 300 * time.Millisecond
 
-// Progress is how far a revision has come.
+// Progress is the state of the rollout of a revision.
 type Progress struct {
 	Revision   topology.Revision
 	Everywhere bool
-	// Lagging are the subscribers that may serve by an older revision, and the
-	// controllers that can't tell which of theirs do.
+	// Lagging are the subscribers that may use an older revision, and the controllers
+	// that don't know which of their subscribers do.
 	Lagging []Subscriber
 }
 
-// Progress tells, at the leader, who does not have a revision in force yet.
+// Progress returns, at the leader, which subscribers may not have a revision in force
+// yet.
 func (t *Tracker) Progress(revision topology.Revision, status *consensus.Status, now time.Duration) Progress {
 	result := Progress{Revision: revision}
-	late := now-t.commits.at(revision, now) > RelyingBound
+	late := now-t.commits.at(revision, now) > MaxRelianceTime
 	for _, entry := range t.Subscribers(status.ID) {
 		if entry.Applied >= revision || entry.StoppedRelying(now) {
 			continue
@@ -43,33 +44,33 @@
 		}
 	}
 	if !late {
-		result.Lagging = append(result.Lagging, t.unsure(status, now)...)
+		result.Lagging = append(result.Lagging, t.unknownControllers(status, now)...)
 	}
 	result.Everywhere = len(result.Lagging) == 0
 	return result
 }
 
-// mayHoldLease reports whether a subscriber is an agent that had a session here,
-// at the leader, just now: its lease lets it serve without a proof of freshness.
+// mayHoldLease reports whether a subscriber is an agent that has or recently had a
+// session here, at the leader: its lease lets it serve without a proof of freshness.
 func (t *Tracker) mayHoldLease(entry *Subscriber) bool {
 	_, own := t.own[entry.Key]
 	return own && entry.Role == topology.RoleAgent
 }
 
-// unsure lists the members that can't tell who has what: those that have not
-// reported just now, those that have started only now, and a new leader. A new
-// leader knows nothing of the subscribers of a controller that was lost and is
-// no member any more, until those have stopped relying.
-func (t *Tracker) unsure(status *consensus.Status, now time.Duration) []Subscriber {
+// unknownControllers returns the members that may not know the state of all their
+// subscribers: those without a recent report, those that have started recently, and a
+// new leader. A new leader doesn't know the subscribers of a controller that was lost
+// and is no longer a member. It must wait until these have stopped using their data.
+func (t *Tracker) unknownControllers(status *consensus.Status, now time.Duration) []Subscriber {
 	var found []Subscriber
 	for _, entry := range status.Membership.Members {
 		known, heard := t.members[entry.ID]
 		if entry.ID == status.ID {
-			known, heard = member{heardAt: now, started: max(t.started, t.leads)}, true
+			known, heard = member{lastHeard: now, started: max(t.started, t.leaderSince)}, true
 		}
-		silent := !heard || now-known.heardAt > 2*ReportInterval+reportSlack
-		if silent || now-known.started <= RelyingBound {
-			found = append(found, controllerAsSubscriber(entry, known.heardAt))
+		silent := !heard || now-known.lastHeard > 2*ReportInterval+reportSlack
+		if silent || now-known.started <= MaxRelianceTime {
+			found = append(found, controllerAsSubscriber(entry, known.lastHeard))
 		}
 	}
 	return found
--- a/internal/inforce/tracker.go
+++ b/internal/inforce/tracker.go
@@ -9,55 +9,56 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// ForgetAfter is when a subscriber that was not heard is no longer listed.
-const ForgetAfter = 10 * time.Minute
+// ExpireAfter is how long after its last message a subscriber without a session is
+// removed from the list.
+const ExpireAfter = 10 * time.Minute
 
-// Key tells subscribers apart.
+// Key identifies a subscriber.
 type Key struct {
 	Role    topology.Role
 	Name    string
 	Address string
 }
 
-// Subscriber is what is known of a router or an agent.
+// Subscriber is the known state of a router or an agent.
 type Subscriber struct {
 	Key
 	Location  topology.Location
 	Boot      uint64
 	Applied   topology.Revision
 	Connected bool
-	// HeardAt is when it was last heard.
+	// HeardAt is when the last message was received from it.
 	HeardAt time.Duration
 	// Controller that serves it, or served it last.
 	Controller topology.ReplicaID
-	// dirty is set until it was passed on to the leader.
-	dirty bool
+	// unreported is set while the latest state has not been reported to the leader.
+	unreported bool
 }
 
-// StoppedRelying reports whether the subscriber serves by no old routing data
-// any more: it heard from no controller for too long.
+// StoppedRelying reports whether the subscriber has stopped using its routing data, as
+// it has had no contact with a controller for too long.
 func (s *Subscriber) StoppedRelying(now time.Duration) bool {
 	return !s.Connected && now-s.HeardAt > wire.StopRelyingAfter
 }
 
-// Tracker knows who has which revision in force. A controller's own subscribers
-// have sessions with it; at the leader, those of other controllers are listed
-// as well. It is not safe for concurrent use.
+// Tracker tracks which subscriber has which revision in force. A controller's own
+// subscribers have sessions with it; the leader also tracks those of the other
+// controllers. It is not safe for concurrent use.
 type Tracker struct {
-	// started is when this controller began to list its subscribers, and leads
+	// started is when this controller began to track its subscribers, and leaderSince
 	// when it last became the leader.
-	started time.Duration
-	leads   time.Duration
-	own     map[Key]*Subscriber
-	foreign map[Key]*Subscriber
-	members map[topology.ReplicaID]member
-	commits commits
+	started     time.Duration
+	leaderSince time.Duration
+	own         map[Key]*Subscriber
+	remote      map[Key]*Subscriber
+	members     map[topology.ReplicaID]member
+	commits     commits
 }
 
 // member is another controller, as the leader knows it.
 type member struct {
-	heardAt time.Duration
-	// started is when it began to list its subscribers, by the leader's clock.
+	lastHeard time.Duration
+	// started is when it began to track its subscribers, by the leader's clock.
 	started time.Duration
 }
 
@@ -66,31 +67,31 @@
 	return &Tracker{
 		started: now,
 		own:     make(map[Key]*Subscriber),
-		foreign: make(map[Key]*Subscriber),
+		remote:  make(map[Key]*Subscriber),
 		members: make(map[topology.ReplicaID]member),
 	}
 }
 
-// Committed notes that this controller applied a revision at now.
+// Committed records that this controller applied a revision at now.
 func (t *Tracker) Committed(revision topology.Revision, now time.Duration) {
 	t.commits.add(revision, now)
 }
 
-// Connected opens the session of an own subscriber.
+// Connected records the start of an own subscriber's session.
 func (t *Tracker) Connected(key Key, hello *wire.Hello, now time.Duration) {
 	t.own[key] = &Subscriber{
-		Key:       key,
-		Location:  hello.Location,
-		Boot:      hello.Boot,
-		Applied:   hello.Applied,
-		Connected: true,
-		HeardAt:   now,
-		dirty:     true,
+		Key:        key,
+		Location:   hello.Location,
+		Boot:       hello.Boot,
+		Applied:    hello.Applied,
+		Connected:  true,
+		HeardAt:    now,
+		unreported: true,
 	}
 }
 
-// Disconnected ends a session of a process with the given boot number. A
-// session of a later process stays.
+// Disconnected records the end of the session of the process with the given boot
+// number. A session of a later process is not affected.
 func (t *Tracker) Disconnected(key Key, boot uint64, now time.Duration) {
 	entry := t.find(key, boot)
 	if entry == nil {
@@ -98,11 +99,11 @@
 	}
 	entry.Connected = false
 	entry.HeardAt = now
-	entry.dirty = true
+	entry.unreported = true
 }
 
-// Applied takes a confirmation of an own subscriber. It reports whether the
-// revision is news.
+// Applied records that an own subscriber has confirmed a revision, and reports whether
+// the revision is newer than the last one confirmed.
 func (t *Tracker) Applied(key Key, boot uint64, revision topology.Revision, now time.Duration) bool {
 	entry := t.find(key, boot)
 	if entry == nil {
@@ -113,11 +114,11 @@
 		return false
 	}
 	entry.Applied = revision
-	entry.dirty = true
+	entry.unreported = true
 	return true
 }
 
-// Heard notes a sign of life of an own subscriber.
+// Heard records a message of an own subscriber.
 func (t *Tracker) Heard(key Key, boot uint64, now time.Duration) {
 	if entry := t.find(key, boot); entry != nil {
 		entry.HeardAt = now
@@ -134,37 +135,37 @@
 
 // BecomeLeader begins to collect the reports of the other controllers at now.
 func (t *Tracker) BecomeLeader(now time.Duration) {
-	t.forgetReports()
-	t.leads = now
+	t.clearReports()
+	t.leaderSince = now
 }
 
-func (t *Tracker) forgetReports() {
-	clear(t.foreign)
+func (t *Tracker) clearReports() {
+	clear(t.remote)
 	clear(t.members)
 }
 
-// StepDown forgets the other controllers' reports. All own subscribers are to
-// be reported to the new leader.
+// StepDown drops the other controllers' reports and marks all own subscribers to be
+// reported to the new leader.
 func (t *Tracker) StepDown() {
-	t.forgetReports()
+	t.clearReports()
 	for _, entry := range t.own {
-		entry.dirty = true
+		entry.unreported = true
 	}
 }
 
-// Report returns what a controller that follows tells the leader: what has
-// changed since the last report, or all.
+// Report returns a follower's report to the leader: what has changed since the last
+// report, or all.
 func (t *Tracker) Report(all bool, now time.Duration) wire.SubscriberReport {
 	report := wire.SubscriberReport{All: all, Listing: now - t.started}
 	for key, entry := range t.own {
-		if !entry.Connected && now-entry.HeardAt > ForgetAfter {
+		if !entry.Connected && now-entry.HeardAt > ExpireAfter {
 			delete(t.own, key)
 			continue
 		}
-		if !all && !entry.dirty {
+		if !all && !entry.unreported {
 			continue
 		}
-		entry.dirty = false
+		entry.unreported = false
 		report.Subscribers = append(report.Subscribers, wire.SubscriberState{
 			Role:      key.Role,
 			Name:      key.Name,
@@ -178,21 +179,21 @@
 	return report
 }
 
-// TakeReport takes, at the leader, the report of another controller.
+// TakeReport applies, at the leader, the report of another controller.
 func (t *Tracker) TakeReport(from topology.ReplicaID, report *wire.SubscriberReport, now time.Duration) {
-	t.members[from] = member{heardAt: now, started: now - report.Listing}
+	t.members[from] = member{lastHeard: now, started: now - report.Listing}
 	if report.All {
 		t.disconnectAllOf(from, now)
 	}
 	for index := range report.Subscribers {
-		t.takeState(from, &report.Subscribers[index], now)
+		t.applyState(from, &report.Subscribers[index], now)
 	}
 }
 
-// disconnectAllOf ends the sessions of a controller's subscribers: those that it
-// still has it names in the same report.
+// disconnectAllOf marks all subscribers of a controller as disconnected. The report
+// being applied lists those that are still connected.
 func (t *Tracker) disconnectAllOf(from topology.ReplicaID, now time.Duration) {
-	for _, entry := range t.foreign {
+	for _, entry := range t.remote {
 		if entry.Controller == from && entry.Connected {
 			entry.Connected = false
 			entry.HeardAt = now
@@ -200,13 +201,13 @@
 	}
 }
 
-func (t *Tracker) takeState(from topology.ReplicaID, state *wire.SubscriberState, now time.Duration) {
+func (t *Tracker) applyState(from topology.ReplicaID, state *wire.SubscriberState, now time.Duration) {
 	key := Key{state.Role, state.Name, state.Address}
-	known, ok := t.foreign[key]
+	known, ok := t.remote[key]
 	if ok && known.Controller != from && !state.Connected {
 		return
 	}
-	t.foreign[key] = &Subscriber{
+	t.remote[key] = &Subscriber{
 		Key:        key,
 		Location:   state.Location,
 		Applied:    state.Applied,
@@ -216,15 +217,15 @@
 	}
 }
 
-// Subscribers returns all known subscribers, one entry each: of several the
-// connected one or the one heard last. Self is this controller.
+// Subscribers returns all known subscribers, with one entry each: the connected one, or
+// else the one with the latest message. Self is this controller.
 func (t *Tracker) Subscribers(self topology.ReplicaID) []Subscriber {
-	best := make(map[Key]*Subscriber, len(t.own)+len(t.foreign))
+	best := make(map[Key]*Subscriber, len(t.own)+len(t.remote))
 	for key, entry := range t.own {
 		entry.Controller = self
 		best[key] = entry
 	}
-	for key, entry := range t.foreign {
+	for key, entry := range t.remote {
 		if known, ok := best[key]; !ok || preferred(entry, known) {
 			best[key] = entry
 		}
