--- a/internal/configlease/grantor.go
+++ b/internal/configlease/grantor.go
@@ -7,95 +7,96 @@
 	"github.com/quartzdock/quartzdock/internal/routeconfig"
 )
 
-// Gateway is one life of a gateway's process.
+// Gateway identifies one process of a gateway.
 type Gateway struct {
 	Node string
-	// Boot is drawn at random at each start.
+	// Boot is a random number chosen at each start.
 	Boot uint64
 }
 
-// Grantor is the leader's knowledge of who may serve by which configuration, for one term
-// of leadership. It is not safe for concurrent use.
+// Grantor tracks, at the leader, which gateways may use which configuration, for one term of
+// leadership. It is not safe for concurrent use.
 type Grantor struct {
 	terms Terms
-	// earlierUntil is when nothing that earlier leaders vouched for is left.
-	earlierUntil time.Duration
-	gateways     map[Gateway]*holder
+	// earlierLeasesEnd is when all leases granted by earlier leaders have ended.
+	earlierLeasesEnd time.Duration
+	gateways         map[Gateway]*gatewayLeases
 }
 
-// holder is what one gateway may serve by.
-type holder struct {
+// gatewayLeases has the configurations that one gateway may use.
+type gatewayLeases struct {
 	confirmed routeconfig.Version
-	// grants that were not confirmed to be replaced, oldest first, one a version.
+	// grants has the leases that the gateway may still use, the oldest first, one for each
+	// version.
 	grants []grant
 }
 
-// grant vouches for a version, and for none that is older, until a time.
+// grant is a lease of a version, and of none that is older, until a time.
 type grant struct {
 	version routeconfig.Version
 	until   time.Duration
 }
 
-// NewGrantor returns that of a leader whose predecessors' leader leases ended at
+// NewGrantor returns the grantor of a leader whose predecessors' leadership leases ended at
 // earlierEnd.
 func NewGrantor(terms Terms, earlierEnd time.Duration) *Grantor {
-	return &Grantor{terms: terms, earlierUntil: max(earlierEnd, 0) + terms.Validity(), gateways: map[Gateway]*holder{}}
+	return &Grantor{terms: terms, earlierLeasesEnd: max(earlierEnd, 0) + terms.Validity(), gateways: map[Gateway]*gatewayLeases{}}
 }
 
-// Grant takes a report of a gateway that has a version in force, and returns for how long
-// from the sending of the report its answer vouches for the present version, which must
-// travel in the answer or before it.
-func (g *Grantor) Grant(gateway Gateway, confirmed, present routeconfig.Version, now time.Duration) time.Duration {
+// Grant handles a report of a gateway that has a version in force. It returns the duration of
+// the lease of the current version that the answer grants, counted from when the report was
+// sent. The current version must be sent in the answer or before it.
+func (g *Grantor) Grant(gateway Gateway, confirmed, current routeconfig.Version, now time.Duration) time.Duration {
 	known, ok := g.gateways[gateway]
 	if !ok {
-		known = &holder{}
+		known = &gatewayLeases{}
 		g.gateways[gateway] = known
 	}
 	known.confirm(confirmed)
 	known.grants = slices.DeleteFunc(known.grants, func(earlier grant) bool {
-		return earlier.version < known.confirmed || earlier.version == present || earlier.until <= now
+		return earlier.version < known.confirmed || earlier.version == current || earlier.until <= now
 	})
-	known.grants = append(known.grants, grant{version: present, until: now + g.terms.Validity()})
+	known.grants = append(known.grants, grant{version: current, until: now + g.terms.Validity()})
 	return g.terms.Validity()
 }
 
-// Confirm takes the word of a gateway that has a version in force, and grants nothing.
+// Confirm records that a gateway has a version in force, without granting a lease.
 func (g *Grantor) Confirm(gateway Gateway, confirmed routeconfig.Version) {
 	if known, ok := g.gateways[gateway]; ok {
 		known.confirm(confirmed)
 	}
 }
 
-func (h *holder) confirm(version routeconfig.Version) { h.confirmed = max(h.confirmed, version) }
+func (l *gatewayLeases) confirm(version routeconfig.Version) { l.confirmed = max(l.confirmed, version) }
 
-// InForceInTime reports whether a version that is accepted may be acknowledged at now:
-// nobody will be served by an older one after ApplyWithin.
+// InForceInTime reports whether an accepted version may be acknowledged at now: no gateway
+// will use an older one after ApplyWithin.
 func (g *Grantor) InForceInTime(version routeconfig.Version, now time.Duration) bool {
 	latest := now + g.terms.ApplyWithin
-	if g.earlierUntil > latest {
+	if g.earlierLeasesEnd > latest {
 		return false
 	}
 	for _, known := range g.gateways {
-		if known.outlasts(version, latest) {
+		if known.mayServeOlderAfter(version, latest) {
 			return false
 		}
 	}
 	return true
 }
 
-// outlasts reports whether a gateway may serve by a version older than another one after
-// a time.
-func (h *holder) outlasts(version routeconfig.Version, latest time.Duration) bool {
-	return h.confirmed < version && slices.ContainsFunc(h.grants, func(given grant) bool {
-		return given.version < version && given.until > latest
+// mayServeOlderAfter reports whether the gateway may use a version older than the given one
+// after a time.
+func (l *gatewayLeases) mayServeOlderAfter(version routeconfig.Version, latest time.Duration) bool {
+	return l.confirmed < version && slices.ContainsFunc(l.grants, func(lease grant) bool {
+		return lease.version < version && lease.until > latest
 	})
 }
 
-// Lagging returns the gateways that hold the acknowledgement of a version up at now.
+// Lagging returns the gateways that delay the acknowledgement of a version at now.
 func (g *Grantor) Lagging(version routeconfig.Version, now time.Duration) []string {
 	var names []string
 	for gateway, known := range g.gateways {
-		if known.outlasts(version, now+g.terms.ApplyWithin) {
+		if known.mayServeOlderAfter(version, now+g.terms.ApplyWithin) {
 			names = append(names, gateway.Node)
 		}
 	}
@@ -103,10 +104,10 @@
 	return names
 }
 
-// Forget drops the gateways that nothing vouches for any more.
+// Forget drops the gateways whose leases have all ended.
 func (g *Grantor) Forget(now time.Duration) {
 	for gateway, known := range g.gateways {
-		if !slices.ContainsFunc(known.grants, func(given grant) bool { return given.until > now }) {
+		if !slices.ContainsFunc(known.grants, func(lease grant) bool { return lease.until > now }) {
 			delete(g.gateways, gateway)
 		}
 	}
--- a/internal/configlease/grantor_test.go
+++ b/internal/configlease/grantor_test.go
@@ -24,10 +24,10 @@
 	two   = configlease.Gateway{Node: "two", Boot: 1}
 )
 
-// settled is the grantor of a leader that has led for long.
+// settled returns the grantor of a leader that has led for a long time.
 func settled() *configlease.Grantor { return configlease.NewGrantor(terms, 0) }
 
-func TestAConfigurationIsAcknowledgedOnceAllHaveConfirmedIt(t *testing.T) {
+func TestConfigurationIsAcknowledgedOnceAllHaveConfirmedIt(t *testing.T) {
 	g := settled()
 	g.Grant(one, 1, 1, start)
 	g.Grant(two, 1, 1, start)
@@ -40,17 +40,17 @@
 	assert.Assert(t, g.InForceInTime(2, start+2))
 }
 
-// One that is never heard again holds an acknowledgement up for a bounded time.
-func TestAGatewayThatIsNotHeardAgainHoldsUpForABoundedTime(t *testing.T) {
+// A gateway that sends no more reports delays an acknowledgement for a bounded time.
+func TestSilentGatewayDelaysAcknowledgementForBoundedTime(t *testing.T) {
 	g := settled()
 	g.Grant(one, 1, 1, start)
 	assert.Assert(t, !g.InForceInTime(2, start+terms.AcknowledgeWithin-1))
 	assert.Assert(t, g.InForceInTime(2, start+terms.AcknowledgeWithin))
 }
 
-// One that goes on reporting without confirming gets the new version with each answer, so
-// that its reports hold nothing up for longer.
-func TestAGatewayThatConfirmsNothingHoldsUpForABoundedTime(t *testing.T) {
+// A gateway that goes on reporting without confirming gets the new version with each answer,
+// so that its reports don't prolong the delay.
+func TestGatewayWithoutConfirmationDelaysForBoundedTime(t *testing.T) {
 	g := settled()
 	g.Grant(one, 1, 1, start)
 	for at := start; at < start+terms.AcknowledgeWithin; at += 50 * time.Millisecond {
@@ -60,17 +60,17 @@
 	assert.Assert(t, g.InForceInTime(2, start+terms.AcknowledgeWithin))
 }
 
-// A new leader knows none of those that its predecessors answered.
-func TestANewLeaderCountsEveryGatewayAsVouchedFor(t *testing.T) {
+// A new leader doesn't know which gateways got leases from its predecessors.
+func TestNewLeaderAssumesLeaseForEveryGateway(t *testing.T) {
 	g := configlease.NewGrantor(terms, start)
 	assert.Assert(t, !g.InForceInTime(2, start))
 	assert.Assert(t, !g.InForceInTime(2, start+terms.AcknowledgeWithin-1))
 	assert.Assert(t, g.InForceInTime(2, start+terms.AcknowledgeWithin))
 }
 
-// A gateway that starts anew holds nothing of its former life, and its word confirms
-// nothing for that: a process that was replaced may still run.
-func TestAnotherLifeConfirmsNothingForTheFormerOne(t *testing.T) {
+// A confirmation of a restarted gateway doesn't count for its previous process, which may
+// still run and use its leases.
+func TestRestartedGatewayDoesNotConfirmForPreviousProcess(t *testing.T) {
 	g := settled()
 	g.Grant(one, 1, 1, start)
 	g.Grant(configlease.Gateway{Node: "one", Boot: 2}, 2, 2, start+1)
@@ -80,7 +80,7 @@
 	assert.Equal(t, len(g.Lagging(2, start)), 0)
 }
 
-func TestAShortPromiseLeavesGatewaysAsLongAWord(t *testing.T) {
+func TestShortApplyWithinKeepsValidity(t *testing.T) {
 	short := configlease.Terms{ApplyWithin: second / 2}.WithDefaults()
 	assert.Assert(t, short.Validity() >= terms.Validity()-second/2)
 	assert.ErrorContains(t, configlease.Terms{ApplyWithin: -1}.Check(), "apply within")
@@ -88,12 +88,13 @@
 	assert.NilError(t, terms.Check())
 }
 
-// gatewayClock is one gateway of the property below: what it has in force, and until when.
-type gatewayClock struct {
+// gatewayState is a gateway in the property test below: the version that it has in force, and
+// until when.
+type gatewayState struct {
 	name    configlease.Gateway
 	version routeconfig.Version
 	until   time.Duration
-	// answers on their way, which may arrive in any later step, in their order.
+	// answers in flight, which may arrive in any later step, in their order.
 	answers []answer
 }
 
@@ -102,41 +103,41 @@
 	until   time.Duration
 }
 
-// Whatever is lost, late or stands still, no gateway is ever both vouched for and older
-// than a version whose acknowledgement is ApplyWithin ago.
-func TestNobodyServesByAnOlderConfigurationAfterThePromise(t *testing.T) {
+// Whatever is lost, delayed or suspended, no gateway uses, under a valid lease, a version older
+// than one that was acknowledged ApplyWithin ago or earlier.
+func TestNoGatewayUsesOlderConfigurationAfterApplyWithin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		now, present := start, routeconfig.Version(1)
+		now, current := start, routeconfig.Version(1)
 		g := settled()
-		gateways := []*gatewayClock{{name: one}, {name: two}}
+		gateways := []*gatewayState{{name: one}, {name: two}}
 		acknowledged := map[routeconfig.Version]time.Duration{}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "milliseconds")) * time.Millisecond
 			gateway := gateways[rapid.IntRange(0, 1).Draw(t, "gateway")]
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
-				present++
+				current++
 			case 1: // a report that took a while
 				sent := now - time.Duration(rapid.IntRange(0, 900).Draw(t, "way"))*time.Millisecond
-				validity := g.Grant(gateway.name, gateway.version, present, now)
-				gateway.answers = append(gateway.answers, answer{present, sent + validity})
+				validity := g.Grant(gateway.name, gateway.version, current, now)
+				gateway.answers = append(gateway.answers, answer{current, sent + validity})
 			case 2:
 				if len(gateway.answers) > 0 {
 					gateway.version, gateway.until = gateway.answers[0].version, max(gateway.until, gateway.answers[0].until)
 					gateway.answers = gateway.answers[1:]
 				}
-			case 3: // the session ends with what was on its way
+			case 3: // the session ends, and the answers in flight are lost
 				gateway.answers = nil
 			case 4:
 				g.Forget(now)
 			}
-			if _, done := acknowledged[present]; !done && g.InForceInTime(present, now) {
-				acknowledged[present] = now
+			if _, done := acknowledged[current]; !done && g.InForceInTime(current, now) {
+				acknowledged[current] = now
 			}
 			for version, at := range acknowledged {
 				for _, gateway := range gateways {
 					if now >= at+terms.ApplyWithin && now < gateway.until && gateway.version < version {
-						t.Fatalf("%v serves by %d at %v; %d was acknowledged at %v", gateway.name, gateway.version, now, version, at)
+						t.Fatalf("%v uses version %d at %v; %d was acknowledged at %v", gateway.name, gateway.version, now, version, at)
 					}
 				}
 			}
--- a/internal/configlease/standings.go
+++ b/internal/configlease/standings.go
@@ -9,13 +9,14 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// Standing is what one controller that does not lead had in its log, committed or not,
-// when it answered a gateway.
+// Standing is the state of the log of one controller that does not lead, including
+// uncommitted entries, when it answered a gateway.
 type Standing struct {
-	// Asked is when the gateway asked, on its own clock; the answer was made later.
+	// Asked is when the gateway sent its question, by its own clock; the answer is from a
+	// later moment.
 	Asked time.Duration
-	// Member is the controller, and Voters are all that vote, in ascending order, by the
-	// newest membership in its log.
+	// Member is the controller, and Voters are all voting members, in ascending order, by
+	// the newest membership in its log.
 	Member topology.ReplicaID
 	Voters []topology.ReplicaID
 	// Version of the configuration, and index of the evacuated zones.
@@ -23,43 +24,43 @@
 	EvacuationsIndex uint64
 }
 
-// Standings are what the controllers of a group said of themselves while nobody led. The
-// zero value is ready. It is not safe for concurrent use.
+// Standings collects the answers of the controllers of a group while there is no leader. The
+// zero value is ready to use. It is not safe for concurrent use.
 //
-// What is accepted is in the logs of a majority of the voters. So where a majority says,
-// each at some moment after an earliest one, that it has nothing newer than what a gateway
-// has in force, nothing newer was accepted before that moment: one of those that had
-// accepted it would have said so. It may have been accepted since; so the gateway may
-// serve for Terms.ApplyWithin from that moment, as by a word that another gateway passes
-// on, and no leader needs to know (reads by a quorum without a leader: Charapko, Ailijiang
-// and Demirbas, "Linearizable Quorum Reads in Paxos", HotStorage 2019). The majority must
-// have the same voters in their logs: memberships change by one voter at a time, each
-// committed before the next, so that no later membership was committed before either, and
-// majorities of this one and the next share a member.
+// An accepted change is in the logs of a majority of the voters. So if a majority of the
+// voters answers, each after some earliest moment, that it has nothing newer than what a
+// gateway has in force, nothing newer was accepted before that moment: at least one of the
+// voters that had accepted it would have answered so. It may have been accepted since. So the
+// gateway may serve for Terms.ApplyWithin from that moment, as with a lease that another
+// gateway passes on, and no leader needs to know (quorum reads without a leader: Charapko,
+// Ailijiang and Demirbas, "Linearizable Quorum Reads in Paxos", HotStorage 2019). The
+// majority must have the same voters in their logs: memberships change by one voter at a
+// time, each committed before the next, so that no later membership was committed before that
+// moment either, and majorities of this membership and the next share a member.
 type Standings struct {
 	newest map[topology.ReplicaID]Standing
 }
 
-// Take notes an answer. Answers of a member replace its earlier ones.
-func (s *Standings) Take(told Standing) {
+// Take records an answer. It replaces an earlier answer of the same member.
+func (s *Standings) Take(answer Standing) {
 	if s.newest == nil {
 		s.newest = map[topology.ReplicaID]Standing{}
 	}
-	if known, ok := s.newest[told.Member]; !ok || told.Asked >= known.Asked {
-		s.newest[told.Member] = told
+	if known, ok := s.newest[answer.Member]; !ok || answer.Asked >= known.Asked {
+		s.newest[answer.Member] = answer
 	}
 }
 
-// NothingNewerSince returns the latest moment before which nothing was accepted that is
-// newer than a version and an index of evacuated zones, by a majority of the voters that
-// a member names; false where no majority says so.
+// NothingNewerSince returns the latest moment before which nothing newer than a version and an
+// index of evacuated zones was accepted, according to a majority of the voters that a member
+// names. It returns false if there is no such majority.
 func (s *Standings) NothingNewerSince(by topology.ReplicaID, version routeconfig.Version, evacuationsIndex uint64) (time.Duration, bool) {
 	voters := s.newest[by].Voters
 	var asked []time.Duration
-	for member, told := range s.newest {
-		agrees := slices.Contains(voters, member) && slices.Equal(told.Voters, voters)
-		if agrees && told.Version <= version && told.EvacuationsIndex <= evacuationsIndex {
-			asked = append(asked, told.Asked)
+	for member, answer := range s.newest {
+		agrees := slices.Contains(voters, member) && slices.Equal(answer.Voters, voters)
+		if agrees && answer.Version <= version && answer.EvacuationsIndex <= evacuationsIndex {
+			asked = append(asked, answer.Asked)
 		}
 	}
 	majority := len(voters)/2 + 1
--- a/internal/configlease/standings_test.go
+++ b/internal/configlease/standings_test.go
@@ -20,9 +20,9 @@
 	return voters
 }
 
-// The halves of a group of an even size are no majority, and the word of one that had not
-// answered for long counts from when it was asked.
-func TestAMajorityIsAsOldAsItsOldestAnswer(t *testing.T) {
+// Half of a group of even size is no majority, and an answer counts from when the question was
+// sent.
+func TestMajorityIsAsOldAsItsOldestAnswer(t *testing.T) {
 	var s configlease.Standings
 	voters := votersUpTo(4)
 	for i, asked := range []time.Duration{second, 3 * second} {
@@ -41,11 +41,10 @@
 	assert.Equal(t, since, second)
 }
 
-// Whatever leaders come and go, and whatever is lost or late, nobody serves by an older
-// version ApplyWithin after another one was accepted. Leaders are not modelled: any voter
-// may have any newer entry that a majority has not, and entries that only a minority has
-// may be lost again.
-func TestNobodyServesByAnOlderConfigurationByTheWordOfAMajority(t *testing.T) {
+// However leaders change and whatever is lost or delayed, no gateway uses an older version
+// ApplyWithin after a newer one was accepted. Leaders are not modelled: any voter may have a
+// newer entry that the majority doesn't have, and entries of a minority may be lost again.
+func TestNoGatewayUsesOlderConfigurationByMajorityAnswers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := start
 		voters := votersUpTo(rapid.IntRange(1, 8).Draw(t, "voters"))
@@ -55,7 +54,7 @@
 		}
 		committed, committedAt := routeconfig.Version(1), map[routeconfig.Version]time.Duration{}
 		var s configlease.Standings
-		var onTheWay []configlease.Standing
+		var inFlight []configlease.Standing
 		serving, until := routeconfig.Version(1), time.Duration(0)
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "milliseconds")) * time.Millisecond
@@ -73,27 +72,27 @@
 					committed++
 					committedAt[committed] = now
 				}
-			case 1: // an entry that a majority has not is lost
+			case 1: // an entry that the majority doesn't have is lost
 				logs[i] = min(logs[i], committed)
-			case 2: // a voter answers, of what was asked a while before
+			case 2: // a voter answers a question that was sent a while before
 				asked := now - time.Duration(rapid.IntRange(0, 900).Draw(t, "way"))*time.Millisecond
-				onTheWay = append(onTheWay, configlease.Standing{Asked: asked, Member: voters[i], Voters: voters, Version: logs[i]})
+				inFlight = append(inFlight, configlease.Standing{Asked: asked, Member: voters[i], Voters: voters, Version: logs[i]})
 			case 3: // an answer arrives, in any order
-				if len(onTheWay) > 0 {
-					at := rapid.IntRange(0, len(onTheWay)-1).Draw(t, "answer")
-					s.Take(onTheWay[at])
-					if since, ok := s.NothingNewerSince(onTheWay[at].Member, serving, 0); ok {
+				if len(inFlight) > 0 {
+					at := rapid.IntRange(0, len(inFlight)-1).Draw(t, "answer")
+					s.Take(inFlight[at])
+					if since, ok := s.NothingNewerSince(inFlight[at].Member, serving, 0); ok {
 						until = max(until, since+terms.ApplyWithin)
 					}
-					onTheWay = slices.Delete(onTheWay, at, at+1)
+					inFlight = slices.Delete(inFlight, at, at+1)
 				}
-			case 4: // the gateway hears of the newest one elsewhere
+			case 4: // the gateway gets the newest version by other means
 				if rapid.IntRange(0, 9).Draw(t, "rarely") == 0 {
 					serving = committed
 				}
 			}
 			if at, ok := committedAt[serving+1]; ok && now >= at+terms.ApplyWithin && now < until {
-				t.Fatalf("serves by %d at %v, until %v; %d was accepted at %v", serving, now, until, serving+1, at)
+				t.Fatalf("uses version %d at %v, until %v; %d was accepted at %v", serving, now, until, serving+1, at)
 			}
 		}
 	})
--- a/internal/configlease/terms.go
+++ b/internal/configlease/terms.go
@@ -1,19 +1,19 @@
-// Package configlease decides for how long a gateway may serve by a configuration, and
-// when an operator may be told that the next one is accepted. It is pure: time is an
-// argument, a reading of the leader's own monotonic clock.
+// Package configlease decides for how long a gateway may use a configuration, and when a new
+// configuration may be acknowledged to an operator. It does no I/O and reads no clock: time is
+// an argument, a reading of the leader's own monotonic clock.
 //
-// # Why nobody is served by what was replaced
+// # Why no request is served with a replaced configuration
 //
-// An answer of the leader to a gateway's report carries all that was accepted before the
-// report was handled, and vouches for that configuration for Terms.Validity from when
-// the report was sent. A gateway that nothing vouches for serves nobody. The leader tells
-// an operator that a configuration is accepted once every gateway that may serve by an
-// older one stops within Terms.ApplyWithin: it has confirmed the new one, or what vouches
-// for the older one ends by then. So it does not matter which process stands still, or
-// for how long: the gateway's own clock ends what it was given.
+// The leader's answer to a gateway's report carries everything that was accepted before the
+// report was handled, and grants a lease of that configuration for Terms.Validity from when
+// the report was sent. A gateway without a lease serves no requests. The leader acknowledges
+// a configuration to an operator once every gateway that may use an older one will stop doing
+// so within Terms.ApplyWithin: it has confirmed the new one, or its lease of the older one
+// ends by then. So it does not matter which process is suspended, or for how long: the lease
+// ends by the gateway's own clock.
 //
-// A new leader does not know what its predecessors vouched for. It counts every gateway as
-// vouched for from the end of their leader leases on.
+// A new leader does not know the leases that its predecessors granted. It assumes that every
+// gateway got one at the end of their leadership leases.
 package configlease
 
 import (
@@ -22,37 +22,37 @@
 	"time"
 )
 
-// Terms of configurations. Zero durations take the defaults.
+// Terms are the time limits for applying configurations. Zero durations take the defaults.
 type Terms struct {
-	// ApplyWithin is what operators are promised: that long after a configuration was
-	// acknowledged, nobody is served by an older one.
+	// ApplyWithin is the guarantee to operators: that long after a configuration was
+	// acknowledged, no request is served with an older one.
 	ApplyWithin time.Duration
-	// AcknowledgeWithin is how long a gateway that confirms nothing holds an
-	// acknowledgement up.
+	// AcknowledgeWithin is how long a gateway that confirms nothing delays an
+	// acknowledgement.
 	AcknowledgeWithin time.Duration
 }
 
 // Defaults of Terms.
 const (
 	DefaultApplyWithin = 2 * time.Second
-	// DefaultAcknowledgeWithin is below the second after which operators' programs ask
-	// another controller.
+	// DefaultAcknowledgeWithin is less than the second after which operators' programs
+	// try another controller.
 	DefaultAcknowledgeWithin = 750 * time.Millisecond
-	// leastValidity keeps callers served while a leader is replaced: a gateway that
-	// reports each 0.5 s notices its silence after 1.6 s more and has the next one's word
-	// 0.2 s later.
-	leastValidity = 2500 * time.Millisecond
+	// minValidity lets gateways go on serving while a leader is replaced: a gateway that
+	// reports every 0.5 s detects the leader's silence after 1.6 s more and has the next
+	// leader's answer 0.2 s later.
+	minValidity = 2500 * time.Millisecond
 )
 
-// WithDefaults returns the terms with the defaults in place of zeros. Where the promise
-// is short, acknowledgements wait longer, so that callers are served as long.
+// WithDefaults returns the terms with the defaults in place of zeros. If ApplyWithin is short,
+// AcknowledgeWithin gets longer, so that leases still last for minValidity.
 func (t Terms) WithDefaults() Terms {
 	t.ApplyWithin = cmp.Or(t.ApplyWithin, DefaultApplyWithin)
-	t.AcknowledgeWithin = cmp.Or(t.AcknowledgeWithin, max(DefaultAcknowledgeWithin, leastValidity-t.ApplyWithin))
+	t.AcknowledgeWithin = cmp.Or(t.AcknowledgeWithin, max(DefaultAcknowledgeWithin, minValidity-t.ApplyWithin))
 	return t
 }
 
-// Check says what is wrong with the terms.
+// Check returns an error if a limit is negative.
 func (t Terms) Check() error {
 	if t.ApplyWithin < 0 {
 		return fmt.Errorf("apply within: %v is below zero", t.ApplyWithin)
@@ -63,6 +63,5 @@
 	return nil
 }
 
-// Validity is how long after a report was sent its answer vouches for the gateway's
-// configuration.
+// Validity returns the duration of a lease, counted from when the gateway's report was sent.
 func (t Terms) Validity() time.Duration { return t.ApplyWithin + t.AcknowledgeWithin }
