--- a/internal/keylease/load.go
+++ b/internal/keylease/load.go
@@ -129,15 +129,15 @@
 	wanted := difference / (1/float64(max(most.Slots, 1)) + ratio/float64(max(least.Slots, 1)))
 	// The demand on a full back end may be many times its slots.
 	wanted = min(wanted, maxMovedShare*float64(most.Slots))
-	chosen := p.chooseParts(p.notMovingOf(used, most), most, wanted)
+	chosen := p.chooseParts(p.unmovedParts(used, most), most, wanted)
 	for _, part := range chosen {
 		p.startMove(used.service, part.from, part.keys, least.ID, now)
 	}
 	return len(chosen) > 0
 }
 
-// notMovingOf returns the parts of an owner's assignments that are in no move.
-func (p *Planner) notMovingOf(used *usage, owner *instance) []keyspace.Assignment {
+// unmovedParts returns the parts of an owner's assignments that are in no move.
+func (p *Planner) unmovedParts(used *usage, owner *instance) []keyspace.Assignment {
 	var resting []keyspace.Assignment
 	for _, owned := range used.ownedBy(owner.ID) {
 		for _, keys := range p.notMoving(used.service, owned.Range) {
--- a/internal/keylease/moves.go
+++ b/internal/keylease/moves.go
@@ -73,21 +73,21 @@
 
 // startMove starts a move. From now on no lease lists the range as held.
 func (p *Planner) startMove(service string, from keyspace.Assignment, keys keyspace.Range, to string, now time.Duration) {
-	freeAt := p.earlierLeasesEnd
+	leasesEnd := p.earlierLeasesEnd
 	if owner, ok := p.instances[from.Owner]; ok {
-		freeAt = owner.leasedUntil
+		leasesEnd = owner.leasedUntil
 	}
 	p.nodesToReport[from.Node] = true
-	begun := &move{
+	started := &move{
 		service:     service,
 		held:        fleetwire.Held{Keys: keys, Fence: from.Fence},
 		from:        from.Owner,
 		began:       now,
 		to:          to,
-		leasesEndAt: freeAt,
+		leasesEndAt: leasesEnd,
 	}
-	p.usageOf(service, now).applyMove(begun)
-	p.moves = append(p.moves, begun)
+	p.usageOf(service, now).applyMove(started)
+	p.moves = append(p.moves, started)
 }
 
 // completeMoves returns the changes of owner for all moves whose source can no
--- a/internal/keylease/owners.go
+++ b/internal/keylease/owners.go
@@ -9,8 +9,8 @@
 	"github.com/quartzdock/quartzdock/internal/keyspace"
 )
 
-// renewFences gives owners whose gateway has restarted their keys under a new fence.
-// Moves that the previous gateway process has not released start over.
+// renewFences returns changes that give owners a new fence for their keys after a restart
+// of their gateway. Moves that the previous gateway process has not released start over.
 func (p *Planner) renewFences(service string) []fleetstate.OwnershipChange {
 	var changes []fleetstate.OwnershipChange
 	for _, owned := range p.state.Owners(service).All() {
--- a/internal/keylease/planner.go
+++ b/internal/keylease/planner.go
@@ -225,9 +225,9 @@
 // Concerned returns the gateways for which something has changed since the last call.
 // They should report now.
 func (p *Planner) Concerned() map[string]bool {
-	concerned := p.nodesToReport
+	nodes := p.nodesToReport
 	p.nodesToReport = map[string]bool{}
-	return concerned
+	return nodes
 }
 
 // Began returns when this term began.
--- a/internal/keylease/runtimes.go
+++ b/internal/keylease/runtimes.go
@@ -103,7 +103,7 @@
 
 // hottest returns the bucket of an owner with the highest load.
 func (p *Planner) hottest(used *usage, owner *instance) (hottest part, ok bool) {
-	for _, owned := range p.notMovingOf(used, owner) {
+	for _, owned := range p.unmovedParts(used, owner) {
 		if p.awaitsNewFence(owned) {
 			continue
 		}
