--- a/internal/gateway/comeback_test.go
+++ b/internal/gateway/comeback_test.go
@@ -14,9 +14,9 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// refuseFor refuses a number of requests a second for a time and returns when the
-// last one is told to come back.
-func refuseFor(g *slotGate, rate float64, duration time.Duration) (last time.Duration) {
+// refuseRequests refuses requests at a rate per second for a time and returns the wait that
+// the last one was told.
+func refuseRequests(g *slotGate, rate float64, duration time.Duration) (last time.Duration) {
 	for began := steady.Reading(); steady.Elapsed(began) < duration; {
 		last = g.comeBackIn(time.Second)
 		time.Sleep(time.Duration(float64(time.Second) / rate))
@@ -25,20 +25,20 @@
 }
 
 // Fourteen slots of 0.3 s serve 47 requests a second.
-func TestManyRefusedRequestsComeBackInTheirTurn(t *testing.T) {
+func TestRetryAfterGrowsWithTheNumberOfRefusedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		assert.Equal(t, refuseFor(lateGate(14), 5, 5*time.Second), time.Duration(0), "a few more than fit")
+		assert.Equal(t, refuseRequests(lateGate(14), 5, 5*time.Second), time.Duration(0), "a few more than fit")
 		hot := lateGate(14)
-		after := refuseFor(hot, 600, time.Second)
+		after := refuseRequests(hot, 600, time.Second)
 		assert.Assert(t, after > 10*time.Second && after < 13*time.Second, "%v", after)
 		time.Sleep(15 * time.Second)
-		assert.Equal(t, hot.comeBackIn(time.Second), time.Duration(0), "it is over")
+		assert.Equal(t, hot.comeBackIn(time.Second), time.Duration(0), "the overload is over")
 	})
 }
 
-// A caller whose turn is after it has left is told so, within reason: a shorter time
-// would bring it back to be refused again.
-func TestACallerIsToldWhenItsTurnIsAlsoAfterItHasLeft(t *testing.T) {
+// The wait told to a caller may exceed the time that the caller would have waited, up to a
+// limit: a shorter wait would bring it back to be refused again.
+func TestRetryAfterIsNotShortenedBelowItsLimit(t *testing.T) {
 	full := notRun(reasonNoRoom)
 	full.RetryAfter = 12 * time.Second
 	assert.Assert(t, retryAfter(full) >= 12*time.Second)
@@ -46,8 +46,8 @@
 	assert.Equal(t, retryAfter(full), longestRetry)
 }
 
-// What the gateway beside the back end tells reaches the caller.
-func TestARefusedCallerIsToldWhenItsTurnIs(t *testing.T) {
+// The wait that the back end's gateway tells reaches a caller of another gateway.
+func TestRetryAfterReachesTheCallerOfAnotherGateway(t *testing.T) {
 	hops := startTwoHops(t, twoHopsConfig{repetition: routeconfig.Repeatable, timeout: 20 * time.Second}, http.HandlerFunc(answerWhole))
 	full := hops.far.slots
 	full.setCapacity(64)
--- a/internal/gateway/fences_test.go
+++ b/internal/gateway/fences_test.go
@@ -16,14 +16,14 @@
 
 var errRefused = errors.New("status 409")
 
-// A gateway that is cut off from the controllers for long finds its keys under the
-// same lease fence again. What the back end refused before must not be sent again.
+// A gateway that was cut off from the controllers for long may get its keys under the same
+// lease fence again. A fence that the back end refused before must not be sent again.
 func TestAFenceThatWasRefusedIsNotSentAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newKeyRig(t)
 		rig.holder.setRefuse(errRefused)
 		rig.lease(held(0, 99), nil)
-		time.Sleep(openKept + 10*time.Second)
+		time.Sleep(maxGrantDelay + 10*time.Second)
 		synctest.Wait()
 		rig.lease(held(0, 99), nil)
 		time.Sleep(2 * time.Second)
@@ -36,31 +36,32 @@
 	})
 }
 
-// However many grants get no answer, the back end never sees a lower fence than
-// before, nor one of the next owner.
+// However many grants get no answer, the back end never sees a lower fence than before, nor
+// one of the next owner.
 func TestFencesRiseOverAnyNumberOfUnansweredGrants(t *testing.T) {
 	const grants = 1<<16 + 1000
-	ledger := newFenceLedger()
+	ledger := newFenceTracker()
 	keys := keyspace.Range{First: 0, Last: 99}
 	now := steady.Reading()
 	before := keyspace.Fence(0)
 	for range grants {
-		sub := ledger.used[7]
-		fence := compose(7, sub)
+		sub := ledger.subFences[7]
+		fence := composeFence(7, sub)
 		assert.Assert(t, fence > before, "%d after %d", fence, before)
-		assert.Assert(t, fence < compose(8, 0))
+		assert.Assert(t, fence < composeFence(8, 0))
 		before = fence
-		ledger.unanswered(openGrant{keys: keys, owner: 7, sub: sub, at: now})
-		now = now.Add(regrantAfter)
-		ledger.forget(now)
+		ledger.addUnanswered(unansweredGrant{keys: keys, owner: 7, subFence: sub, notedAt: now})
+		now = now.Add(grantRetryDelay)
+		ledger.prune(now)
 	}
 }
 
-// pausedHolder takes grants only after the gateway's processor stood still.
+// pausedHolder applies grants after a delay, as if the gateway had been throttled before it
+// sent them.
 type pausedHolder struct {
 	pause time.Duration
 	mutex sync.Mutex
-	// holdsUntil is when the last grant ends on the slowest clock.
+	// holdsUntil is when the last grant ends on the slowest allowed clock.
 	holdsUntil time.Time
 }
 
@@ -76,15 +77,15 @@
 	return "", nil
 }
 
-// On a processor with a quota a grant may be decided on, and sent only after the
-// rest of a tenth of a second. It must end within the lease all the same.
+// Under a CPU quota a grant may be prepared, and sent only after the rest of a 100 ms period.
+// It must still end within the lease.
 func TestAGrantThatAPauseHoldsUpEndsWithinTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const quotaPeriod = 100 * time.Millisecond
 		rig := newKeyRig(t)
 		holder := &pausedHolder{pause: quotaPeriod}
 		rig.g.config.Keys = holder
-		// The lease's end is tried at many places between two renewals.
+		// The lease's end is varied between two renewals.
 		for step := range 25 {
 			duration := 2*time.Second + time.Duration(step)*50*time.Millisecond
 			rig.g.keys.take(&fleetwire.Lease{SentAt: steady.Elapsed(rig.epoch), Duration: duration, Instance: "i-1", Held: held(0, 99)}, rig.epoch)
--- a/internal/gateway/keyearlier.go
+++ b/internal/gateway/keyearlier.go
@@ -7,22 +7,22 @@
 	"github.com/quartzdock/quartzdock/internal/keyhold"
 )
 
-// What is granted goes to the process at the back end's address. Another life of the back
-// end may be heard there while the one before still holds keys: it has closed its listener
-// and serves on over the connections that it has. Nothing is granted from then on, and the
-// next life is believed once the time of all that was granted is over. No answer can shorten
-// that: whoever gives it need not be the one that holds.
-
-// earlierLives are grants that were made to lives before the present one.
-type earlierLives struct {
+// Grants are sent to the process at the back end's address. Another incarnation of the back
+// end may send heartbeats from there while the former one still holds keys: the former one has
+// closed its listener and continues to serve its open connections. From then on nothing is
+// granted, and the next incarnation is accepted once every grant has expired. No answer can
+// shorten that time: it need not come from the process that holds the keys.
+
+// earlierIncarnationGrants are grants that were made to incarnations before the current one.
+type earlierIncarnationGrants struct {
 	grants []*grant
-	// unreadUntil is until when grants without an answer may lie unread before one that
-	// stands still.
+	// unreadUntil is the time until which unanswered grants may be queued, unread, at a
+	// stalled back end.
 	unreadUntil time.Time
 }
 
-// add takes what a life may still hold.
-func (e *earlierLives) add(grants map[heldKey]*grant, fences *fenceLedger, now time.Time) {
+// add adds the grants that an incarnation may still hold.
+func (e *earlierIncarnationGrants) add(grants map[heldKey]*grant, fences *fenceTracker, now time.Time) {
 	for _, sent := range grants {
 		if !sent.bound.Over(now) {
 			e.grants = append(e.grants, sent)
@@ -31,8 +31,8 @@
 	e.unreadUntil = later(e.unreadUntil, fences.unreadUntil())
 }
 
-// over reports whether none of them holds anything any more.
-func (e *earlierLives) over(now time.Time) bool {
+// expired reports whether earlier incarnations hold nothing any more.
+func (e *earlierIncarnationGrants) expired(now time.Time) bool {
 	for _, sent := range e.grants {
 		if !sent.bound.Over(now) {
 			return false
@@ -42,69 +42,71 @@
 	return !now.Before(e.unreadUntil)
 }
 
-// earlierProcessUntil is when nothing is in force any more that an earlier process of this
-// gateway has granted, in whichever way: the configuration of that time is not known.
+// earlierProcessUntil is the time at which every grant of an earlier process of this gateway
+// has expired, by call or by heartbeat: it is not known which of them the configuration of
+// that time used.
 func (k *keyKeeper) earlierProcessUntil() time.Time {
 	config := &k.gateway.config
 	byCall, byHeartbeat := config.KeyHold+transit, config.HeartbeatInterval+answerVoid
 	return k.started.Add(keyhold.Longest(max(byCall, byHeartbeat)))
 }
 
-// earlierProcessOver reports whether that time has come.
-func (k *keyKeeper) earlierProcessOver(now time.Time) bool {
+// earlierProcessExpired reports whether every grant of an earlier process of this gateway has
+// expired.
+func (k *keyKeeper) earlierProcessExpired(now time.Time) bool {
 	return !now.Before(k.earlierProcessUntil())
 }
 
-// answeredHere reports whether the back end has confirmed a grant of all of a range to this
-// process, so that it refuses what earlier ones have sent and it has not read yet; or whether
-// that can't be read any more. The caller has the mutex.
-func (k *keyKeeper) answeredHere(held fleetwire.Held, now time.Time) bool {
-	return k.everConfirmed(held) || k.nothingUnread(now)
+// refusesEarlierProcesses reports whether the back end has confirmed a grant of all of a range
+// to this process, so that it refuses unread grants of earlier processes; or whether no such
+// grant can be unread any more. The caller has the mutex.
+func (k *keyKeeper) refusesEarlierProcesses(held fleetwire.Held, now time.Time) bool {
+	return k.confirmedGrantOf(held) || k.noUnreadOrders(now)
 }
 
-// nothingUnread reports whether no order of an earlier process can lie unread before the back
-// end any more. One that gets its keys by heartbeat is sent none.
-func (k *keyKeeper) nothingUnread(now time.Time) bool {
-	return k.byHeartbeat() || !now.Before(k.started.Add(openKept))
+// noUnreadOrders reports whether no order of an earlier process can be queued, unread, at the
+// back end any more. A back end that gets its keys by heartbeat is sent no orders.
+func (k *keyKeeper) noUnreadOrders(now time.Time) bool {
+	return k.byHeartbeat() || !now.Before(k.started.Add(maxGrantDelay))
 }
 
-// mayBeKeyed reports whether the back end may hold keys at all.
-func (k *keyKeeper) mayBeKeyed() bool {
+// mayHoldKeys reports whether the back end may hold keys at all.
+func (k *keyKeeper) mayHoldKeys() bool {
 	service := k.gateway.views.load().service(k.gateway.registry.snapshot().Service)
 	return service == nil || service.Keyed
 }
 
-// earlierOver reports whether nothing is held any more that was granted to lives before an
-// instance, or to any by an earlier process of this gateway.
+// earlierOver reports whether everything that was granted to incarnations before an instance,
+// or by an earlier process of this gateway, has expired.
 func (k *keyKeeper) earlierOver(instance string, now time.Time) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if k.instance != "" && k.instance != instance {
 		k.reset("", now)
 	}
-	over := k.earlier.over(now) && k.earlierProcessOver(now)
-	if over && !k.toldEarlierOver {
-		k.gateway.keysFree(instance, allKeys, proofEarlierOver)
+	expired := k.earlierIncarnations.expired(now) && k.earlierProcessExpired(now)
+	if expired && !k.reportedEarlierExpired {
+		k.gateway.recordKeysFree(instance, allKeys, proofEarlierExpired)
 	}
-	k.toldEarlierOver = over
-	return over
+	k.reportedEarlierExpired = expired
+	return expired
 }
 
-// yield reports whether the time of all that a life was granted is over. From now on it is
-// granted nothing, until it is heard again.
+// yield stops grants to an incarnation until it sends a heartbeat again, and reports whether
+// everything that it was granted has expired.
 func (k *keyKeeper) yield(former string, now time.Time) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if former == k.instance && !k.yielding {
+	if former == k.instance && !k.grantsStopped {
 		k.gateway.config.Log.Info("another life of the back end is heard; nothing more is granted", "former", former, "grants", len(k.grants))
-		k.yielding = true
+		k.grantsStopped = true
 	}
-	return k.timeOver(now) || k.noneGranted(now) && !k.mayBeKeyed()
+	return k.allGrantsExpired(now) || k.noActiveGrants(now) && !k.mayHoldKeys()
 }
 
-// noneGranted reports whether this process has granted nothing that may be held. The caller
-// has the mutex.
-func (k *keyKeeper) noneGranted(now time.Time) bool {
+// noActiveGrants reports whether every grant of this process has expired. The caller has the
+// mutex.
+func (k *keyKeeper) noActiveGrants(now time.Time) bool {
 	for _, sent := range k.grants {
 		if !sent.bound.Over(now) {
 			return false
@@ -113,30 +115,30 @@
 	return true
 }
 
-// stay ends the yielding for an instance that was heard again: it lives.
+// stay resumes grants to an instance that has sent a heartbeat again.
 func (k *keyKeeper) stay(instance string) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if k.yielding && instance == k.instance {
-		k.yielding = false
+	if k.grantsStopped && instance == k.instance {
+		k.grantsStopped = false
 		k.signal()
 	}
 }
 
-// timeOver reports whether the time of all that was granted here is over, but for grants
-// without an answer. The caller has the mutex.
-func (k *keyKeeper) timeOver(now time.Time) bool {
-	return k.noneGranted(now) && k.earlierProcessOver(now)
+// allGrantsExpired reports whether every grant of this process and earlier ones has expired,
+// except for unanswered grants. The caller has the mutex.
+func (k *keyKeeper) allGrantsExpired(now time.Time) bool {
+	return k.noActiveGrants(now) && k.earlierProcessExpired(now)
 }
 
-// followPresent begins with nothing where another life is the present one, and tries the one
-// again that waits for its place. It reports whether the keeper's life is the present one.
-// The caller has the mutex.
-func (k *keyKeeper) followPresent(present fleetwire.Instance, now time.Time) bool {
-	if k.gateway.registry.waits() && k.timeOver(now) {
+// syncIncarnation starts over if another incarnation is the current one, and retries a
+// candidate that waits to replace it. It reports whether the manager's incarnation is the
+// current one. The caller has the mutex.
+func (k *keyKeeper) syncIncarnation(current fleetwire.Instance, now time.Time) bool {
+	if k.gateway.registry.hasWaitingCandidate() && k.allGrantsExpired(now) {
 		go k.gateway.registry.retry(now)
 	}
-	if k.instance != "" && present.ID != k.instance {
+	if k.instance != "" && current.ID != k.instance {
 		k.reset("", now)
 	}
 	return k.instance != ""
--- a/internal/gateway/keygrants.go
+++ b/internal/gateway/keygrants.go
@@ -8,10 +8,10 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// hold is for how long keys are granted at a time where the lease allows it. One that gets
-// its keys by heartbeat is told again with the next one, whose answer it may get answerVoid
-// later.
-func (k *keyKeeper) hold() time.Duration {
+// grantDuration is the duration of a grant if the lease allows it. A back end that gets its
+// keys by heartbeat has them renewed with the next heartbeat, whose answer it accepts up to
+// answerVoid after that.
+func (k *keyKeeper) grantDuration() time.Duration {
 	config := &k.gateway.config
 	hold := config.KeyHold
 	if k.byHeartbeat() {
@@ -20,9 +20,9 @@
 	return min(hold, config.LongestHold)
 }
 
-// startGrants sends what is due.
+// startGrants sends the grants that are due.
 func (k *keyKeeper) startGrants(ctx context.Context, now time.Time) {
-	if k.longestHold(now) < leastHold {
+	if k.maxGrantDuration(now) < minGrantDuration {
 		return
 	}
 	for _, held := range k.wanted {
@@ -32,37 +32,36 @@
 			sent = &grant{Held: held}
 			k.grants[key] = sent
 		}
-		due := now.After(sent.nextAt) || k.takenSince(held.Keys, held.Fence, sent.confirmed)
-		if sent.bound.Sending() || sent.overruns || !due {
+		due := now.After(sent.nextAt) || k.releasedSince(held.Keys, held.Fence, sent.confirmedAt)
+		if sent.bound.Sending() || sent.outlastsLease || !due {
 			continue
 		}
-		k.start(ctx, sent, grantTerms{longest: k.hold(), until: k.leaseUntil})
+		k.startGrant(ctx, sent, grantLimits{maxDuration: k.grantDuration(), endsBefore: k.leaseUntil})
 	}
 }
 
-// longestHold is for how long keys may be granted at a time: surely not beyond
-// the lease.
-func (k *keyKeeper) longestHold(now time.Time) time.Duration {
-	return min(k.hold(), holdUntil(k.leaseUntil, now))
+// maxGrantDuration is the longest duration for which keys may be granted now, so that the
+// grant certainly ends within the lease.
+func (k *keyKeeper) maxGrantDuration(now time.Time) time.Duration {
+	return min(k.grantDuration(), maxDurationUntil(k.leaseUntil, now))
 }
 
-// holdUntil is for how long a grant may be that surely ends before a time.
-func holdUntil(until, now time.Time) time.Duration {
+// maxDurationUntil is the longest duration of a grant that certainly ends before a time.
+func maxDurationUntil(until, now time.Time) time.Duration {
 	return time.Duration(float64(until.Sub(now))*(1-clockDrift)) - transit
 }
 
-// grantTerms bound one grant: for how long it may be, and that it must end surely before a
-// time.
-type grantTerms struct {
-	longest time.Duration
-	until   time.Time
+// grantLimits bound one grant: its duration, and a time before which it must certainly end.
+type grantLimits struct {
+	maxDuration time.Duration
+	endsBefore  time.Time
 }
 
-// start sends one grant.
-func (k *keyKeeper) start(ctx context.Context, sent *grant, terms grantTerms) {
-	sent.bound.Send(terms.longest)
-	sent.sub = k.fences.used[sent.Fence]
-	go k.send(ctx, k.instance, sent, terms)
+// startGrant sends one grant in the background.
+func (k *keyKeeper) startGrant(ctx context.Context, sent *grant, limits grantLimits) {
+	sent.bound.Send(limits.maxDuration)
+	sent.subFence = k.fences.subFences[sent.Fence]
+	go k.sendGrant(ctx, k.instance, sent, limits)
 }
 
 func later(a, b time.Time) time.Time {
@@ -72,29 +71,31 @@
 	return b
 }
 
-// prepare works out, at the last moment, for how long a grant may be: this process may have
-// stood still since it was begun. It reports whether it is still worth sending.
-func (k *keyKeeper) prepare(instance string, sent *grant, terms grantTerms) (order GrantOrder, ok bool) {
+// prepareGrant computes the duration of a grant immediately before it is sent, since this
+// process may have been stalled since the grant was started. It reports whether the grant is
+// still worth sending.
+func (k *keyKeeper) prepareGrant(instance string, sent *grant, limits grantLimits) (order GrantOrder, ok bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	now := steady.Reading()
-	hold := min(terms.longest, k.longestHold(now), holdUntil(terms.until, now))
-	if instance != k.instance || k.yielding || hold < leastHold {
+	hold := min(limits.maxDuration, k.maxGrantDuration(now), maxDurationUntil(limits.endsBefore, now))
+	if instance != k.instance || k.grantsStopped || hold < minGrantDuration {
 		sent.bound.NotTaken()
 		return GrantOrder{}, false
 	}
 	sent.bound.Send(hold)
 	sent.sentAt = now
-	return GrantOrder{Instance: instance, Keys: sent.Keys, Fence: compose(sent.Fence, sent.sub), Hold: hold, Handover: sent.Handover, PreparedAt: now}, true
+	return GrantOrder{Instance: instance, Keys: sent.Keys, Fence: composeFence(sent.Fence, sent.subFence), Hold: hold, Handover: sent.Handover, PreparedAt: now}, true
 }
 
-// send makes one grant and notes its answer.
-func (k *keyKeeper) send(ctx context.Context, instance string, sent *grant, terms grantTerms) {
-	order, ok := k.prepare(instance, sent, terms)
+// sendGrant sends one grant and records its result.
+func (k *keyKeeper) sendGrant(ctx context.Context, instance string, sent *grant, limits grantLimits) {
+	order, ok := k.prepareGrant(instance, sent, limits)
 	if !ok {
 		return
 	}
-	// From when it was worked out: what stood still since must not leave.
+	// The timeout counts from the preparation: a grant that was delayed by a stall since then
+	// must not be sent.
 	ctx, cancel := context.WithTimeout(ctx, steady.Until(order.PreparedAt.Add(grantTimeout)))
 	defer cancel()
 	err := k.gateway.config.Keys.Grant(ctx, order)
@@ -106,28 +107,28 @@
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	now := steady.Reading()
-	k.noteAnswer(instance, sent, err, now)
+	k.recordGrantResult(instance, sent, err, now)
 	if instance != k.instance {
 		return
 	}
 	if err != nil {
-		sent.nextAt = now.Add(regrantAfter)
+		sent.nextAt = now.Add(grantRetryDelay)
 		return
 	}
-	k.gateway.registry.heard(instance)
-	k.fences.confirmed(sent.Keys, sent.Fence, sent.sub)
+	k.gateway.registry.recordContact(instance)
+	k.fences.recordConfirmed(sent.Keys, sent.Fence, sent.subFence)
 	sent.until = later(sent.until, sent.sentAt.Add(order.Hold))
-	sent.confirmed, k.answered = sent.sentAt, true
-	sent.nextAt = sent.sentAt.Add(k.hold() / renewals)
-	k.retractOverrun(sent)
-	k.announce()
+	sent.confirmedAt, k.everConfirmed = sent.sentAt, true
+	sent.nextAt = sent.sentAt.Add(k.grantDuration() / renewals)
+	k.markOutlastingLease(sent)
+	k.notifyWaiters()
 	k.signal()
 }
 
-// noteAnswer follows until when a back end may hold what it was sent, which may be an
-// earlier life of it.
-func (k *keyKeeper) noteAnswer(instance string, sent *grant, err error, now time.Time) {
-	present := instance == k.instance
+// recordGrantResult updates the time until which a back end may hold the keys of a grant, and
+// the unanswered grants. The grant may have been sent to an earlier incarnation.
+func (k *keyKeeper) recordGrantResult(instance string, sent *grant, err error, now time.Time) {
+	current := instance == k.instance
 	switch {
 	case err == nil:
 		sent.bound.Answered(now)
@@ -135,53 +136,53 @@
 		sent.bound.NotTaken()
 	case errors.Is(err, ErrNotTaken):
 		sent.bound.NotTaken()
-		if present {
-			k.fences.skip(sent.Fence, sent.sub)
+		if current {
+			k.fences.retireFence(sent.Fence, sent.subFence)
 		}
-	case present:
+	case current:
 		sent.bound.Unanswered(now, sent.sentAt.Add(transit))
-		ended := errors.Is(err, ErrConnectionEnded)
-		k.fences.unanswered(openGrant{keys: sent.Keys, owner: sent.Fence, sub: sent.sub, at: now, ended: ended})
+		connectionEnded := errors.Is(err, ErrConnectionEnded)
+		k.fences.addUnanswered(unansweredGrant{keys: sent.Keys, owner: sent.Fence, subFence: sent.subFence, notedAt: now, connectionEnded: connectionEnded})
 	default:
 		sent.bound.Unanswered(now, sent.sentAt.Add(transit))
 		if !errors.Is(err, ErrConnectionEnded) {
-			k.earlier.unreadUntil = later(k.earlier.unreadUntil, now.Add(openKept))
+			k.earlierIncarnations.unreadUntil = later(k.earlierIncarnations.unreadUntil, now.Add(maxGrantDelay))
 		}
 	}
 }
 
-// retractOverrun notes a grant that may outlast the lease: its answer came so late that this
-// process must have stood still as it sent it.
-func (k *keyKeeper) retractOverrun(sent *grant) {
+// markOutlastingLease marks a grant that may last longer than the lease: its answer came so
+// late that this process must have been stalled while sending it.
+func (k *keyKeeper) markOutlastingLease(sent *grant) {
 	if !sent.bound.Until().After(k.leaseUntil) {
 		return
 	}
-	sent.overruns, sent.until, sent.nextAt = true, time.Time{}, time.Time{}
+	sent.outlastsLease, sent.until, sent.nextAt = true, time.Time{}, time.Time{}
 	k.gateway.config.Log.Warn("grant outlasts its lease and is taken back", "instance", k.instance, "first", sent.Keys.First, "last", sent.Keys.Last,
 		"beyond_ms", sent.bound.Until().Sub(k.leaseUntil).Milliseconds())
 }
 
-// startRetractions takes back what may be held beyond the lease.
-func (k *keyKeeper) startRetractions(ctx context.Context, now time.Time) {
+// startRevocations revokes the grants that may last longer than the lease.
+func (k *keyKeeper) startRevocations(ctx context.Context, now time.Time) {
 	for key, sent := range k.grants {
-		if sent.overruns && !sent.bound.Sending() && !now.Before(sent.nextAt) {
+		if sent.outlastsLease && !sent.bound.Sending() && !now.Before(sent.nextAt) {
 			sent.bound.Send(0)
-			go k.retract(ctx, k.instance, key, sent)
+			go k.revoke(ctx, k.instance, key, sent)
 		}
 	}
 }
 
-// retract takes one grant back.
-func (k *keyKeeper) retract(ctx context.Context, instance string, key heldKey, sent *grant) {
+// revoke releases the range of one grant at the back end.
+func (k *keyKeeper) revoke(ctx context.Context, instance string, key heldKey, sent *grant) {
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
-	_, err := k.gateway.config.Keys.Release(ctx, ReleaseOrder{Instance: instance, Keys: sent.Keys, Fence: compose(sent.Fence, sent.sub)})
+	_, err := k.gateway.config.Keys.Release(ctx, ReleaseOrder{Instance: instance, Keys: sent.Keys, Fence: composeFence(sent.Fence, sent.subFence)})
 	k.gateway.metrics.release(err)
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if err != nil || instance != k.instance || k.yielding {
+	if err != nil || instance != k.instance || k.grantsStopped {
 		sent.bound.NotTaken()
-		sent.nextAt = steady.Reading().Add(releaseAgain)
+		sent.nextAt = steady.Reading().Add(releaseRetryDelay)
 		return
 	}
 	sent.bound.TakenBack()
--- a/internal/gateway/keyheartbeats.go
+++ b/internal/gateway/keyheartbeats.go
@@ -11,40 +11,39 @@
 	"github.com/quartzdock/quartzdock/internal/routeconfig"
 )
 
-// Keys by heartbeat (docs/decisions/018-keys-by-heartbeat.md): the back end says
-// in each heartbeat what it holds, and the answer says all that it is to hold.
-// Its time counts from the sending of the heartbeat, so that an answer that is
-// held up never makes it hold a key for longer than the gateway has counted.
+// Keys by heartbeat (docs/decisions/018-keys-by-heartbeat.md): each heartbeat lists the ranges
+// that the back end holds, and its answer lists all ranges that the back end is to hold. The
+// duration counts from the sending of the heartbeat, so a delayed answer never makes the back
+// end hold a key for longer than the gateway assumes.
 
 const (
-	// MaxOfferedRanges bounds the ranges of an answer, so that it stays below the
-	// 4 KiB that a back end reads: at most 52 bytes each, with a handover.
+	// MaxOfferedRanges bounds the ranges of an answer, so that it stays below the 4 KiB that a
+	// back end reads: each takes at most 52 bytes, including a handover.
 	MaxOfferedRanges = 64
-	// answerVoid is for how long a back end takes the answer to a heartbeat, from
-	// the heartbeat's arrival on: it waits for one second, on a clock that may run
-	// slow.
-	answerVoid = time.Second + time.Duration(clockDrift*float64(time.Second)) + processorPause
-	// reportedSlack is for how much longer than a heartbeat's interval a range counts
-	// as held that a heartbeat named while this process has no lease to offer it
-	// under. The back end itself refuses what it does not hold.
-	reportedSlack = 200 * time.Millisecond
+	// answerVoid is how long after a heartbeat's arrival a back end may still accept its
+	// answer: it waits for one second, on a clock that may run slow.
+	answerVoid = time.Second + time.Duration(clockDrift*float64(time.Second)) + cpuQuotaPause
+	// reportedRangeGrace is added to the heartbeat interval to get how long a range that a
+	// heartbeat named counts as held while this process has no lease to offer it under. The
+	// back end itself refuses requests for keys that it does not hold.
+	reportedRangeGrace = 200 * time.Millisecond
 )
 
-// HeldRange is a range that a back end says it holds.
+// HeldRange is a range that a back end reports as held.
 type HeldRange struct {
 	Keys  keyspace.Range
 	Fence keyspace.Fence
 }
 
-// FreedRange is a range that a back end has let go, with what it left for the
-// next holder.
+// FreedRange is a range that a back end has released, with the handover data that it left for
+// the next holder.
 type FreedRange struct {
 	Keys     keyspace.Range
 	Handover string
 }
 
-// KeyOffer is all that a back end is to hold, counted from the sending of the
-// heartbeat that it answers.
+// KeyOffer lists all ranges that a back end is to hold. Hold counts from the sending of the
+// heartbeat that the offer answers.
 type KeyOffer struct {
 	Held []OfferedRange
 	Hold time.Duration
@@ -54,22 +53,22 @@
 type OfferedRange struct {
 	Keys  keyspace.Range
 	Fence keyspace.Fence
-	// Handover is what the last holder left; empty once it was taken.
+	// Handover is what the last holder left; empty once the back end has accepted the range.
 	Handover string
 }
 
-// KeyReportError says what is wrong with the keys that a heartbeat names.
+// KeyReportError describes an invalid key range in a heartbeat.
 type KeyReportError struct{ Reason string }
 
 // Error implements error.
 func (e *KeyReportError) Error() string { return "keys of heartbeat: " + e.Reason }
 
-// errNotTaken: a back end does not name a range that it was offered.
-var errNotTaken = errors.New("not taken")
+// errOfferNotAccepted: a back end does not name a range that it was offered.
+var errOfferNotAccepted = errors.New("not taken")
 
-// checkKeys refuses ranges that run backwards or lie outside the key space. They
-// may overlap: a range that is held anew may still be worked on by what began when
-// it was held before.
+// checkKeys rejects ranges whose first key is above the last one, or that lie outside the key
+// space. Ranges may overlap: requests that began under an earlier fence may still be running
+// when the range is granted again.
 func (r *Registration) checkKeys() error {
 	for _, row := range r.Held {
 		if err := checkRange(row.Keys); err != nil {
@@ -91,27 +90,27 @@
 	return nil
 }
 
-// servedRange is a range that requests may be sent for until a time.
+// servedRange is a range for which requests may be sent to the back end until a time.
 type servedRange struct {
 	keys  keyspace.Range
 	until time.Time
 }
 
-// keyReport is what follows from a back end's heartbeats about its keys.
-type keyReport struct {
-	// served are the ranges that it may be asked for.
+// heartbeatKeys is what a back end's heartbeats tell about its keys.
+type heartbeatKeys struct {
+	// served are the ranges for which requests may be sent to the back end.
 	served []servedRange
-	// freed are ranges that it has let go, kept until they are asked for or
-	// openKept has passed.
-	freed []freedAt
+	// freed are the ranges that it has released, kept until they are offered again or
+	// maxGrantDelay has passed.
+	freed []timedFreedRange
 }
 
-type freedAt struct {
+type timedFreedRange struct {
 	FreedRange
-	at time.Time
+	freedAt time.Time
 }
 
-// byHeartbeat says that the back end gets its keys by heartbeat.
+// byHeartbeat reports whether the back end gets its keys by heartbeat.
 func (k *keyKeeper) byHeartbeat() bool {
 	v := k.gateway.views.load()
 	if v.table == nil {
@@ -121,105 +120,106 @@
 	return service != nil && service.Grants == routeconfig.GrantByHeartbeat
 }
 
-// heartbeat takes what a back end holds and has let go, by a heartbeat that has just arrived
-// and is its newest, and returns what it is to hold, once there is something to tell or its
-// answer has to leave; nil renews nothing.
-func (k *keyKeeper) heartbeat(told Registration, arrived time.Time) *KeyOffer {
+// heartbeat records what a back end holds and has released according to its newest heartbeat,
+// and returns what it is to hold. It returns once the back end has to be told something or the
+// answer has to be sent; nil renews nothing.
+func (k *keyKeeper) heartbeat(registration Registration, arrived time.Time) *KeyOffer {
 	if !k.byHeartbeat() {
 		return nil
 	}
-	beat, ok := k.takeHeartbeat(told.ID, told.Held, told.Freed, arrived)
+	number, ok := k.recordHeartbeat(registration.ID, registration.Held, registration.Freed, arrived)
 	if !ok {
 		return nil
 	}
-	waited := answeredAtOnce
-	// One that leaves must have its word acknowledged, whatever stalls here.
-	if told.State == fleetwire.InstanceReady {
-		waited = k.awaitNews(beat, told.Held, arrived)
+	reason := answeredAtOnce
+	// The heartbeat of a draining back end must be acknowledged without delay, whatever else
+	// stalls in this gateway.
+	if registration.State == fleetwire.InstanceReady {
+		reason = k.awaitChange(number, registration.Held, arrived)
 	}
-	k.gateway.metrics.heartbeats.WithLabelValues(waited).Inc()
-	return k.answerHeartbeat(told.ID, beat, told.Held, arrived)
+	k.gateway.metrics.heartbeats.WithLabelValues(reason).Inc()
+	return k.answerHeartbeat(registration.ID, number, registration.Held, arrived)
 }
 
-// takeHeartbeat notes what a heartbeat says and numbers it; ok is false where it says nothing
-// of the keys that are granted here.
-func (k *keyKeeper) takeHeartbeat(instance string, held []HeldRange, freed []FreedRange, arrived time.Time) (beat uint64, ok bool) {
+// recordHeartbeat records the ranges of a heartbeat and numbers it; ok is false if the
+// heartbeat is not about the keys that are granted here.
+func (k *keyKeeper) recordHeartbeat(instance string, held []HeldRange, freed []FreedRange, arrived time.Time) (number uint64, ok bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if instance != k.instance || k.yielding || k.gateway.registry.unreachable() {
+	if instance != k.instance || k.grantsStopped || k.gateway.registry.unreachable() {
 		return 0, false
 	}
-	k.heartbeats++
-	k.noteFreed(freed, arrived)
-	k.noteTaken(held)
-	k.noteReleases(held, arrived)
-	k.announce()
-	return k.heartbeats, true
+	k.heartbeatCount++
+	k.recordFreed(freed, arrived)
+	k.recordAccepted(held)
+	k.recordDropped(held, arrived)
+	k.notifyWaiters()
+	return k.heartbeatCount, true
 }
 
 // answerHeartbeat returns what a back end is to hold from the arrival of a heartbeat on; nil
-// where a later one has come or there is nothing to renew.
-func (k *keyKeeper) answerHeartbeat(instance string, beat uint64, held []HeldRange, arrived time.Time) *KeyOffer {
+// if a later heartbeat has arrived or there is nothing to renew.
+func (k *keyKeeper) answerHeartbeat(instance string, number uint64, held []HeldRange, arrived time.Time) *KeyOffer {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if instance != k.instance || k.yielding || beat != k.heartbeats || k.gateway.registry.unreachable() {
+	if instance != k.instance || k.grantsStopped || number != k.heartbeatCount || k.gateway.registry.unreachable() {
 		return nil
 	}
-	offer := k.offer(arrived)
+	offer := k.buildOffer(arrived)
 	if offer == nil {
-		k.reported.served = reportedRanges(held, k.reported.served, arrived, k.gateway.config.HeartbeatInterval+reportedSlack)
+		k.fromHeartbeats.served = reportedRanges(held, k.fromHeartbeats.served, arrived, k.gateway.config.HeartbeatInterval+reportedRangeGrace)
 		return nil
 	}
-	k.noteLeftOut(arrived)
-	k.announce()
+	k.recordOmitted(arrived)
+	k.notifyWaiters()
 	return offer
 }
 
-// noteFreed keeps what was let go. Ranges that overlap older ones replace them.
-func (k *keyKeeper) noteFreed(freed []FreedRange, now time.Time) {
-	k.reported.freed = slices.DeleteFunc(k.reported.freed, func(old freedAt) bool {
+// recordFreed stores the released ranges. They replace stored ranges that they overlap.
+func (k *keyKeeper) recordFreed(freed []FreedRange, now time.Time) {
+	k.fromHeartbeats.freed = slices.DeleteFunc(k.fromHeartbeats.freed, func(old timedFreedRange) bool {
 		replaced := slices.ContainsFunc(freed, func(row FreedRange) bool { return row.Keys.Overlaps(old.Keys) })
-		return replaced || now.After(old.at.Add(openKept))
+		return replaced || now.After(old.freedAt.Add(maxGrantDelay))
 	})
 	for _, row := range freed {
-		k.reported.freed = append(k.reported.freed, freedAt{row, now})
+		k.fromHeartbeats.freed = append(k.fromHeartbeats.freed, timedFreedRange{row, now})
 	}
 }
 
-// noteTaken compares what the back end holds with what it was offered. A range
-// that it has not taken is offered again under a higher fence.
-func (k *keyKeeper) noteTaken(held []HeldRange) {
+// recordAccepted compares what the back end holds with what it was offered. A range that the
+// back end has not accepted is offered again under a higher fence.
+func (k *keyKeeper) recordAccepted(held []HeldRange) {
 	for _, sent := range k.grants {
-		if sent.confirmed.IsZero() && covered(sent.Keys, held) {
-			sent.confirmed = sent.sentAt
+		if sent.confirmedAt.IsZero() && covered(sent.Keys, held) {
+			sent.confirmedAt = sent.sentAt
 			k.gateway.metrics.grant(nil)
 		}
 	}
 	for _, row := range held {
-		owner, sub := decompose(row.Fence)
-		k.fences.confirmed(row.Keys, owner, sub)
+		owner, sub := decomposeFence(row.Fence)
+		k.fences.recordConfirmed(row.Keys, owner, sub)
 	}
 	for _, wanted := range k.wanted {
 		sent, offered := k.grants[heldKey{wanted.Keys, wanted.Fence}]
 		if !offered || sent.sentAt.IsZero() || covered(wanted.Keys, held) {
 			continue
 		}
-		sent.confirmed = time.Time{}
+		sent.confirmedAt = time.Time{}
 		sent.untaken++
-		k.gateway.metrics.grant(errNotTaken)
-		k.fences.skip(wanted.Fence, sent.sub)
-		if sent.untaken == untakenTold {
+		k.gateway.metrics.grant(errOfferNotAccepted)
+		k.fences.retireFence(wanted.Fence, sent.subFence)
+		if sent.untaken == unacceptedOffersLogged {
 			k.gateway.config.Log.Warn("keys not taken by back end", "instance", k.instance, "first", wanted.Keys.First, "last", wanted.Keys.Last,
-				"fence", uint64(compose(wanted.Fence, sent.sub)))
+				"fence", uint64(composeFence(wanted.Fence, sent.subFence)))
 		}
 	}
 }
 
-// untakenTold is how often in a row a range is not taken before that is logged:
-// the first time, an answer may have been lost.
-const untakenTold = 2
+// unacceptedOffersLogged is after how many consecutive offers without acceptance a warning is
+// logged: after the first one, the answer may just have been lost.
+const unacceptedOffersLogged = 2
 
-// covered says that all keys of a range are held.
+// covered reports whether all keys of a range are held.
 func covered(keys keyspace.Range, held []HeldRange) bool {
 	rest := []keyspace.Range{keys}
 	for _, row := range held {
@@ -232,56 +232,56 @@
 	return len(rest) == 0
 }
 
-// noteReleases finds the ranges that the back end has let go: it was told to, by
-// an earlier answer, and names them no more.
-func (k *keyKeeper) noteReleases(held []HeldRange, now time.Time) {
-	for _, running := range k.releases {
-		stillHeld := slices.ContainsFunc(held, func(row HeldRange) bool { return row.Keys.Overlaps(running.held.Keys) })
-		running.letGo = !stillHeld && !running.leftOutAt.IsZero()
+// recordDropped finds the ranges that the back end has released: an earlier answer omitted
+// them, and it no longer names them.
+func (k *keyKeeper) recordDropped(held []HeldRange, now time.Time) {
+	for _, pending := range k.releases {
+		stillHeld := slices.ContainsFunc(held, func(row HeldRange) bool { return row.Keys.Overlaps(pending.held.Keys) })
+		pending.droppedByBackend = !stillHeld && !pending.omittedAt.IsZero()
 	}
-	k.endReleases(now)
+	k.completeReleases(now)
 }
 
-// noteLeftOut marks the ranges that the answer being sent leaves out.
-func (k *keyKeeper) noteLeftOut(now time.Time) {
-	for _, running := range k.releases {
-		if running.leftOutAt.IsZero() {
-			running.leftOutAt = now
+// recordOmitted marks the ranges that the answer being sent omits.
+func (k *keyKeeper) recordOmitted(now time.Time) {
+	for _, pending := range k.releases {
+		if pending.omittedAt.IsZero() {
+			pending.omittedAt = now
 		}
 	}
 }
 
-// endReleases promises the ranges that were let go, once no answer that offered
-// them can be taken any more.
-func (k *keyKeeper) endReleases(now time.Time) {
-	for _, running := range k.releases {
-		if running.done || !running.letGo || k.granting(running.held) || now.Before(k.answersVoid(running.held)) || k.fences.isOpen(running.held.Keys, running.held.Fence) {
+// completeReleases completes the releases of ranges that the back end has dropped, once it
+// can't accept an answer that offered them any more.
+func (k *keyKeeper) completeReleases(now time.Time) {
+	for _, pending := range k.releases {
+		if pending.done || !pending.droppedByBackend || k.grantInFlight(pending.held) || now.Before(k.answersExpireAt(pending.held)) || k.fences.hasUnanswered(pending.held.Keys, pending.held.Fence) {
 			continue
 		}
-		running.done = true
-		running.handover = k.handoverOf(running.held.Keys)
+		pending.done = true
+		pending.handover = k.handoverOf(pending.held.Keys)
 		k.gateway.metrics.release(nil)
-		k.gateway.keysFree(k.instance, running.held.Keys, proofNamedNoMore)
+		k.gateway.recordKeysFree(k.instance, pending.held.Keys, proofNoLongerReported)
 		k.gateway.session.report()
 	}
 }
 
-// answersVoid is when no answer that offered a key of a range can be taken any
-// more, whichever process sent it.
-func (k *keyKeeper) answersVoid(held fleetwire.Held) time.Time {
-	void := k.started.Add(answerVoid)
+// answersExpireAt is the time from which the back end can't accept any answer that offered a
+// key of a range, whichever process sent it.
+func (k *keyKeeper) answersExpireAt(held fleetwire.Held) time.Time {
+	expiry := k.started.Add(answerVoid)
 	for key, sent := range k.grants {
 		if key.keys.Overlaps(held.Keys) {
-			void = later(void, sent.offeredAt.Add(answerVoid))
+			expiry = later(expiry, sent.offeredAt.Add(answerVoid))
 		}
 	}
-	return void
+	return expiry
 }
 
-// handoverOf returns what the back end left of a range, if it left all of it
-// together.
+// handoverOf returns the handover data of a range, if the back end released all of the range
+// at once.
 func (k *keyKeeper) handoverOf(keys keyspace.Range) string {
-	for _, freed := range k.reported.freed {
+	for _, freed := range k.fromHeartbeats.freed {
 		if freed.Keys.Contains(keys) {
 			return freed.Handover
 		}
@@ -289,11 +289,11 @@
 	return ""
 }
 
-// offer returns what the back end is to hold by the present lease, or nil where
-// the lease is as good as over.
-func (k *keyKeeper) offer(now time.Time) *KeyOffer {
-	hold := k.longestHold(now)
-	if hold < leastHold {
+// buildOffer returns what the back end is to hold under the current lease, or nil if too
+// little of the lease remains.
+func (k *keyKeeper) buildOffer(now time.Time) *KeyOffer {
+	hold := k.maxGrantDuration(now)
+	if hold < minGrantDuration {
 		return nil
 	}
 	wanted := k.wanted
@@ -302,14 +302,14 @@
 		wanted = wanted[:MaxOfferedRanges]
 	}
 	offer := &KeyOffer{Hold: hold}
-	k.reported.served = nil
+	k.fromHeartbeats.served = nil
 	for _, held := range wanted {
 		offer.Held = append(offer.Held, k.offerRange(held, hold, now))
 	}
 	return offer
 }
 
-// offerRange notes and returns one range of an offer.
+// offerRange records and returns one range of an offer.
 func (k *keyKeeper) offerRange(held fleetwire.Held, hold time.Duration, now time.Time) OfferedRange {
 	key := heldKey{held.Keys, held.Fence}
 	sent, ok := k.grants[key]
@@ -317,36 +317,36 @@
 		sent = &grant{Held: held}
 		k.grants[key] = sent
 	}
-	taken := !sent.confirmed.IsZero()
-	// What was let go before it is held again is no handover of the next time.
-	k.reported.freed = slices.DeleteFunc(k.reported.freed, func(row freedAt) bool { return row.Keys.Overlaps(held.Keys) })
+	accepted := !sent.confirmedAt.IsZero()
+	// Handover data from before this grant must not be passed on at the next release.
+	k.fromHeartbeats.freed = slices.DeleteFunc(k.fromHeartbeats.freed, func(row timedFreedRange) bool { return row.Keys.Overlaps(held.Keys) })
 	sent.sentAt, sent.offeredAt = now, now
-	sent.sub = k.fences.used[held.Fence]
+	sent.subFence = k.fences.subFences[held.Fence]
 	sent.until = now.Add(hold)
 	sent.bound.Given(now, hold)
-	if taken {
-		sent.confirmed, sent.untaken = now, 0
+	if accepted {
+		sent.confirmedAt, sent.untaken = now, 0
 	}
-	// A range that is offered for the first time is asked for at once. One that
-	// was not taken waits until the back end names it.
-	if taken || sent.untaken == 0 {
-		k.reported.served = append(k.reported.served, servedRange{held.Keys, sent.until})
+	// Requests are sent at once for a range that is offered for the first time. One that was
+	// not accepted gets none until the back end names it.
+	if accepted || sent.untaken == 0 {
+		k.fromHeartbeats.served = append(k.fromHeartbeats.served, servedRange{held.Keys, sent.until})
 	}
-	offered := OfferedRange{Keys: held.Keys, Fence: compose(held.Fence, sent.sub)}
-	if !taken {
+	offered := OfferedRange{Keys: held.Keys, Fence: composeFence(held.Fence, sent.subFence)}
+	if !accepted {
 		offered.Handover = held.Handover
 	}
 	return offered
 }
 
-// reportedRanges are what a back end may be asked for while nothing can be
-// offered to it: what it names, for as long as it was given, and at least for a
-// time in which its next heartbeat comes.
-func reportedRanges(held []HeldRange, before []servedRange, now time.Time, trusted time.Duration) []servedRange {
+// reportedRanges returns the ranges for which requests may be sent while nothing can be
+// offered to the back end: those that it names, for as long as they were granted, and at least
+// until its next heartbeat is due.
+func reportedRanges(held []HeldRange, previous []servedRange, now time.Time, grace time.Duration) []servedRange {
 	var served []servedRange
 	for _, row := range held {
-		until := now.Add(trusted)
-		for _, known := range before {
+		until := now.Add(grace)
+		for _, known := range previous {
 			if known.keys.Contains(row.Keys) {
 				until = later(until, known.until)
 			}
@@ -356,9 +356,10 @@
 	return served
 }
 
-// servesReported says that a key may be asked for, by the last heartbeat.
-func (k *keyKeeper) servesReported(key keyspace.Key, now time.Time) bool {
-	return slices.ContainsFunc(k.reported.served, func(served servedRange) bool {
+// servesByHeartbeat reports whether requests for a key may be sent, according to the last
+// heartbeat.
+func (k *keyKeeper) servesByHeartbeat(key keyspace.Key, now time.Time) bool {
+	return slices.ContainsFunc(k.fromHeartbeats.served, func(served servedRange) bool {
 		return served.keys.First <= key && key <= served.keys.Last && now.Before(served.until)
 	})
 }
--- a/internal/gateway/keyheartbeats_test.go
+++ b/internal/gateway/keyheartbeats_test.go
@@ -14,7 +14,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// newHeartbeatRig is a key keeper whose back end gets its keys by heartbeat.
+// newHeartbeatRig is a rig whose back end gets its keys by heartbeat.
 func newHeartbeatRig(t *testing.T) *keyRig {
 	rig := newKeyRig(t)
 	rig.setGrants(routeconfig.GrantByHeartbeat, 1)
@@ -22,7 +22,7 @@
 }
 
 func (r *keyRig) setGrants(mode routeconfig.GrantMode, version routeconfig.Version) {
-	// A document alone always fits.
+	// A view with only a document is always accepted.
 	_ = r.g.views.advance(&fleetwire.View{Document: &routeconfig.Document{
 		Version: version, Services: []routeconfig.Service{{Name: "s", Keyed: true, Grants: mode}},
 	}}, time.Time{})
@@ -31,10 +31,10 @@
 // beat sends the next heartbeat of an instance.
 func (r *keyRig) beat(t *testing.T, instance string, held []HeldRange, freed ...FreedRange) *KeyOffer {
 	r.sequence++
-	return r.beatWith(t, instance, r.sequence, held, freed)
+	return r.heartbeatWith(t, instance, r.sequence, held, freed)
 }
 
-func (r *keyRig) beatWith(t *testing.T, instance string, sequence uint64, held []HeldRange, freed []FreedRange) *KeyOffer {
+func (r *keyRig) heartbeatWith(t *testing.T, instance string, sequence uint64, held []HeldRange, freed []FreedRange) *KeyOffer {
 	offer, err := r.g.Heartbeat(Registration{
 		ID: instance, Service: "s", Slots: 4, State: fleetwire.InstanceReady, Sequence: sequence, Held: held, Freed: freed,
 	})
@@ -51,22 +51,22 @@
 		rig := newHeartbeatRig(t)
 		assert.Assert(t, rig.beat(t, "i-1", nil) == nil, "no lease yet: nothing is renewed")
 		rig.lease(held(0, 99), nil)
-		assert.Assert(t, !rig.g.keys.holds("i-1", 5, steady.Reading()), "not told yet")
+		assert.Assert(t, !rig.g.keys.holds("i-1", 5, steady.Reading()), "the back end is not told yet")
 		offer := rig.beat(t, "i-1", nil)
-		assert.DeepEqual(t, offer.Held, []OfferedRange{{Keys: keyspace.Range{First: 0, Last: 99}, Fence: compose(7, 0)}})
-		assert.Assert(t, offer.Hold <= rig.g.keys.hold())
+		assert.DeepEqual(t, offer.Held, []OfferedRange{{Keys: keyspace.Range{First: 0, Last: 99}, Fence: composeFence(7, 0)}})
+		assert.Assert(t, offer.Hold <= rig.g.keys.grantDuration())
 		assert.Assert(t, rig.g.keys.holds("i-1", 5, steady.Reading()))
 		assert.Assert(t, !rig.g.keys.holds("i-1", 100, steady.Reading()))
 		assert.Equal(t, len(rig.holder.granted()), 0, "the back end is not called")
-		// No report is answered any more: the lease ends, and nothing is renewed.
+		// No further report is answered: the lease ends, and nothing is renewed.
 		time.Sleep(8 * time.Second)
 		assert.Assert(t, rig.beat(t, "i-1", nil) == nil)
 		assert.Assert(t, !rig.g.keys.holds("i-1", 5, steady.Reading()))
 	})
 }
 
-// The time counts from the sending of the heartbeat, at the latest its arrival,
-// on a clock that may run two parts in a hundred slow.
+// The duration counts from the sending of the heartbeat, at the latest from its arrival, on a
+// clock that may run 2 % slow.
 func TestAnOfferNeverLastsLongerThanTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
@@ -90,45 +90,45 @@
 		rig.sequence = 9
 		assert.Assert(t, rig.beat(t, "i-1", nil) != nil)
 		for _, late := range []uint64{10, 9, 3} {
-			assert.Assert(t, rig.beatWith(t, "i-1", late, nil, nil) == nil, "sequence %d", late)
+			assert.Assert(t, rig.heartbeatWith(t, "i-1", late, nil, nil) == nil, "sequence %d", late)
 		}
-		assert.Assert(t, rig.g.keys.holds("i-1", 5, steady.Reading()), "what a late heartbeat lacks is not lost")
+		assert.Assert(t, rig.g.keys.holds("i-1", 5, steady.Reading()), "ranges that a late heartbeat lacks stay held")
 	})
 }
 
 func TestKeysAreGivenUpOnceTheBackEndNamesThemNoMore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
-		rig.g.config.KeyHold = 5 * time.Second // their time is not over
+		rig.g.config.KeyHold = 5 * time.Second // the grants don't expire during the test
 		rig.lease(held(0, 99), nil)
 		rig.beat(t, "i-1", nil)
 		time.Sleep(time.Second)
-		fence := compose(7, 0)
+		fence := composeFence(7, 0)
 		rig.beat(t, "i-1", heldAs(0, 99, fence))
 		time.Sleep(time.Second)
 		rig.lease(held(0, 39), asked(40, 99))
 		assert.Assert(t, rig.g.keys.holds("i-1", 50, steady.Reading()), "served until the back end is told")
-		// A heartbeat that was under way does not name them: it has not seen the
-		// answer that takes them.
+		// A heartbeat that was sent before does not name them: its sender has not received the
+		// answer that omits them.
 		offer := rig.beat(t, "i-1", heldAs(0, 39, fence))
 		assert.Equal(t, len(offer.Held), 1)
 		assert.Assert(t, !rig.g.keys.holds("i-1", 50, steady.Reading()))
 		assert.Equal(t, len(rig.g.keys.promises(0)), 0)
-		// It still works on some of them.
+		// It still serves requests for some of them.
 		rig.beat(t, "i-1", append(heldAs(0, 39, fence), heldAs(90, 99, fence)...))
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
 		assert.Equal(t, len(rig.g.keys.promises(0)), 0)
 		rig.beat(t, "i-1", heldAs(0, 39, fence), FreedRange{keyspace.Range{First: 40, Last: 99}, "left"})
-		promises := rig.g.keys.promises(0)
-		assert.Equal(t, len(promises), 1)
-		assert.Equal(t, promises[0].Handover, "left")
+		released := rig.g.keys.promises(0)
+		assert.Equal(t, len(released), 1)
+		assert.Equal(t, released[0].Handover, "left")
 	})
 }
 
-// An answer that offered a range may still be on its way when a later one left it
-// out; the back end takes it as long as it waits for it.
-func TestKeysAreNotGivenUpWhileAnOlderAnswerMayStillBeTaken(t *testing.T) {
+// An answer that offered a range may still be in flight when a later one omits it; the back
+// end accepts it for as long as it waits for it.
+func TestKeysAreNotReleasedWhileAnOlderAnswerMayStillBeAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
 		time.Sleep(2 * answerVoid)
@@ -138,7 +138,7 @@
 		rig.lease(held(0, 39), asked(40, 99))
 		rig.beat(t, "i-1", nil)
 		time.Sleep(100 * time.Millisecond)
-		rig.beat(t, "i-1", heldAs(0, 39, compose(7, 0)))
+		rig.beat(t, "i-1", heldAs(0, 39, composeFence(7, 0)))
 		assert.Equal(t, len(rig.g.keys.promises(0)), 0)
 		time.Sleep(answerVoid - steady.Elapsed(offered) - time.Millisecond)
 		synctest.Wait()
@@ -149,8 +149,8 @@
 	})
 }
 
-// Where no heartbeat comes any more, the time itself proves that keys are free.
-func TestKeysOfASilentBackEndAreGivenUpWhenTheirTimeIsOver(t *testing.T) {
+// If no heartbeats arrive any more, the keys are free once their grant has expired.
+func TestKeysOfASilentBackEndAreReleasedWhenTheirGrantExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
 		time.Sleep(10 * time.Second)
@@ -169,9 +169,9 @@
 	})
 }
 
-// A back end that has seen a higher fence on a key does not take a range. The
-// same fence is not offered over and over, and requests go there no more.
-func TestARangeThatIsNotTakenIsOfferedUnderAHigherFence(t *testing.T) {
+// A back end that has seen a higher fence on a key does not accept a range. The same fence
+// must not be offered repeatedly, and no requests are sent there.
+func TestARangeThatIsNotAcceptedIsOfferedUnderAHigherFence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
 		rig.lease(held(0, 99), nil)
@@ -186,26 +186,27 @@
 		}
 		rig.lease(held(0, 99), nil)
 		offer := rig.beat(t, "i-1", heldAs(0, 99, before))
-		assert.Equal(t, offer.Held[0].Fence, before, "taken: renewed under the same fence")
+		assert.Equal(t, offer.Held[0].Fence, before, "accepted: renewed under the same fence")
 		assert.Assert(t, rig.g.keys.holds("i-1", 5, steady.Reading()))
 	})
 }
 
-// A gateway that has started anew has no lease, but hears what its back end holds.
-func TestAGatewayStartedAnewServesWhatItsBackEndNames(t *testing.T) {
+// A gateway that has restarted has no lease, but its back end's heartbeats name what the back
+// end holds.
+func TestARestartedGatewayServesTheRangesThatItsBackEndNames(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
 		rig.g.keys.take(&fleetwire.Lease{Instance: "i-1"}, rig.epoch)
-		assert.Assert(t, rig.beat(t, "i-1", heldAs(0, 99, compose(7, 0))) == nil)
+		assert.Assert(t, rig.beat(t, "i-1", heldAs(0, 99, composeFence(7, 0))) == nil)
 		assert.Assert(t, rig.g.keys.holds("i-1", 5, steady.Reading()))
 		assert.Assert(t, !rig.g.keys.holds("i-1", 100, steady.Reading()))
-		time.Sleep(2 * (DefaultHeartbeatInterval + reportedSlack))
+		time.Sleep(2 * (DefaultHeartbeatInterval + reportedRangeGrace))
 		assert.Assert(t, !rig.g.keys.holds("i-1", 5, steady.Reading()))
 	})
 }
 
-// A process that has started anew can't know the answers of the last one.
-func TestAnAnswerOfTheLastProcessMayStillBeTaken(t *testing.T) {
+// A restarted process does not know the answers that the previous one sent.
+func TestKeysAreNotReleasedWhileAnAnswerOfAnEarlierProcessMayBeAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
 		rig.lease(nil, asked(0, 99))
@@ -218,18 +219,18 @@
 	})
 }
 
-func TestTheNextLifeIsOfferedNothingOfTheLast(t *testing.T) {
+func TestTheNextIncarnationIsNotOfferedKeysOfTheFormerOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
 		rig.lease(held(0, 99), nil)
 		rig.beat(t, "i-1", nil)
 		assert.Assert(t, rig.beat(t, "i-2", nil) == nil)
 		assert.Assert(t, !rig.g.keys.holds("i-2", 5, steady.Reading()))
-		assert.Assert(t, rig.beat(t, "i-1", heldAs(0, 99, compose(7, 0))) == nil, "a word of the last life")
+		assert.Assert(t, rig.beat(t, "i-1", heldAs(0, 99, composeFence(7, 0))) == nil, "a heartbeat of the former incarnation")
 	})
 }
 
-func TestKeysThatMakeNoSenseAreRefusedAndChangeNothing(t *testing.T) {
+func TestInvalidKeyRangesAreRefusedAndChangeNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
 		rig.lease(held(0, 99), nil)
@@ -240,47 +241,47 @@
 			{Freed: []FreedRange{{Keys: keyspace.Range{First: 0, Last: keyspace.LastKey + 1}}}},
 			{Freed: []FreedRange{{Keys: keyspace.Range{First: 9, Last: 8}}}},
 		}
-		for i, told := range refused {
-			told.ID, told.Service, told.Slots, told.State, told.Sequence = "i-1", "s", 4, fleetwire.InstanceReady, 100
-			_, err := rig.g.Heartbeat(told)
+		for i, registration := range refused {
+			registration.ID, registration.Service, registration.Slots, registration.State, registration.Sequence = "i-1", "s", 4, fleetwire.InstanceReady, 100
+			_, err := rig.g.Heartbeat(registration)
 			var wrong *KeyReportError
 			assert.Assert(t, errors.As(err, &wrong), "case %d: %v", i, err)
 		}
-		// What was never held or given is passed over.
-		rig.beat(t, "i-1", append(heldAs(0, 99, compose(7, 0)), heldAs(200, 300, 12345)...), FreedRange{keyspace.Range{First: 400, Last: 500}, "x"})
+		// Ranges that were never held or granted are ignored.
+		rig.beat(t, "i-1", append(heldAs(0, 99, composeFence(7, 0)), heldAs(200, 300, 12345)...), FreedRange{keyspace.Range{First: 400, Last: 500}, "x"})
 		assert.Assert(t, rig.g.keys.holds("i-1", 5, steady.Reading()))
 		assert.Assert(t, !rig.g.keys.holds("i-1", 250, steady.Reading()), "not offered")
 		assert.Equal(t, len(rig.g.keys.promises(0)), 0)
 	})
 }
 
-// A range that is held anew may still be worked on by what began when it was held
-// before: both are named.
-func TestARangeMayBeNamedTwice(t *testing.T) {
+// Requests that began under an earlier grant of a range may still be running when the range is
+// granted again: the heartbeat names both.
+func TestAHeartbeatMayNameARangeUnderTwoFences(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
 		rig.lease(held(0, 99), nil)
 		rig.beat(t, "i-1", nil)
-		offer := rig.beat(t, "i-1", append(heldAs(0, 99, compose(7, 0)), heldAs(50, 99, compose(6, 0))...))
+		offer := rig.beat(t, "i-1", append(heldAs(0, 99, composeFence(7, 0)), heldAs(50, 99, composeFence(6, 0))...))
 		assert.Equal(t, len(offer.Held), 1)
 		assert.Assert(t, rig.g.keys.holds("i-1", 60, steady.Reading()))
 	})
 }
 
-// What was let go before a range was held again is no handover of its next
-// release.
-func TestAnOldHandoverIsNotGivenOn(t *testing.T) {
+// Handover data that was left before a range was granted again must not be passed on at its
+// next release.
+func TestAnOldHandoverIsNotPassedOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
 		time.Sleep(2 * answerVoid)
 		rig.lease(held(0, 39), nil)
-		rig.beat(t, "i-1", heldAs(0, 39, compose(7, 0)), FreedRange{keyspace.Range{First: 40, Last: 99}, "old"})
+		rig.beat(t, "i-1", heldAs(0, 39, composeFence(7, 0)), FreedRange{keyspace.Range{First: 40, Last: 99}, "old"})
 		rig.lease(held(0, 99), nil)
-		rig.beat(t, "i-1", heldAs(0, 39, compose(7, 0)))
+		rig.beat(t, "i-1", heldAs(0, 39, composeFence(7, 0)))
 		time.Sleep(2 * answerVoid)
 		rig.lease(held(0, 39), asked(40, 99))
-		rig.beat(t, "i-1", heldAs(0, 99, compose(7, 0)))
-		rig.beat(t, "i-1", heldAs(0, 39, compose(7, 0)))
+		rig.beat(t, "i-1", heldAs(0, 99, composeFence(7, 0)))
+		rig.beat(t, "i-1", heldAs(0, 39, composeFence(7, 0)))
 		time.Sleep(2 * answerVoid)
 		synctest.Wait()
 		assert.Equal(t, len(rig.g.keys.promises(0)), 1)
@@ -288,7 +289,7 @@
 	})
 }
 
-// A later configuration may change how a service's back ends get their keys.
+// A later configuration may change how the keys of a service are granted.
 func TestAServiceChangesHowItsKeysAreGranted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newKeyRig(t)
@@ -301,7 +302,7 @@
 		assert.Assert(t, offer.Held[0].Fence >= called[len(called)-1].Fence)
 		assert.Assert(t, rig.g.keys.holds("i-1", 5, steady.Reading()))
 		time.Sleep(3 * time.Second)
-		assert.Equal(t, len(rig.holder.granted()), len(called), "called no more")
+		assert.Equal(t, len(rig.holder.granted()), len(called), "no further calls")
 		rig.setGrants(routeconfig.GrantByCall, 3)
 		rig.lease(held(0, 99), nil)
 		assert.Assert(t, len(rig.holder.granted()) > len(called))
@@ -309,7 +310,7 @@
 	})
 }
 
-// An answer must stay below what a back end reads.
+// An answer must stay below the size that a back end reads.
 func TestAnOfferHasABoundedNumberOfRanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
@@ -320,13 +321,13 @@
 		rig.lease(many, nil)
 		offer := rig.beat(t, "i-1", nil)
 		assert.Equal(t, len(offer.Held), MaxOfferedRanges)
-		assert.Assert(t, !rig.g.keys.holds("i-1", 399, steady.Reading()), "what is not offered is not asked for")
+		assert.Assert(t, !rig.g.keys.holds("i-1", 399, steady.Reading()), "no requests for ranges that are not offered")
 	})
 }
 
-// refenced is a lease that lists a range under a higher fence than before, as where
-// ranges were joined, and asks for a part of it at once.
-func refenced(rig *keyRig) {
+// leaseUnderHigherFence applies a lease that lists a range under a higher fence than before,
+// as after ranges were joined, and that asks for the release of a part of it at once.
+func leaseUnderHigherFence(rig *keyRig) {
 	joined := fleetwire.Held{Keys: keyspace.Range{First: 0, Last: 199}, Fence: 9}
 	part := fleetwire.Held{Keys: keyspace.Range{First: 40, Last: 49}, Fence: 9, MayCover: true}
 	rig.lease([]fleetwire.Held{
@@ -334,35 +335,35 @@
 	}, []fleetwire.Held{part})
 }
 
-// A hunted day of caixarapida-pt (trouble-3, seed 999651665299) had two back ends
-// with one range for 627 ms. A part of a range that had just got a higher fence was
-// asked for before it was offered under that; what was held under the fence before
-// was not counted.
+// In a simulated day of caixarapida-pt (trouble-3, seed 999651665299) two back ends held one
+// range for 627 ms. The release of a part of a range that had just got a higher fence was
+// requested before the range was offered under that fence, and the grant under the earlier
+// fence was not counted.
 func TestARangeHeldUnderAnEarlierFenceIsNotGivenUpAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
 		time.Sleep(20 * time.Second)
 		rig.lease(held(0, 99), nil)
 		rig.beat(t, "i-1", nil)
-		rig.beat(t, "i-1", heldAs(0, 99, compose(7, 0)))
-		refenced(rig)
+		rig.beat(t, "i-1", heldAs(0, 99, composeFence(7, 0)))
+		leaseUnderHigherFence(rig)
 		assert.Equal(t, len(rig.g.keys.promises(0)), 0, "the back end still holds it")
-		rig.beat(t, "i-1", heldAs(0, 99, compose(7, 0)))
+		rig.beat(t, "i-1", heldAs(0, 99, composeFence(7, 0)))
 		assert.Equal(t, len(rig.g.keys.promises(0)), 0)
-		rig.beat(t, "i-1", append(heldAs(0, 39, compose(9, 0)), heldAs(50, 199, compose(9, 0))...))
+		rig.beat(t, "i-1", append(heldAs(0, 39, composeFence(9, 0)), heldAs(50, 199, composeFence(9, 0))...))
 		time.Sleep(2 * answerVoid)
 		synctest.Wait()
 		assert.Equal(t, len(rig.g.keys.promises(0)), 1)
 	})
 }
 
-func TestARangeCalledUnderAnEarlierFenceIsNotGivenUpAtOnce(t *testing.T) {
+func TestARangeGrantedByCallUnderAnEarlierFenceIsNotReleasedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newKeyRig(t)
 		time.Sleep(20 * time.Second)
 		rig.lease(held(0, 99), nil)
 		rig.holder.setRefuse(errors.New("no answer"))
-		refenced(rig)
+		leaseUnderHigherFence(rig)
 		assert.Equal(t, len(rig.g.keys.promises(0)), 0, "the back end still holds it")
 		rig.holder.setRefuse(nil)
 		time.Sleep(time.Second)
--- a/internal/gateway/keylost.go
+++ b/internal/gateway/keylost.go
@@ -6,12 +6,13 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// A back end that can't be reached gets nothing new, and may live: a process that stops as
-// planned closes its listener first. Its keys are free once their time is over.
+// An unreachable back end gets no new requests, but its process may still run: a process that
+// stops as planned closes its listener first. Its keys become free once every grant has
+// expired.
 
-// freeIn returns in how long the keys of an instance that can't be reached may have another
-// owner; ok is false where that is not known.
-func (k *keyKeeper) freeIn(instance string, now time.Time) (left time.Duration, ok bool) {
+// timeUntilFree returns the time until the keys of an unreachable instance may be assigned to
+// another owner; ok is false if that is not known.
+func (k *keyKeeper) timeUntilFree(instance string, now time.Time) (remaining time.Duration, ok bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if instance != k.instance || now.Before(k.fences.unreadUntil()) {
@@ -27,35 +28,37 @@
 	return until.Sub(now), true
 }
 
-// refuseUnadmitted refuses a request for an instance that gets nothing new. Where that can't
-// be reached and holds the request's key, it says when the key may have another owner.
+// refuseUnadmitted refuses a request for an instance that gets no new requests. If the
+// instance is unreachable and holds the request's key, the refusal says when the key may have
+// another owner.
 func (g *Gateway) refuseUnadmitted(request *forwardRequest, now time.Time) *forwardResult {
 	if !request.HasKey || !g.registry.unreachable() {
 		return notRun(reasonNotAdmitted)
 	}
-	left, ok := g.keys.freeIn(request.Instance, now)
+	remaining, ok := g.keys.timeUntilFree(request.Instance, now)
 	if !ok {
 		return notRun(reasonNotAdmitted)
 	}
 	refusal := notRun(reasonOwnerLost)
-	refusal.RetryAfter = left + handOverTime
+	refusal.RetryAfter = remaining + handOverTime
 	return refusal
 }
 
-// freeUnreachable tells the leader, once it is so, that a back end that can't be reached holds
-// nothing any more. Leases that were asked for before give it nothing from then on, since the
-// leader may give the keys away. The caller has the mutex.
-func (k *keyKeeper) freeUnreachable(now time.Time) {
-	over := k.timeOver(now) && !now.Before(k.fences.unreadUntil())
-	over = over && (k.answered || k.nothingUnread(now))
+// reportUnreachableFree tells the leader that an unreachable back end holds no keys, once that
+// is certain. The leader may then give the keys to another owner, so leases requested before
+// are ignored. The caller has the mutex.
+func (k *keyKeeper) reportUnreachableFree(now time.Time) {
+	free := k.allGrantsExpired(now) && !now.Before(k.fences.unreadUntil())
+	free = free && (k.everConfirmed || k.noUnreadOrders(now))
 	for _, held := range k.wanted {
-		over = over && k.answeredHere(held, now)
+		free = free && k.refusesEarlierProcesses(held, now)
 	}
-	if !over || !k.gateway.registry.free(k.instance) {
+	if !free || !k.gateway.registry.markReleased(k.instance) {
 		return
 	}
-	// Not now: this goroutine may have stood still since it read that.
-	k.wanted, k.leaseUntil, k.leaseFrom = nil, time.Time{}, steady.Reading()
-	k.gateway.keysFree(k.instance, allKeys, proofTimeOver)
+	// Read the clock again instead of using now: this goroutine may have been stalled since
+	// now was read.
+	k.wanted, k.leaseUntil, k.ignoreLeasesBefore = nil, time.Time{}, steady.Reading()
+	k.gateway.recordKeysFree(k.instance, allKeys, proofExpired)
 	k.gateway.session.report()
 }
--- a/internal/gateway/keynews.go
+++ b/internal/gateway/keynews.go
@@ -7,68 +7,67 @@
 	"github.com/quartzdock/quartzdock/internal/fleetwire"
 )
 
-// A back end that gets its keys by heartbeat hears of a move with the answer to its next
-// heartbeat. Where nothing has changed, the answer is held back for a while, so that what
-// changes meanwhile reaches the back end at once: the owner that gives keys up and the one
-// that gets them would otherwise be told half an interval late each, in which the keys'
-// requests wait.
+// A back end that gets its keys by heartbeat learns of a key move from the answer to its next
+// heartbeat. If nothing has changed, the answer is delayed for a while, so that a change in
+// the meantime reaches the back end at once. Otherwise the owner that releases the keys and
+// the one that gets them would each be told half an interval late, and requests for the keys
+// would wait for that time.
 
-// How an answer to a heartbeat came to leave.
+// Why an answer to a heartbeat was sent.
 const (
-	answeredAtOnce    = "at-once"
-	answeredWithNews  = "news"
-	answeredAfterHold = "held"
+	answeredAtOnce     = "at-once"
+	answeredOnChange   = "news"
+	answeredAtDeadline = "held"
 )
 
-// renewalReserve is what has to be left of the keys' time as an answer leaves.
-const renewalReserve = 600 * time.Millisecond
+// minRemainingAtAnswer is the least remaining time of the granted keys when an answer is sent.
+const minRemainingAtAnswer = 600 * time.Millisecond
 
-// answerHold is for how long the answer to a heartbeat may be held back. The caller has the
+// maxAnswerDelay is how long the answer to a heartbeat may be delayed. The caller has the
 // mutex.
-func (k *keyKeeper) answerHold(now time.Time) time.Duration {
+func (k *keyKeeper) maxAnswerDelay(now time.Time) time.Duration {
 	hold := min(k.gateway.config.AnswerHold, k.gateway.config.HeartbeatInterval/2)
 	for _, wanted := range k.wanted {
 		if sent, ok := k.grants[heldKey{wanted.Keys, wanted.Fence}]; ok {
-			hold = min(hold, sent.until.Sub(now)-renewalReserve)
+			hold = min(hold, sent.until.Sub(now)-minRemainingAtAnswer)
 		}
 	}
 	return hold
 }
 
-// awaitNews returns once there is something to tell the back end by the answer to a
-// heartbeat, or when the answer has to leave, or a later heartbeat has come; and which of
-// these it was.
-func (k *keyKeeper) awaitNews(beat uint64, held []HeldRange, arrived time.Time) (waited string) {
+// awaitChange returns once the answer to a heartbeat has something to tell the back end, the
+// answer has to be sent, or a later heartbeat has arrived; and which of these it was.
+func (k *keyKeeper) awaitChange(number uint64, held []HeldRange, arrived time.Time) (reason string) {
 	k.mutex.Lock()
-	timer := time.NewTimer(k.answerHold(arrived))
+	timer := time.NewTimer(k.maxAnswerDelay(arrived))
 	k.mutex.Unlock()
 	defer timer.Stop()
-	for waited = answeredAtOnce; ; waited = answeredWithNews {
+	for reason = answeredAtOnce; ; reason = answeredOnChange {
 		k.mutex.Lock()
 		changed := k.changed
-		nothing := beat == k.heartbeats && k.longestHold(arrived) >= leastHold && k.agrees(held)
+		unchanged := number == k.heartbeatCount && k.maxGrantDuration(arrived) >= minGrantDuration && k.matchesLease(held)
 		k.mutex.Unlock()
-		if !nothing {
-			return waited
+		if !unchanged {
+			return reason
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			return answeredAfterHold
+			return answeredAtDeadline
 		}
 	}
 }
 
-// agrees says that a back end holds what the lease lists, and nothing else. The caller has
+// matchesLease reports whether a back end holds exactly what the lease lists. The caller has
 // the mutex.
-func (k *keyKeeper) agrees(held []HeldRange) bool {
+func (k *keyKeeper) matchesLease(held []HeldRange) bool {
 	for _, wanted := range k.wanted {
 		if !covered(wanted.Keys, held) {
 			return false
 		}
 	}
 	for _, row := range held {
-		owner, _ := decompose(row.Fence)
+		owner, _ := decomposeFence(row.Fence)
 		listed := func(wanted fleetwire.Held) bool { return wanted.Fence == owner && wanted.Keys.Contains(row.Keys) }
 		if !slices.ContainsFunc(k.wanted, listed) {
 			return false
--- a/internal/gateway/keyproof.go
+++ b/internal/gateway/keyproof.go
@@ -2,28 +2,28 @@
 
 import "github.com/quartzdock/quartzdock/internal/keyspace"
 
-// proof is what it rests on that keys may go to another owner.
-type proof string
+// freeProof says why keys may be assigned to another owner.
+type freeProof string
 
-// Proofs.
+// Values of freeProof.
 const (
-	// proofTimeOver: the time of all that was granted has run out.
-	proofTimeOver proof = "time-over"
-	// proofEarlierOver: the same of what lives before the instance, or earlier processes of
-	// this gateway, were granted.
-	proofEarlierOver proof = "earlier-over"
-	// proofReleaseAnswered: the back end that held them has answered their release.
-	proofReleaseAnswered proof = "release-answered"
-	// proofNamedNoMore: its heartbeats name them no more, and no answer that offered them
-	// can be taken.
-	proofNamedNoMore proof = "named-no-more"
+	// proofExpired: every grant has expired.
+	proofExpired freeProof = "time-over"
+	// proofEarlierExpired: every grant to earlier incarnations of the instance, or by earlier
+	// processes of this gateway, has expired.
+	proofEarlierExpired freeProof = "earlier-over"
+	// proofReleaseAnswered: the back end that held the keys has answered their release.
+	proofReleaseAnswered freeProof = "release-answered"
+	// proofNoLongerReported: the back end's heartbeats no longer name the keys, and it can't
+	// accept an answer that offered them any more.
+	proofNoLongerReported freeProof = "named-no-more"
 )
 
-// allKeys is the range of all that an instance had.
+// allKeys is the range of all keys that an instance may have held.
 var allKeys = keyspace.Range{First: 0, Last: keyspace.LastKey}
 
-// keysFree counts and logs that the leader is told that keys of an instance are free.
-func (g *Gateway) keysFree(instance string, keys keyspace.Range, rests proof) {
-	g.metrics.freed.WithLabelValues(string(rests)).Inc()
-	g.config.Log.Info("keys are free", "instance", instance, "first", keys.First, "last", keys.Last, "proof", string(rests))
+// recordKeysFree counts and logs that the leader is told that keys of an instance are free.
+func (g *Gateway) recordKeysFree(instance string, keys keyspace.Range, proof freeProof) {
+	g.metrics.freed.WithLabelValues(string(proof)).Inc()
+	g.config.Log.Info("keys are free", "instance", instance, "first", keys.First, "last", keys.Last, "proof", string(proof))
 }
--- a/internal/gateway/keyreleases.go
+++ b/internal/gateway/keyreleases.go
@@ -9,107 +9,108 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// endOver promises the ranges that the back end surely holds no more, because their
-// time is over.
-func (k *keyKeeper) endOver(now time.Time) {
-	for _, running := range k.releases {
-		if running.done || running.inFlight || !k.over(running.held, now) || k.fences.isOpen(running.held.Keys, running.held.Fence) {
+// completeExpiredReleases completes the releases of ranges that the back end certainly no
+// longer holds because every grant of them has expired.
+func (k *keyKeeper) completeExpiredReleases(now time.Time) {
+	for _, pending := range k.releases {
+		if pending.done || pending.inFlight || !k.grantsExpired(pending.held, now) || k.fences.hasUnanswered(pending.held.Keys, pending.held.Fence) {
 			continue
 		}
-		if !k.answeredHere(running.held, now) {
+		if !k.refusesEarlierProcesses(pending.held, now) {
 			continue
 		}
-		running.done = true
-		k.gateway.keysFree(k.instance, running.held.Keys, proofTimeOver)
+		pending.done = true
+		k.gateway.recordKeysFree(k.instance, pending.held.Keys, proofExpired)
 		k.gateway.session.report()
 	}
 }
 
-// startReleases takes back what was asked for. No grant of those keys, and no answer to a
-// heartbeat that offered them, may be on its way meanwhile.
+// startReleases sends the releases that the controller asked for. While one is sent, no grant
+// of its keys and no answer to a heartbeat that offered them may be in flight.
 func (k *keyKeeper) startReleases(ctx context.Context, now time.Time) {
-	for _, running := range k.releases {
-		if running.done || running.inFlight || now.Before(running.nextAt) || k.granting(running.held) || now.Before(k.answersVoid(running.held)) {
+	for _, pending := range k.releases {
+		if pending.done || pending.inFlight || now.Before(pending.nextAt) || k.grantInFlight(pending.held) || now.Before(k.answersExpireAt(pending.held)) {
 			continue
 		}
-		if k.fences.isOpen(running.held.Keys, running.held.Fence) || !k.everConfirmed(running.held) {
-			k.cover(ctx, running, now)
+		if k.fences.hasUnanswered(pending.held.Keys, pending.held.Fence) || !k.confirmedGrantOf(pending.held) {
+			k.supersede(ctx, pending, now)
 			continue
 		}
-		running.inFlight = true
-		k.taken = append(k.taken, taken{heldKey{running.held.Keys, running.held.Fence}, now})
-		go k.takeBack(ctx, k.instance, running, compose(running.held.Fence, k.fences.used[running.held.Fence]))
+		pending.inFlight = true
+		k.releasedRanges = append(k.releasedRanges, releasedRange{heldKey{pending.held.Keys, pending.held.Fence}, now})
+		go k.sendRelease(ctx, k.instance, pending, composeFence(pending.held.Fence, k.fences.subFences[pending.held.Fence]))
 	}
 }
 
-// everConfirmed says that the back end has confirmed a grant of all of a range
-// under its fence, so that it refuses those of earlier processes.
-func (k *keyKeeper) everConfirmed(held fleetwire.Held) bool {
+// confirmedGrantOf reports whether the back end has confirmed a grant of all of a range under
+// its fence, so that it refuses those of earlier processes.
+func (k *keyKeeper) confirmedGrantOf(held fleetwire.Held) bool {
 	for key, sent := range k.grants {
-		if key.fence == held.Fence && key.keys.Contains(held.Keys) && !sent.confirmed.IsZero() {
+		if key.fence == held.Fence && key.keys.Contains(held.Keys) && !sent.confirmedAt.IsZero() {
 			return true
 		}
 	}
 	return false
 }
 
-// cover grants a range that is to be given up once more, under a higher fence
-// than those of the grants that may still be taken.
-func (k *keyKeeper) cover(ctx context.Context, running *release, now time.Time) {
-	key := heldKey{running.held.Keys, running.held.Fence}
+// supersede grants a range that is to be released once more, under a higher fence than those
+// of the unanswered grants, so that the back end refuses these if they arrive late.
+func (k *keyKeeper) supersede(ctx context.Context, pending *pendingRelease, now time.Time) {
+	key := heldKey{pending.held.Keys, pending.held.Fence}
 	sent, ok := k.grants[key]
 	if !ok {
-		sent = &grant{Held: running.held}
+		sent = &grant{Held: pending.held}
 		k.grants[key] = sent
 	}
-	const longest = leastHold + leastHold/10 + grantTimeout
-	if !now.Before(sent.nextAt) && now.Add(longest).Before(running.coverUntil) {
-		k.start(ctx, sent, grantTerms{longest: leastHold, until: running.coverUntil})
+	const longest = minGrantDuration + minGrantDuration/10 + grantTimeout
+	if !now.Before(sent.nextAt) && now.Add(longest).Before(pending.supersedeUntil) {
+		k.startGrant(ctx, sent, grantLimits{maxDuration: minGrantDuration, endsBefore: pending.supersedeUntil})
 	}
 }
 
-func (k *keyKeeper) granting(held fleetwire.Held) bool {
+func (k *keyKeeper) grantInFlight(held fleetwire.Held) bool {
 	for key, sent := range k.grants {
-		if sent.bound.Sending() && key.concerns(held) {
+		if sent.bound.Sending() && key.mayHoldKeysOf(held) {
 			return true
 		}
 	}
 	return false
 }
 
-// over reports whether the back end surely holds none of a range any more,
-// whatever this process or an earlier one has granted.
-func (k *keyKeeper) over(held fleetwire.Held, now time.Time) bool {
+// grantsExpired reports whether every grant that may let the back end hold keys of a range, by
+// this process or an earlier one, has expired.
+func (k *keyKeeper) grantsExpired(held fleetwire.Held, now time.Time) bool {
 	for key, sent := range k.grants {
-		if key.concerns(held) && !sent.bound.Over(now) {
+		if key.mayHoldKeysOf(held) && !sent.bound.Over(now) {
 			return false
 		}
 	}
-	return k.earlierProcessOver(now)
+	return k.earlierProcessExpired(now)
 }
 
-func (k *keyKeeper) takeBack(ctx context.Context, instance string, running *release, fence keyspace.Fence) {
+func (k *keyKeeper) sendRelease(ctx context.Context, instance string, pending *pendingRelease, fence keyspace.Fence) {
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
-	handover, err := k.gateway.config.Keys.Release(ctx, ReleaseOrder{Instance: instance, Keys: running.held.Keys, Fence: fence})
+	handover, err := k.gateway.config.Keys.Release(ctx, ReleaseOrder{Instance: instance, Keys: pending.held.Keys, Fence: fence})
 	k.gateway.metrics.release(err)
 	k.mutex.Lock()
-	running.inFlight = false
-	if err == nil && (instance != k.instance || k.yielding) {
-		// Another life is heard at the address: it may be the one that has answered.
+	pending.inFlight = false
+	if err == nil && (instance != k.instance || k.grantsStopped) {
+		// Another incarnation has sent a heartbeat from the address: the answer may be its
+		// own.
 		err = errOtherInstance
 	}
 	if err != nil {
-		running.nextAt = steady.Reading().Add(releaseAgain)
+		pending.nextAt = steady.Reading().Add(releaseRetryDelay)
 	} else {
-		running.done = true
-		running.handover = handover
+		pending.done = true
+		pending.handover = handover
 	}
 	k.mutex.Unlock()
 	if err != nil {
-		k.gateway.config.Log.Info("release not confirmed", "first", running.held.Keys.First, "last", running.held.Keys.Last, "error", err)
+		k.gateway.config.Log.Info("release not confirmed", "first", pending.held.Keys.First, "last", pending.held.Keys.Last, "error", err)
 		return
 	}
-	k.gateway.keysFree(instance, running.held.Keys, proofReleaseAnswered)
+	k.gateway.recordKeysFree(instance, pending.held.Keys, proofReleaseAnswered)
 	k.gateway.session.report()
 }
--- a/internal/gateway/keys.go
+++ b/internal/gateway/keys.go
@@ -14,93 +14,96 @@
 )
 
 const (
-	// renewals is how often a grant is renewed within its time, so that a few may be lost.
+	// renewals is the number of renewals within the duration of a grant, so that a few may be
+	// lost.
 	renewals = 4
-	// regrantAfter is the pause after a grant without an answer.
-	regrantAfter = 150 * time.Millisecond
-	// leastHold is the shortest grant worth sending.
-	leastHold = 200 * time.Millisecond
-	// clockDrift bounds how slowly a back end's clock may run, as a share, and
-	// how much faster a controller's runs than this process's.
+	// grantRetryDelay is the pause before a grant that failed is sent again.
+	grantRetryDelay = 150 * time.Millisecond
+	// minGrantDuration is the shortest grant worth sending.
+	minGrantDuration = 200 * time.Millisecond
+	// clockDrift bounds how slowly a back end's clock may run, as a share, and how much faster
+	// a controller's clock may run than this process's.
 	clockDrift = keyhold.ClockDrift
-	// processorPause is for how long a processor whose share is a quota may stand
-	// still: the rest of the scheduler's period of 100 ms (Linux's default of
-	// cpu.cfs_period_us).
-	processorPause = 100 * time.Millisecond
-	// transit is by how much later than it was sent a grant may arrive, and by how much it
-	// ends before the lease that it rests on. The back end counts from its arrival, and this
-	// process may stand still on the way: with hundreds of processes on a machine, for all
-	// but a second.
+	// cpuQuotaPause is how long a process under a CPU quota may be throttled: the rest of the
+	// scheduler's period of 100 ms (Linux's default of cpu.cfs_period_us).
+	cpuQuotaPause = 100 * time.Millisecond
+	// transit is the longest time between preparing a grant and its arrival at the back end,
+	// and by how much a grant ends before the lease that it rests on. The back end counts the
+	// duration from the arrival, and this process may be stalled before it sends: with
+	// hundreds of processes on one machine, for almost a second.
 	transit      = time.Second
 	grantTimeout = 400 * time.Millisecond
-	// releaseTimeout bounds one call; the back end answers once its work on the
-	// keys has ended.
-	releaseTimeout = 4 * time.Second
-	releaseAgain   = 200 * time.Millisecond
-	keysInterval   = 100 * time.Millisecond
+	// releaseTimeout bounds one release call; the back end answers once its work on the keys
+	// has ended.
+	releaseTimeout    = 4 * time.Second
+	releaseRetryDelay = 200 * time.Millisecond
+	keysInterval      = 100 * time.Millisecond
 )
 
-// heldKey names a range under a fence.
+// heldKey identifies a range of keys granted under an owner's fence.
 type heldKey struct {
 	keys  keyspace.Range
 	fence keyspace.Fence
 }
 
-// concerns says that what was granted for the range may still let the back end hold
-// keys of another one: under its fence, or an earlier one of the same owner.
-func (k heldKey) concerns(held fleetwire.Held) bool {
+// mayHoldKeysOf reports whether a grant of the range may still let the back end hold keys of
+// another one: it has the same fence or an earlier one of the same owner, and overlaps it.
+func (k heldKey) mayHoldKeysOf(held fleetwire.Held) bool {
 	return k.fence <= held.Fence && k.keys.Overlaps(held.Keys)
 }
 
-// grant is what was sent to the back end for one range.
+// grant is the state of what was granted to the back end for one range.
 type grant struct {
 	fleetwire.Held
-	// until is until when the back end surely holds the range; zero where it never
-	// confirmed. bound is when it surely does not any more.
+	// until is the time until which the back end certainly holds the range; zero if it never
+	// confirmed. bound gives the time from which it certainly no longer holds it.
 	until  time.Time
 	bound  keyhold.Bound
 	sentAt time.Time
-	// offeredAt is when an answer to a heartbeat offered it last.
+	// offeredAt is when an answer to a heartbeat last offered the range.
 	offeredAt time.Time
-	// confirmed is when the last confirmed message was sent.
-	confirmed time.Time
-	nextAt    time.Time
-	// overruns says that it may be held beyond the lease, and is to be taken back.
-	overruns bool
-	// sub is the gateway's part of the fence of the last message.
-	sub uint32
-	// untaken counts heartbeats in a row that did not name the range although it
-	// had been offered.
+	// confirmedAt is when the last confirmed grant was sent.
+	confirmedAt time.Time
+	nextAt      time.Time
+	// outlastsLease is set if the range may be held after the lease ends, and has to be
+	// revoked.
+	outlastsLease bool
+	// subFence is the gateway's own part of the last fence that was sent (see composeFence).
+	subFence uint32
+	// untaken counts consecutive heartbeats that did not name the range although it had been
+	// offered.
 	untaken int
 }
 
-// release is a range being taken back.
-type release struct {
+// pendingRelease is the state of a range that the controller has asked to be released.
+type pendingRelease struct {
 	held fleetwire.Held
-	// coverUntil is the end of the last lease that allows to cover the range.
-	coverUntil time.Time
-	inFlight   bool
-	nextAt     time.Time
-	done       bool
-	handover   string
-	// leftOutAt is when the first answer to a heartbeat left the range out, and
-	// letGo says that the back end has named it no more since.
-	leftOutAt time.Time
-	letGo     bool
+	// supersedeUntil is the end of the last lease that allows a superseding grant of the range
+	// (fleetwire.Held.MayCover).
+	supersedeUntil time.Time
+	inFlight       bool
+	nextAt         time.Time
+	done           bool
+	handover       string
+	// omittedAt is when an answer to a heartbeat first omitted the range, and droppedByBackend
+	// is set once a later heartbeat no longer names it.
+	omittedAt        time.Time
+	droppedByBackend bool
 }
 
-// taken is a range that was taken back from the back end. Grants sent before do
-// not cover it any more, also where a later lease lists it again.
-type taken struct {
+// releasedRange is a range whose release was sent to the back end. Grants sent before do not
+// cover it any more, even if a later lease lists it again.
+type releasedRange struct {
 	heldKey
-	at time.Time
+	releasedAt time.Time
 }
 
-// takenKept is for how long a taken range matters: longer than any grant.
-const takenKept = 30 * time.Second
+// releasedRangeRetention is how long a released range is remembered: longer than any grant
+// lasts.
+const releasedRangeRetention = 30 * time.Second
 
-// keyKeeper grants the keys of the present lease to the back end and takes back
-// what the controller asks for.
+// keyKeeper grants the keys of the current lease to the back end and releases the keys that
+// the controller asks for.
 type keyKeeper struct {
 	gateway *Gateway
 	wake    chan struct{}
@@ -108,70 +111,74 @@
 
 	mutex    sync.Mutex
 	instance string
-	// answered says that the instance has confirmed a grant of this process.
-	answered   bool
-	leaseUntil time.Time
-	// leaseFrom is from when on a lease must have been asked for.
-	leaseFrom time.Time
-	wanted    []fleetwire.Held
-	grants    map[heldKey]*grant
-	releases  map[heldKey]*release
-	taken     []taken
-	// told has when each promise was told last, on the clock that reports carry.
-	told     map[heldKey]time.Duration
-	fences   fenceLedger
-	reported keyReport
-	// heartbeats counts those that were taken, of any life.
-	heartbeats uint64
-	// toldEarlierOver says that the leader was told that earlier lives hold nothing.
-	toldEarlierOver bool
-	earlier         earlierLives
-	// yielding says that another life waits to take the instance's place: nothing more is
-	// granted.
-	yielding bool
-	// changed is closed when more keys may be held than before.
+	// everConfirmed is set once the instance has confirmed a grant of this process.
+	everConfirmed bool
+	leaseUntil    time.Time
+	// ignoreLeasesBefore is the time after which a lease must have been requested to be
+	// applied.
+	ignoreLeasesBefore time.Time
+	wanted             []fleetwire.Held
+	grants             map[heldKey]*grant
+	releases           map[heldKey]*pendingRelease
+	releasedRanges     []releasedRange
+	// reportedAt has when each range was last reported as released, on the clock of the
+	// reports.
+	reportedAt     map[heldKey]time.Duration
+	fences         fenceTracker
+	fromHeartbeats heartbeatKeys
+	// heartbeatCount counts the accepted heartbeats of all incarnations.
+	heartbeatCount uint64
+	// reportedEarlierExpired is set once the leader was told that earlier incarnations hold
+	// nothing.
+	reportedEarlierExpired bool
+	earlierIncarnations    earlierIncarnationGrants
+	// grantsStopped is set while another incarnation waits to replace the instance: no further
+	// keys are granted.
+	grantsStopped bool
+	// changed is closed and replaced when the leased or granted keys may have changed.
 	changed chan struct{}
 }
 
 func newKeyKeeper(g *Gateway) *keyKeeper {
 	return &keyKeeper{
-		gateway:  g,
-		wake:     make(chan struct{}, 1),
-		started:  steady.Reading(),
-		grants:   map[heldKey]*grant{},
-		releases: map[heldKey]*release{},
-		told:     map[heldKey]time.Duration{},
-		fences:   newFenceLedger(),
-		changed:  make(chan struct{}),
+		gateway:    g,
+		wake:       make(chan struct{}, 1),
+		started:    steady.Reading(),
+		grants:     map[heldKey]*grant{},
+		releases:   map[heldKey]*pendingRelease{},
+		reportedAt: map[heldKey]time.Duration{},
+		fences:     newFenceTracker(),
+		changed:    make(chan struct{}),
 	}
 }
 
-// announce wakes who waits for a key. The caller has the mutex.
-func (k *keyKeeper) announce() {
+// notifyWaiters wakes the callers that wait for a key or for a change of the lease. The caller
+// has the mutex.
+func (k *keyKeeper) notifyWaiters() {
 	close(k.changed)
 	k.changed = make(chan struct{})
 }
 
-// expects says that the back end is about to get a key: the lease lists it, or the
-// controllers have made it the owner.
-func (k *keyKeeper) expects(instance string, key keyspace.Key) bool {
+// willReceive reports whether the back end is about to get a key: the lease lists it, or the
+// controllers have assigned it to the back end.
+func (k *keyKeeper) willReceive(instance string, key keyspace.Key) bool {
 	if owner, ok := k.gateway.views.load().owner(k.gateway.registry.snapshot().Service, key); ok && owner.ID == instance {
 		return true
 	}
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	one := keyspace.Range{First: key, Last: key}
-	return instance == k.instance && slices.ContainsFunc(k.wanted, func(held fleetwire.Held) bool { return held.Keys.Contains(one) })
+	single := keyspace.Range{First: key, Last: key}
+	return instance == k.instance && slices.ContainsFunc(k.wanted, func(held fleetwire.Held) bool { return held.Keys.Contains(single) })
 }
 
-// await returns when an instance holds a key, when it is not to get it, or when
-// the context ends.
+// await blocks until an instance holds a key, is no longer expected to get it, or the context
+// ends.
 func (k *keyKeeper) await(ctx context.Context, instance string, key keyspace.Key) {
 	for {
 		k.mutex.Lock()
 		changed := k.changed
 		k.mutex.Unlock()
-		if k.holds(instance, key, steady.Reading()) || !k.expects(instance, key) {
+		if k.holds(instance, key, steady.Reading()) || !k.willReceive(instance, key) {
 			return
 		}
 		select {
@@ -189,7 +196,7 @@
 	}
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if !epoch.Add(lease.SentAt).After(k.leaseFrom) {
+	if !epoch.Add(lease.SentAt).After(k.ignoreLeasesBefore) {
 		return
 	}
 	if lease.Instance != k.instance {
@@ -197,70 +204,71 @@
 	}
 	duration := time.Duration(float64(lease.Duration) * (1 - clockDrift))
 	k.leaseUntil = epoch.Add(lease.SentAt + duration)
-	maps.DeleteFunc(k.told, func(_ heldKey, told time.Duration) bool { return told <= lease.SentAt })
-	k.wanted = slices.DeleteFunc(slices.Clone(lease.Held), func(held fleetwire.Held) bool { return k.toldSince(held, lease.SentAt) })
-	k.takeReleases(lease.Release)
-	k.announce()
+	maps.DeleteFunc(k.reportedAt, func(_ heldKey, at time.Duration) bool { return at <= lease.SentAt })
+	k.wanted = slices.DeleteFunc(slices.Clone(lease.Held), func(held fleetwire.Held) bool { return k.reportedSince(held, lease.SentAt) })
+	k.applyReleases(lease.Release)
+	k.notifyWaiters()
 	k.signal()
 }
 
-// reset begins with another life of the back end, which holds nothing. What the one before
-// may hold is kept apart.
+// reset starts over with another incarnation of the back end, which holds nothing. What the
+// former one may still hold is kept in earlierIncarnations.
 func (k *keyKeeper) reset(instance string, now time.Time) {
-	k.earlier.add(k.grants, &k.fences, now)
-	k.instance, k.answered = instance, false
+	k.earlierIncarnations.add(k.grants, &k.fences, now)
+	k.instance, k.everConfirmed = instance, false
 	k.wanted = nil
-	k.taken = nil
-	k.yielding = false
-	k.reported = keyReport{}
-	k.fences = newFenceLedger()
+	k.releasedRanges = nil
+	k.grantsStopped = false
+	k.fromHeartbeats = heartbeatKeys{}
+	k.fences = newFenceTracker()
 	k.grants = map[heldKey]*grant{}
-	k.releases = map[heldKey]*release{}
-	k.told = map[heldKey]time.Duration{}
+	k.releases = map[heldKey]*pendingRelease{}
+	k.reportedAt = map[heldKey]time.Duration{}
 }
 
-// toldSince says that keys of a range were promised in a report that was sent after a time.
-// The leader may still read that, and give the keys away: a lease that was asked for before
-// gives nothing of them.
-func (k *keyKeeper) toldSince(held fleetwire.Held, askedAt time.Duration) bool {
-	for key, told := range k.told {
-		if told > askedAt && key.concerns(held) {
+// reportedSince reports whether keys of a range were reported as released after a time. The
+// leader may still read that report and give the keys to another owner, so a lease requested
+// before it must not grant any of them.
+func (k *keyKeeper) reportedSince(held fleetwire.Held, requestedAt time.Duration) bool {
+	for key, at := range k.reportedAt {
+		if at > requestedAt && key.mayHoldKeysOf(held) {
 			return true
 		}
 	}
 	return false
 }
 
-func (k *keyKeeper) takeReleases(asked []fleetwire.Held) {
-	still := make(map[heldKey]*release, len(asked))
-	for _, held := range asked {
+func (k *keyKeeper) applyReleases(requested []fleetwire.Held) {
+	updated := make(map[heldKey]*pendingRelease, len(requested))
+	for _, held := range requested {
 		key := heldKey{held.Keys, held.Fence}
-		running, ok := k.releases[key]
+		pending, ok := k.releases[key]
 		if !ok {
-			running = &release{held: held}
+			pending = &pendingRelease{held: held}
 		}
 		if held.MayCover {
-			running.coverUntil = k.leaseUntil
+			pending.supersedeUntil = k.leaseUntil
 		}
-		still[key] = running
+		updated[key] = pending
 	}
-	k.releases = still
+	k.releases = updated
 }
 
 func (k *keyKeeper) signal() { wakeUp(k.wake) }
 
-// promises returns what has been taken back, for a report that is sent at a time.
+// promises returns the ranges whose release is complete, for a report that is sent at a time,
+// and records that they were reported.
 func (k *keyKeeper) promises(sentAt time.Duration) []fleetwire.Released {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	var promises []fleetwire.Released
-	for key, running := range k.releases {
-		if running.done {
-			k.told[key] = sentAt
-			promises = append(promises, fleetwire.Released{Keys: running.held.Keys, Fence: running.held.Fence, Handover: running.handover})
+	var released []fleetwire.Released
+	for key, pending := range k.releases {
+		if pending.done {
+			k.reportedAt[key] = sentAt
+			released = append(released, fleetwire.Released{Keys: pending.held.Keys, Fence: pending.held.Fence, Handover: pending.handover})
 		}
 	}
-	return promises
+	return released
 }
 
 // holds reports whether an instance holds a key at a time.
@@ -268,20 +276,20 @@
 	byHeartbeat := k.byHeartbeat()
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if instance != k.instance || k.yielding {
+	if instance != k.instance || k.grantsStopped {
 		return false
 	}
 	if byHeartbeat {
-		return k.servesReported(key, now)
+		return k.servesByHeartbeat(key, now)
 	}
-	one := keyspace.Range{First: key, Last: key}
+	single := keyspace.Range{First: key, Last: key}
 	for _, held := range k.wanted {
-		if !held.Keys.Contains(one) {
+		if !held.Keys.Contains(single) {
 			continue
 		}
 		for granted, sent := range k.grants {
-			covers := granted.fence == held.Fence && granted.keys.Contains(one) && now.Before(sent.until)
-			if covers && !k.takenSince(one, held.Fence, sent.confirmed) {
+			covers := granted.fence == held.Fence && granted.keys.Contains(single) && now.Before(sent.until)
+			if covers && !k.releasedSince(single, held.Fence, sent.confirmedAt) {
 				return true
 			}
 		}
@@ -289,10 +297,10 @@
 	return false
 }
 
-// takenSince says that a part of a range was taken back at or after a time.
-func (k *keyKeeper) takenSince(keys keyspace.Range, fence keyspace.Fence, since time.Time) bool {
-	for _, back := range k.taken {
-		if back.fence == fence && back.keys.Overlaps(keys) && !back.at.Before(since) {
+// releasedSince reports whether a part of a range was released at or after a time.
+func (k *keyKeeper) releasedSince(keys keyspace.Range, fence keyspace.Fence, since time.Time) bool {
+	for _, released := range k.releasedRanges {
+		if released.fence == fence && released.keys.Overlaps(keys) && !released.releasedAt.Before(since) {
 			return true
 		}
 	}
@@ -310,50 +318,50 @@
 		case <-ticker.C:
 		case <-k.wake:
 		}
-		k.work(ctx, steady.Reading())
+		k.step(ctx, steady.Reading())
 	}
 }
 
-func (k *keyKeeper) work(ctx context.Context, now time.Time) {
+func (k *keyKeeper) step(ctx context.Context, now time.Time) {
 	byHeartbeat := k.byHeartbeat()
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	// The lease is for one life of the back end. What is at its address now may
-	// be the next one, also where no leader has heard of it.
-	present := k.gateway.registry.snapshot()
-	if !k.followPresent(present, now) {
+	// The lease is for one incarnation of the back end. The process at its address now may be
+	// the next one, even if no leader knows of it yet.
+	current := k.gateway.registry.snapshot()
+	if !k.syncIncarnation(current, now) {
 		return
 	}
-	unreachable := present.State == fleetwire.InstanceGone
-	k.endOver(now)
+	unreachable := current.State == fleetwire.InstanceGone
+	k.completeExpiredReleases(now)
 	switch {
 	case byHeartbeat:
-		k.endReleases(now)
-	case unreachable, k.yielding, k.gateway.unproved():
+		k.completeReleases(now)
+	case unreachable, k.grantsStopped, k.gateway.unproved():
 	default:
 		k.startGrants(ctx, now)
 		k.startReleases(ctx, now)
-		k.startRetractions(ctx, now)
+		k.startRevocations(ctx, now)
 	}
-	if unreachable && !present.Released {
+	if unreachable && !current.Released {
 		k.gateway.probe(k.instance)
-		k.freeUnreachable(now)
+		k.reportUnreachableFree(now)
 	}
-	k.forget(now)
+	k.prune(now)
 }
 
-// forget drops what matters no more.
-func (k *keyKeeper) forget(now time.Time) {
+// prune drops expired grants, unanswered grants and released ranges.
+func (k *keyKeeper) prune(now time.Time) {
 	for key, sent := range k.grants {
-		if sent.bound.Over(now) && !k.wants(key) {
+		if sent.bound.Over(now) && !k.isLeased(key) {
 			delete(k.grants, key)
 		}
 	}
-	k.fences.forget(now)
-	k.taken = slices.DeleteFunc(k.taken, func(back taken) bool { return now.After(back.at.Add(takenKept)) })
+	k.fences.prune(now)
+	k.releasedRanges = slices.DeleteFunc(k.releasedRanges, func(released releasedRange) bool { return now.After(released.releasedAt.Add(releasedRangeRetention)) })
 }
 
-// leaseLeft is how long the present lease lasts.
+// leaseLeft returns the remaining time of the current lease.
 func (k *keyKeeper) leaseLeft(now time.Time) time.Duration {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -363,14 +371,14 @@
 	return k.leaseUntil.Sub(now)
 }
 
-// rangesHeld is how many ranges the present lease lists.
+// rangesHeld returns the number of ranges that the current lease lists.
 func (k *keyKeeper) rangesHeld() int {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return len(k.wanted)
 }
 
-func (k *keyKeeper) wants(key heldKey) bool {
+func (k *keyKeeper) isLeased(key heldKey) bool {
 	for _, held := range k.wanted {
 		if held.Keys == key.keys && held.Fence == key.fence {
 			return true
--- a/internal/gateway/keys_test.go
+++ b/internal/gateway/keys_test.go
@@ -14,33 +14,33 @@
 	"gotest.tools/v3/assert"
 )
 
-// fakeHolder is a back end that takes orders about keys.
+// fakeHolder is a back end that records the grants and releases it receives.
 type fakeHolder struct {
 	mutex    sync.Mutex
 	grants   []GrantOrder
 	releases []keyspace.Range
-	// refuse makes each call fail.
-	refuse error
+	// failWith is the error that each call returns.
+	failWith error
 }
 
 func (h *fakeHolder) Grant(_ context.Context, order GrantOrder) error {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.grants = append(h.grants, order)
-	return h.refuse
+	return h.failWith
 }
 
 func (h *fakeHolder) Release(_ context.Context, order ReleaseOrder) (string, error) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.releases = append(h.releases, order.Keys)
-	return "handed", h.refuse
+	return "handed", h.failWith
 }
 
 func (h *fakeHolder) setRefuse(err error) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.refuse = err
+	h.failWith = err
 }
 
 func (h *fakeHolder) released() []keyspace.Range {
@@ -55,17 +55,17 @@
 	return append([]GrantOrder{}, h.grants...)
 }
 
-// keyRig is a key keeper with a back end that has registered.
+// keyRig is a grant manager with a registered back end.
 type keyRig struct {
 	holder *fakeHolder
 	g      *Gateway
 	epoch  time.Time
-	// sequence of the last heartbeat.
+	// sequence is that of the last heartbeat.
 	sequence uint64
 }
 
 func newKeyRig(t *testing.T) *keyRig {
-	// What the keeper has begun ends after it: a look at an address, or a grant.
+	// Probes and grants that the manager started may end after it.
 	t.Cleanup(func() { time.Sleep(grantTimeout) })
 	rig := &keyRig{holder: &fakeHolder{}, epoch: steady.Reading(), sequence: 1}
 	rig.g = &Gateway{config: Config{Keys: rig.holder}.withDefaults()}
@@ -90,7 +90,7 @@
 	return rig
 }
 
-// lease gives the rig a lease of ranges that was asked for just now.
+// lease applies a lease of ranges that was requested just now.
 func (r *keyRig) lease(held, release []fleetwire.Held) {
 	r.g.keys.take(&fleetwire.Lease{
 		SentAt: steady.Elapsed(r.epoch), Duration: 8 * time.Second, Instance: "i-1", Held: held, Release: release,
@@ -103,7 +103,7 @@
 	return []fleetwire.Held{{Keys: keyspace.Range{First: first, Last: last}, Fence: 7}}
 }
 
-// asked is a range to be released that may be covered.
+// asked is a range to be released for which a superseding grant is allowed.
 func asked(first, last keyspace.Key) []fleetwire.Held {
 	all := held(first, last)
 	all[0].MayCover = true
@@ -117,7 +117,7 @@
 		rig.lease(held(0, 99), nil)
 		assert.Assert(t, rig.g.keys.holds("i-1", 5, steady.Reading()))
 		assert.Assert(t, !rig.g.keys.holds("i-1", 100, steady.Reading()))
-		// No report is answered any more: the lease and every grant end within it.
+		// No further report is answered: the lease and every grant end within it.
 		time.Sleep(8 * time.Second)
 		assert.Assert(t, !rig.g.keys.holds("i-1", 5, steady.Reading()))
 		for _, order := range rig.holder.granted() {
@@ -129,15 +129,15 @@
 func TestAnUnconfirmedGrantServesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newKeyRig(t)
-		rig.holder.refuse = errors.New("no answer")
+		rig.holder.failWith = errors.New("no answer")
 		rig.lease(held(0, 99), nil)
 		assert.Assert(t, !rig.g.keys.holds("i-1", 5, steady.Reading()))
 	})
 }
 
-// A leader that asked for a range may lose its office before the move is in the
-// log. Its successor lists the range again, while the back end has given it up.
-func TestARangeThatWasTakenBackIsGrantedAnewBeforeItIsServed(t *testing.T) {
+// A leader that requested the release of a range may lose its leadership before the move is in
+// the log. Its successor lists the range again, although the back end has released it.
+func TestAReleasedRangeIsGrantedAgainBeforeItIsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newKeyRig(t)
 		time.Sleep(2 * answerVoid) // an earlier process may have offered by heartbeat
@@ -150,13 +150,13 @@
 		rig.holder.setRefuse(errors.New("no answer"))
 		before := len(rig.holder.granted())
 		rig.lease(held(0, 99), nil)
-		assert.Assert(t, !rig.g.keys.holds("i-1", 45, steady.Reading()), "the old grant does not cover what was taken back")
-		assert.Assert(t, len(rig.holder.granted()) > before, "it is granted anew at once")
+		assert.Assert(t, !rig.g.keys.holds("i-1", 45, steady.Reading()), "the old grant does not cover the released range")
+		assert.Assert(t, len(rig.holder.granted()) > before, "it is granted again at once")
 	})
 }
 
-// A grant without an answer may be taken seconds later, when its keys already
-// have another owner. By then the back end must have seen a higher fence on them.
+// An unanswered grant may be applied seconds later, when its keys already have another owner.
+// By then the back end must have seen a higher fence on them.
 func TestKeysWithAnUnansweredGrantAreCoveredBeforeTheyAreGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newKeyRig(t)
@@ -165,7 +165,7 @@
 		time.Sleep(DefaultKeyHold/renewals + keysInterval)
 		synctest.Wait()
 		rig.lease(held(0, 39), asked(40, 99))
-		assert.Equal(t, len(rig.holder.released()), 0, "not given up while a grant may still be taken")
+		assert.Equal(t, len(rig.holder.released()), 0, "not released while a grant may still be applied")
 		unanswered := rig.holder.granted()
 		late := unanswered[len(unanswered)-1]
 		rig.holder.setRefuse(nil)
@@ -178,12 +178,12 @@
 			covered = covered || order.Keys.Contains(keyspace.Range{First: 40, Last: 99}) && order.Fence > late.Fence
 		}
 		assert.Assert(t, covered, "a higher fence was confirmed for all of them")
-		assert.Assert(t, compose(8, 0) > rig.holder.granted()[len(rig.holder.granted())-1].Fence, "the next owner's is higher still")
+		assert.Assert(t, composeFence(8, 0) > rig.holder.granted()[len(rig.holder.granted())-1].Fence, "the next owner's is higher still")
 	})
 }
 
-// While no leader is heard, a back end may end and its next life come at the same
-// address. What the lease gave to the last life must not be granted to the next.
+// While there is no contact with a leader, a back end may end and its next incarnation start
+// at the same address. The keys leased to the former one must not be granted to the next.
 func TestTheNextLifeOfABackEndIsNotGrantedTheKeysOfTheLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newKeyRig(t)
@@ -194,7 +194,7 @@
 		rig.g.registry.heartbeat(Registration{ID: "i-2", Service: "s", Slots: 4, State: fleetwire.InstanceReady, Sequence: 1}, time.Second, steady.Reading())
 		rig.g.keys.signal()
 		time.Sleep(3 * time.Second)
-		assert.Equal(t, len(rig.holder.granted()), before, "granted to another life")
+		assert.Equal(t, len(rig.holder.granted()), before, "granted to another incarnation")
 		assert.Assert(t, !rig.g.keys.holds("i-2", 5, steady.Reading()))
 	})
 }
--- a/internal/gateway/keysfree_test.go
+++ b/internal/gateway/keysfree_test.go
@@ -17,80 +17,82 @@
 	"gotest.tools/v3/assert"
 )
 
-// The process of a back end refused connections, and its gateway took that for its end: it
-// told the leader that nothing is held, and the leader gave the keys to another back end at
-// once, while the process lived and held them for what was left of five seconds. Processes
-// that stop as planned close their listener first, and serve on over the connections that they
-// have. A fleet of real processes in which listeners closed for 0.3 s had 5,815 lines of
-// "i-1 and i-2 both hold keys". Beside it, a grant that left its gateway a second after its
-// time was worked out outlasted the lease that covered it by 0.9 s, and the heartbeat of a next
-// life at the address ended what the one before still held.
+// Guards against two owners of one key. A back end's process refused connections, and its
+// gateway concluded that the process had ended: it told the leader that nothing was held, and
+// the leader assigned the keys to another back end at once, while the process was running and
+// held them for the rest of five seconds. Processes that stop as planned close their listener
+// first and continue to serve their open connections. A fleet of real processes whose
+// listeners closed for 0.3 s logged 5,815 lines of "i-1 and i-2 both hold keys". Two more
+// causes: a grant that left its gateway a second after its duration was computed outlasted the
+// lease that covered it by 0.9 s, and the heartbeat of a next incarnation at the address ended
+// the grants that the former one still held.
 func TestKeysHaveANextOwnerOnlyOnceTheFormerOneHoldsNone(t *testing.T) {
 	byCall, byHeartbeat := routeconfig.GrantByCall, routeconfig.GrantByHeartbeat
 	for name, test := range map[string]struct {
 		grants routeconfig.GrantMode
-		// event happens once the back end holds keys; the rig then runs on for a while.
-		event func(*ownersRig)
-		// within is the time in which its keys find another owner; zero is that they
-		// stay where they are.
+		// event happens once the back end holds keys; the rig then continues to run for a
+		// while.
+		event func(*handoverRig)
+		// within is the time within which its keys get another owner; zero if they keep their
+		// owner.
 		within time.Duration
 	}{
-		"it refuses connections, keys by call": {byCall, func(r *ownersRig) {
-			r.refuses(true)
+		"it refuses connections, keys by call": {byCall, func(r *handoverRig) {
+			r.setRefusing(true)
 			r.silent = true
 		}, DefaultKeyHold + 400*time.Millisecond},
-		"it refuses connections, keys by heartbeat": {byHeartbeat, func(r *ownersRig) {
-			r.refuses(true)
+		"it refuses connections, keys by heartbeat": {byHeartbeat, func(r *handoverRig) {
+			r.setRefusing(true)
 			r.silent = true
 		}, 3 * time.Second},
-		"it refuses connections and goes on saying that it is ready": {byHeartbeat, func(r *ownersRig) { r.refuses(true) }, 3 * time.Second},
-		"it refuses connections for a moment, keys by call": {byCall, func(r *ownersRig) {
-			r.refuses(true)
+		"it refuses connections and its heartbeats still report that it is ready": {byHeartbeat, func(r *handoverRig) { r.setRefusing(true) }, 3 * time.Second},
+		"it refuses connections for a moment, keys by call": {byCall, func(r *handoverRig) {
+			r.setRefusing(true)
 			r.run(300 * time.Millisecond)
-			r.refuses(false)
+			r.setRefusing(false)
 		}, 0},
-		"it is heard again after all was taken for over, keys by call": {byCall, func(r *ownersRig) {
-			r.refuses(true)
+		"it sends heartbeats again after its keys were reassigned, keys by call": {byCall, func(r *handoverRig) {
+			r.setRefusing(true)
 			r.silent = true
 			r.runUntilMoved()
-			r.refuses(false)
+			r.setRefusing(false)
 			r.silent = false
-		}, ownersStep},
-		"it is heard again after all was taken for over, keys by heartbeat": {byHeartbeat, func(r *ownersRig) {
-			r.refuses(true)
+		}, handoverStep},
+		"it sends heartbeats again after its keys were reassigned, keys by heartbeat": {byHeartbeat, func(r *handoverRig) {
+			r.setRefusing(true)
 			r.silent = true
 			r.runUntilMoved()
-			r.refuses(false)
+			r.setRefusing(false)
 			r.silent = false
-		}, ownersStep},
-		"a next life is at its address, keys by call":      {byCall, func(r *ownersRig) { r.nextLife() }, 4 * time.Second},
-		"a next life is at its address, keys by heartbeat": {byHeartbeat, func(r *ownersRig) { r.nextLife() }, 4 * time.Second},
-		"a next life after its listener was closed": {byCall, func(r *ownersRig) {
-			r.refuses(true)
+		}, handoverStep},
+		"a next incarnation is at its address, keys by call":      {byCall, func(r *handoverRig) { r.startNextIncarnation() }, 4 * time.Second},
+		"a next incarnation is at its address, keys by heartbeat": {byHeartbeat, func(r *handoverRig) { r.startNextIncarnation() }, 4 * time.Second},
+		"a next incarnation after its listener was closed": {byCall, func(r *handoverRig) {
+			r.setRefusing(true)
 			r.run(300 * time.Millisecond)
-			r.nextLife()
+			r.startNextIncarnation()
 		}, 4 * time.Second},
-		"its gateway is cut off and stands still as it grants": {byCall, func(r *ownersRig) {
+		"its gateway is cut off and stalled while it sends a grant": {byCall, func(r *handoverRig) {
 			r.cutOff = true
 			r.holder.setStall(time.Second)
 		}, 9 * time.Second},
-		"its gateway stood still as it granted, and it then leaves without answering": {byCall, func(r *ownersRig) {
+		"its gateway was stalled while it sent a grant, and the back end then drains without answering": {byCall, func(r *handoverRig) {
 			r.holder.setStall(2 * time.Second)
 			r.run(3 * time.Second)
 			r.holder.setStall(0)
-			r.holder.setMute(true)
-			r.drains = true
+			r.holder.setUnresponsive(true)
+			r.draining = true
 		}, 12 * time.Second},
-		"it leaves, and another back end at its address answers in its place": {byCall, func(r *ownersRig) {
-			r.holder.set(func() { r.holder.next, r.holder.nextID = &heldProcess{}, "i-9" })
-			r.drains = true
-			r.sendBeat()
+		"it drains, and another back end at its address answers in its place": {byCall, func(r *handoverRig) {
+			r.holder.set(func() { r.holder.next, r.holder.nextID = &backendProcess{}, "i-9" })
+			r.draining = true
+			r.sendHeartbeat()
 			r.silent = true
 		}, 9 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				rig := newOwnersRig(t, test.grants)
+				rig := newHandoverRig(t, test.grants)
 				rig.run(6 * time.Second)
 				assert.Assert(t, rig.ownedBy("i-1") > 0)
 				assert.Assert(t, rig.holder.former.holdsAt(steady.Reading()))
@@ -104,109 +106,111 @@
 	}
 }
 
-// heldProcess is one process of a back end that counts for how long it holds keys, on a clock
-// that runs as slowly as it may.
-type heldProcess struct{ until time.Time }
+// backendProcess is one process of a back end. It measures how long it holds keys on a clock
+// that runs as slowly as allowed.
+type backendProcess struct{ until time.Time }
 
-func (p *heldProcess) hold(from time.Time, hold time.Duration) {
+func (p *backendProcess) hold(from time.Time, hold time.Duration) {
 	p.until = from.Add(time.Duration(float64(hold) * 1.02))
 }
 
-func (p *heldProcess) holdsAt(now time.Time) bool { return now.Before(p.until) }
+func (p *backendProcess) holdsAt(now time.Time) bool { return now.Before(p.until) }
 
-// addressHolder is what answers at the back end's address.
-type addressHolder struct {
+// addressBackend is what answers at the back end's address.
+type addressBackend struct {
 	fakeHolder
-	// former is the process that is followed, and next one that has taken its place at the
-	// address; nil is none.
-	former, next *heldProcess
-	// nextID is the id under which the next one refuses what is meant for others; empty
-	// has the former one's, and takes all.
-	nextID  string
-	refused bool
-	mute    bool
-	stall   time.Duration
+	// former is the observed process, and next the one that has replaced it at the address;
+	// nil if there is none.
+	former, next *backendProcess
+	// nextID is the id of the next process if that refuses orders for other ids; if empty, it
+	// has the former one's id and accepts all.
+	nextID             string
+	refusesConnections bool
+	unresponsive       bool
+	stall              time.Duration
 }
 
-func (h *addressHolder) set(change func()) {
+func (h *addressBackend) set(change func()) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	change()
 }
 
-func (h *addressHolder) setStall(stall time.Duration) { h.set(func() { h.stall = stall }) }
+func (h *addressBackend) setStall(stall time.Duration) { h.set(func() { h.stall = stall }) }
 
-func (h *addressHolder) setMute(mute bool) { h.set(func() { h.mute = mute }) }
+func (h *addressBackend) setUnresponsive(mute bool) { h.set(func() { h.unresponsive = mute }) }
 
-// answers returns the process at the address, and why there is no answer.
-func (h *addressHolder) answers() (*heldProcess, error) {
+// answering returns the process at the address, or the error if there is no answer.
+func (h *addressBackend) answering() (*backendProcess, error) {
 	switch {
 	case h.next != nil && h.nextID != "":
 		return nil, ErrOtherInstance
 	case h.next != nil:
 		return h.next, nil
-	case h.refused:
+	case h.refusesConnections:
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, syscall.ECONNREFUSED)
-	case h.mute:
+	case h.unresponsive:
 		return nil, errNoAnswer
 	}
 	return h.former, nil
 }
 
-// Grant takes an order that the gateway sent late: its process stood still on the way.
-func (h *addressHolder) Grant(_ context.Context, order GrantOrder) error {
+// Grant applies an order after a delay: the gateway's process was stalled before it sent the
+// order.
+func (h *addressBackend) Grant(_ context.Context, order GrantOrder) error {
 	h.mutex.Lock()
 	stall := h.stall
 	h.mutex.Unlock()
 	time.Sleep(stall)
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	process, err := h.answers()
+	process, err := h.answering()
 	if err == nil {
 		process.hold(steady.Reading(), order.Hold)
 	}
 	return err
 }
 
-func (h *addressHolder) Release(context.Context, ReleaseOrder) (string, error) {
+func (h *addressBackend) Release(context.Context, ReleaseOrder) (string, error) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	process, err := h.answers()
+	process, err := h.answering()
 	if err == nil {
 		process.until = time.Time{}
 	}
 	return "", err
 }
 
-// ownersRig is the key keeper of one gateway with the leader's planner, and another gateway
-// whose back end is always well.
-type ownersRig struct {
+// handoverRig is the grant manager of one gateway with the leader's planner, and another
+// gateway whose back end is always healthy.
+type handoverRig struct {
 	*keyRig
 	t      *testing.T
-	holder *addressHolder
-	// listener is that of the back end's address; closed where it refuses connections.
+	holder *addressBackend
+	// listener listens on the back end's address; it is closed while the back end refuses
+	// connections.
 	listener net.Listener
 	state    *fleetstate.State
 	planner  *keylease.Planner
 	index    uint64
 	steps    int
-	// silent back ends send no heartbeats; cutOff gateways reach no leader.
-	silent, cutOff, drains bool
-	// heartbeats of the next life are sent in place of the former one's.
-	life     string
-	sequence uint64
-	// owned says that the back end has had its keys, and moved that another one has become
+	// A silent back end sends no heartbeats; a gateway that is cut off reaches no leader.
+	silent, cutOff, draining bool
+	// incarnation is the one that sends the heartbeats: the former or the next one.
+	incarnation string
+	sequence    uint64
+	// owned is set once the back end has had its keys, and moved once another one has become
 	// their owner since.
 	owned, moved bool
 }
 
-func newOwnersRig(t *testing.T, grants routeconfig.GrantMode) *ownersRig {
-	r := &ownersRig{keyRig: newKeyRig(t), t: t, state: fleetstate.New(), life: "i-1", sequence: 1}
-	r.holder = &addressHolder{former: &heldProcess{}}
+func newHandoverRig(t *testing.T, grants routeconfig.GrantMode) *handoverRig {
+	r := &handoverRig{keyRig: newKeyRig(t), t: t, state: fleetstate.New(), incarnation: "i-1", sequence: 1}
+	r.holder = &addressBackend{former: &backendProcess{}}
 	r.g.config.Keys = r.holder
 	r.g.config.BackendAddress = freeAddress(t)
-	r.listens()
-	r.g.registry.interval = beatInterval
+	r.listen()
+	r.g.registry.interval = heartbeatInterval
 	r.g.registry.yields, r.g.registry.lookAgain = r.g.keys.yield, r.g.probe
 	r.g.registry.current.Node = "node-1"
 	r.setGrants(grants, 1)
@@ -216,53 +220,54 @@
 	return r
 }
 
-func (r *ownersRig) apply(command *fleetstate.Command) {
+func (r *handoverRig) apply(command *fleetstate.Command) {
 	data, err := command.Encode()
 	assert.NilError(r.t, err)
 	r.index++
 	r.state.Apply(r.index, data)
 }
 
-// now is the leader's clock.
-func (r *ownersRig) now() time.Duration { return steady.Elapsed(r.epoch) + time.Second }
+// now is the time of the leader's clock.
+func (r *handoverRig) now() time.Duration { return steady.Elapsed(r.epoch) + time.Second }
 
-func (r *ownersRig) ownedBy(id string) int { return len(r.state.Owners("s").OwnedBy(id)) }
+func (r *handoverRig) ownedBy(id string) int { return len(r.state.Owners("s").OwnedBy(id)) }
 
 const (
-	ownersStep = 20 * time.Millisecond
-	// reportSteps and beatSteps are between two reports and two heartbeats.
-	reportSteps = 10
-	beatSteps   = 40
+	handoverStep = 20 * time.Millisecond
+	// reportSteps and heartbeatSteps are the steps between two reports and between two
+	// heartbeats.
+	reportSteps    = 10
+	heartbeatSteps = 40
 )
 
 // run lets time pass, and checks at each step that the former process holds nothing once
 // another back end owns its keys.
-func (r *ownersRig) run(duration time.Duration) {
+func (r *handoverRig) run(duration time.Duration) {
 	for end := steady.Reading().Add(duration); steady.Reading().Before(end); {
 		r.step()
 	}
 }
 
 // runUntilMoved runs until another back end owns the keys.
-func (r *ownersRig) runUntilMoved() {
+func (r *handoverRig) runUntilMoved() {
 	for range 1000 {
 		if r.moved {
 			return
 		}
 		r.step()
 	}
-	r.t.Fatal("the keys have no other owner")
+	r.t.Fatal("no other back end became the owner of the keys")
 }
 
-func (r *ownersRig) step() {
-	time.Sleep(ownersStep)
+func (r *handoverRig) step() {
+	time.Sleep(handoverStep)
 	synctest.Wait()
 	r.steps++
-	if r.steps%beatSteps == 0 && !r.silent {
-		r.sendBeat()
+	if r.steps%heartbeatSteps == 0 && !r.silent {
+		r.sendHeartbeat()
 	}
 	if r.steps%reportSteps == 0 {
-		r.exchange()
+		r.exchangeReports()
 	}
 	if batch := r.planner.Tick(r.now()); batch != nil {
 		r.apply(&fleetstate.Command{Ownership: batch})
@@ -277,20 +282,21 @@
 	r.holder.mutex.Lock()
 	defer r.holder.mutex.Unlock()
 	now := steady.Reading()
-	assert.Assert(r.t, !r.holder.former.holdsAt(now), "another back end owns the keys, and the former one holds them for another %v", r.holder.former.until.Sub(now))
+	assert.Assert(r.t, !r.holder.former.holdsAt(now), "another back end owns the keys, but the former one still holds them for %v", r.holder.former.until.Sub(now))
 }
 
-// sendBeat sends a heartbeat and takes the keys of its answer where they come so.
-func (r *ownersRig) sendBeat() {
+// sendHeartbeat sends a heartbeat and applies the keys of its answer if they are granted by
+// heartbeat.
+func (r *handoverRig) sendHeartbeat() {
 	r.sequence++
 	state := fleetwire.InstanceReady
-	if r.drains {
+	if r.draining {
 		state = fleetwire.InstanceDraining
 	}
 	sent := steady.Reading()
-	offer, err := r.g.Heartbeat(Registration{ID: r.life, Service: "s", Slots: 4, State: state, Sequence: r.sequence})
+	offer, err := r.g.Heartbeat(Registration{ID: r.incarnation, Service: "s", Slots: 4, State: state, Sequence: r.sequence})
 	assert.NilError(r.t, err)
-	if offer == nil || r.life != "i-1" {
+	if offer == nil || r.incarnation != "i-1" {
 		return
 	}
 	r.holder.set(func() {
@@ -301,8 +307,9 @@
 	})
 }
 
-// exchange sends the reports of both gateways to the leader.
-func (r *ownersRig) exchange() {
+// exchangeReports sends the reports of both gateways to the leader and applies the lease that
+// it returns.
+func (r *handoverRig) exchangeReports() {
 	other := &fleetwire.Instance{ID: "i-2", Service: "s", Node: "node-2", Slots: 4, State: fleetwire.InstanceReady, Sequence: 1}
 	r.planner.Report(&fleetwire.Report{Boot: 9, Instance: other}, r.now())
 	if r.cutOff {
@@ -313,33 +320,33 @@
 	r.g.keys.take(r.planner.Report(report, r.now()), r.epoch)
 }
 
-// refuses says whether nothing accepts connections at the address, and lets a request find
-// it.
-func (r *ownersRig) refuses(refused bool) {
+// setRefusing sets whether connections at the address are refused; if so, the gateway finds
+// that by a failed request.
+func (r *handoverRig) setRefusing(refused bool) {
 	if !refused {
-		r.listens()
+		r.listen()
 		return
 	}
-	r.holder.set(func() { r.holder.refused = true })
+	r.holder.set(func() { r.holder.refusesConnections = true })
 	_ = r.listener.Close()
 	r.g.suspect("i-1", syscall.ECONNREFUSED)
 }
 
-// listens opens the back end's address; connections wait unaccepted, which is enough for
-// the gateway's probe.
-func (r *ownersRig) listens() {
+// listen opens the back end's address; connections are not accepted, which is enough for the
+// gateway's probe.
+func (r *handoverRig) listen() {
 	listener, err := net.Listen("tcp", r.g.config.BackendAddress)
 	assert.NilError(r.t, err)
 	r.t.Cleanup(func() { _ = listener.Close() })
 	r.listener = listener
-	r.holder.set(func() { r.holder.refused = false })
+	r.holder.set(func() { r.holder.refusesConnections = false })
 }
 
-// nextLife lets another process listen at the address and send heartbeats, while the former
-// one serves on over the connections that it has.
-func (r *ownersRig) nextLife() {
-	r.holder.set(func() { r.holder.next = &heldProcess{} })
+// startNextIncarnation starts another process that listens at the address and sends
+// heartbeats, while the former one continues to serve its open connections.
+func (r *handoverRig) startNextIncarnation() {
+	r.holder.set(func() { r.holder.next = &backendProcess{} })
 	r.silent = true
-	r.run(2 * beatInterval)
-	r.silent, r.life, r.sequence = false, followingLife, 0
+	r.run(2 * heartbeatInterval)
+	r.silent, r.incarnation, r.sequence = false, successorIncarnation, 0
 }
--- a/internal/gateway/keywait_test.go
+++ b/internal/gateway/keywait_test.go
@@ -12,8 +12,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// awaited returns how long a request waits for a key of i-1, at most a limit.
-func (r *keyRig) awaited(key keyspace.Key, limit time.Duration) time.Duration {
+// waitTime returns how long a request waits for a key of i-1, at most a limit.
+func (r *keyRig) waitTime(key keyspace.Key, limit time.Duration) time.Duration {
 	began := steady.Reading()
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
@@ -21,8 +21,8 @@
 	return steady.Elapsed(began)
 }
 
-// A back end learns of a key with its next heartbeat; who asks for the key before
-// waits there, and is not sent to and fro.
+// A back end learns of a key with its next heartbeat. A request that arrives before waits
+// there, instead of being redirected back and forth.
 func TestARequestWaitsForAKeyThatItsOwnerIsAboutToGet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
@@ -31,7 +31,7 @@
 			time.Sleep(300 * time.Millisecond)
 			rig.beat(t, "i-1", nil)
 		}()
-		assert.Equal(t, rig.awaited(5, time.Second), 300*time.Millisecond)
+		assert.Equal(t, rig.waitTime(5, time.Second), 300*time.Millisecond)
 		assert.Assert(t, rig.g.keys.holds("i-1", 5, steady.Reading()))
 		synctest.Wait()
 	})
@@ -41,9 +41,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
 		rig.lease(held(0, 99), nil)
-		assert.Equal(t, rig.awaited(100, time.Second), time.Duration(0))
+		assert.Equal(t, rig.waitTime(100, time.Second), time.Duration(0))
 		rig.lease(nil, asked(0, 99))
-		assert.Equal(t, rig.awaited(5, time.Second), time.Duration(0), "it is being given up")
+		assert.Equal(t, rig.waitTime(5, time.Second), time.Duration(0), "it is being released")
 	})
 }
 
@@ -51,33 +51,33 @@
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
 		rig.lease(held(0, 99), nil)
-		assert.Equal(t, rig.awaited(5, time.Second), time.Second)
+		assert.Equal(t, rig.waitTime(5, time.Second), time.Second)
 	})
 }
 
-// owns tells the rig's gateway of two back ends, and which owns the keys.
-func (r *keyRig) owns(t *testing.T, index uint64, owner string) {
+// setOwner gives the rig's gateway a view of two back ends, of which one owns the keys.
+func (r *keyRig) setOwner(t *testing.T, index uint64, owner string) {
 	advance(t, r.g.views, viewOf(true, fleetwire.Instance{ID: "i-1", Service: "s"}, fleetwire.Instance{ID: "i-2", Service: "s"}))
 	advance(t, r.g.views, viewOfOwners(index, owned(owner)))
 }
 
-// While an owner gives a key up, who asked for it there waits for news of its
-// next owner.
+// While an owner releases a key, a request for it waits for the next owner.
 func TestARequestWaitsForTheNextOwnerOfItsKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
-		rig.owns(t, 1, "i-1")
+		rig.setOwner(t, 1, "i-1")
 		began := steady.Reading()
 		until := began.Add(time.Second)
 		go func() {
 			time.Sleep(50 * time.Millisecond)
-			rig.owns(t, 2, "i-1") // news of other keys
+			rig.setOwner(t, 2, "i-1") // a change that does not concern the key
 			time.Sleep(30 * time.Millisecond)
-			rig.owns(t, 3, "i-2")
+			rig.setOwner(t, 3, "i-2")
 		}()
 		assert.Assert(t, rig.g.awaitOwner(t.Context(), "s", 5, "i-1", notRun(reasonNotOwner), until))
 		assert.Equal(t, steady.Elapsed(began), 80*time.Millisecond)
-		// Without news it is asked again after a moment, and not beyond its time.
+		// Without a change it is tried again after sameOwnerAgain, but not beyond the
+		// request's deadline.
 		assert.Assert(t, rig.g.awaitOwner(t.Context(), "s", 5, "i-2", notRun(reasonNotOwner), until))
 		assert.Equal(t, steady.Elapsed(began), 80*time.Millisecond+sameOwnerAgain)
 		time.Sleep(steady.Until(until))
--- a/internal/gateway/latebeat_test.go
+++ b/internal/gateway/latebeat_test.go
@@ -10,29 +10,30 @@
 	"gotest.tools/v3/assert"
 )
 
-const beatInterval = 870 * time.Millisecond
+const heartbeatInterval = 870 * time.Millisecond
 
-// beat sends a heartbeat of a life to a registry.
-func beat(r *registry, id string, sequence uint64, now time.Time) {
+// sendHeartbeat sends a heartbeat of an incarnation to a registry.
+func sendHeartbeat(r *registry, id string, sequence uint64, now time.Time) {
 	r.heartbeat(Registration{ID: id, Service: "s", State: fleetwire.InstanceReady, Sequence: sequence}, time.Second, now)
 }
 
-// A heartbeat that was held up by a cut may arrive after its sender has crashed, the
-// next life has registered, and the gateway has restarted, so that it remembers neither.
-func TestALateHeartbeatOfAnEarlierLifeIsNotTheNextLife(t *testing.T) {
+// A heartbeat that was delayed by a network partition may arrive after its sender has crashed,
+// the next incarnation has registered, and the gateway has restarted, so that it remembers
+// neither.
+func TestALateHeartbeatOfAnEarlierIncarnationIsNotItsSuccessors(t *testing.T) {
 	r := newRegistry(func() {})
-	r.interval = beatInterval
+	r.interval = heartbeatInterval
 	now := steady.Reading()
-	beat(r, "live", 5, now)
-	beat(r, "dead", 40, now.Add(100*time.Millisecond))
+	sendHeartbeat(r, "live", 5, now)
+	sendHeartbeat(r, "dead", 40, now.Add(100*time.Millisecond))
 	assert.Equal(t, r.snapshot().ID, "live")
-	beat(r, "live", 6, now.Add(beatInterval))
-	assert.Equal(t, r.snapshot().Sequence, uint64(6), "the present life is heard on")
+	sendHeartbeat(r, "live", 6, now.Add(heartbeatInterval))
+	assert.Equal(t, r.snapshot().Sequence, uint64(6), "heartbeats of the current incarnation are still accepted")
 }
 
-// A gateway that has restarted knows the life that the leader knew. What is at the back
-// end's address may be the next one, which must not get that one's keys.
-func TestARestoredLifeGetsNoKeysBeforeItHasProvedItself(t *testing.T) {
+// A gateway that has restarted knows the incarnation that the leader knew. The process at the
+// back end's address may be the next one, which must not get the former one's keys.
+func TestARestoredIncarnationIsUnverifiedUntilItAnswers(t *testing.T) {
 	g := choosingGateway(t)
 	g.config.Service = "s"
 	g.registry = newRegistry(func() {})
@@ -42,8 +43,8 @@
 	g.registry.restore(known, time.Second, steady.Reading())
 	assert.Assert(t, g.unproved())
 	g.registry.prove("i-2")
-	assert.Assert(t, g.unproved(), "another one has answered")
-	beat(g.registry, "i-1", 10, steady.Reading())
+	assert.Assert(t, g.unproved(), "another back end has answered")
+	sendHeartbeat(g.registry, "i-1", 10, steady.Reading())
 	assert.Assert(t, !g.unproved())
 	g.registry = newRegistry(func() {})
 	g.registry.restore(known, time.Second, steady.Reading())
@@ -51,19 +52,19 @@
 	assert.Assert(t, !g.unproved())
 }
 
-// A new life whose first heartbeats were lost is known after a moment.
-func TestANewLifeIsKnownThoughItsFirstHeartbeatsWereLost(t *testing.T) {
+// A new incarnation whose first heartbeats were lost is accepted after a moment.
+func TestANewIncarnationIsAcceptedThoughItsFirstHeartbeatsWereLost(t *testing.T) {
 	r := newRegistry(func() {})
-	r.interval = beatInterval
+	r.interval = heartbeatInterval
 	now := steady.Reading()
-	beat(r, "last", 40, now)
-	beat(r, "next", 7, now.Add(2*beatInterval))
+	sendHeartbeat(r, "last", 40, now)
+	sendHeartbeat(r, "next", 7, now.Add(2*heartbeatInterval))
 	assert.Equal(t, r.snapshot().ID, "next")
-	beat(r, "after", 1, now.Add(2*beatInterval+time.Millisecond))
+	sendHeartbeat(r, "after", 1, now.Add(2*heartbeatInterval+time.Millisecond))
 	assert.Equal(t, r.snapshot().ID, "next", "a first heartbeat may be late, too")
-	beat(r, "after", 2, now.Add(3*beatInterval))
-	assert.Equal(t, r.snapshot().ID, "after", "it is heard alone")
+	sendHeartbeat(r, "after", 2, now.Add(3*heartbeatInterval))
+	assert.Equal(t, r.snapshot().ID, "after", "it alone sends heartbeats")
 	r.lost("after")
-	beat(r, "last but one", 1, now.Add(3*beatInterval))
-	assert.Equal(t, r.snapshot().ID, "last but one", "the one before can't be reached")
+	sendHeartbeat(r, "last but one", 1, now.Add(3*heartbeatInterval))
+	assert.Equal(t, r.snapshot().ID, "last but one", "the former one is unreachable")
 }
--- a/internal/gateway/lives.go
+++ b/internal/gateway/lives.go
@@ -7,97 +7,99 @@
 	"github.com/quartzdock/quartzdock/internal/incarnation"
 )
 
-// Which of the lives of a back end is the present one.
+// Selection of the current incarnation of a back end among those that send heartbeats.
 
 const (
-	// firstBeats are the heartbeats by which a new life is known at once where the present
-	// one leaves or can't be reached.
-	firstBeats = 2
-	// beatsMissed is after how many intervals without a word of the present life any
-	// heartbeat of another one is believed.
-	beatsMissed = 1.5
-	// beatsAlone is for how many intervals another life must be heard alone: the present
-	// one, if it lived, would have been heard.
-	beatsAlone = 0.9
+	// firstHeartbeats is the highest sequence number that identifies a new incarnation at once
+	// if the current one is draining or unreachable.
+	firstHeartbeats = 2
+	// silentIntervals is the number of intervals without a heartbeat of the current
+	// incarnation after which any heartbeat of another one is accepted.
+	silentIntervals = 1.5
+	// soleIntervals is the number of intervals for which only another incarnation must have
+	// sent heartbeats: the current one would have sent one in that time if it were running.
+	soleIntervals = 0.9
 )
 
-// rival is a life that was heard beside the present one.
-type rival struct {
+// candidate is an incarnation that has sent heartbeats while another one is the current one.
+type candidate struct {
 	id string
-	// sequence and at are of the first of its heartbeats since the present one was heard.
-	sequence uint64
-	at       time.Time
-	// waits says that it is to be tried again (registry.retry); told and drainWithin are
-	// its newest heartbeat.
-	waits       bool
-	told        Registration
-	drainWithin time.Duration
+	// sequence and firstHeardAt are those of its first heartbeat since the last one of the
+	// current incarnation.
+	sequence     uint64
+	firstHeardAt time.Time
+	// waiting is set if its newest heartbeat, kept in registration and drainWithin, is to be
+	// tried again (registry.retry).
+	waiting      bool
+	registration Registration
+	drainWithin  time.Duration
 }
 
-// follows says that a heartbeat of a life that is not the present one is that of the next
-// one, and none that an earlier life has sent, which comes late: a gateway that has
-// restarted does not remember the earlier ones. Taken for the next life, a late one would
-// end the present one for good. It is the next one's where the present one has fallen
-// silent, where it is one of the first of a life and the present one leaves or can't be
-// reached, or where the life goes on being heard and the present one is not. No clock of a
-// back end is asked.
-func (r *registry) follows(told Registration, now time.Time) bool {
+// isSuccessor reports whether a heartbeat of an incarnation other than the current one comes
+// from its successor, and is not a delayed one of an earlier incarnation: a gateway that has
+// restarted does not remember the earlier ones. Accepting a delayed heartbeat would end the
+// current incarnation for good. The sender is the successor if the current incarnation has
+// fallen silent; if this is one of the first heartbeats of an incarnation and the current one
+// is draining or unreachable; or if the sender continues to send heartbeats and the current
+// one does not. The back ends' clocks are not compared.
+func (r *registry) isSuccessor(registration Registration, now time.Time) bool {
 	intervals := func(count float64) time.Duration { return time.Duration(count * float64(r.interval)) }
-	lost := r.current.State == fleetwire.InstanceGone
-	leaves := r.current.State == fleetwire.InstanceDraining && incarnation.IDOf(told.ID) != incarnation.IDOf(r.current.ID)
-	if now.Sub(r.heardAt) >= intervals(beatsMissed) || told.Sequence <= firstBeats && (lost || leaves) {
+	unreachable := r.current.State == fleetwire.InstanceGone
+	draining := r.current.State == fleetwire.InstanceDraining && incarnation.IDOf(registration.ID) != incarnation.IDOf(r.current.ID)
+	if now.Sub(r.lastHeartbeatAt) >= intervals(silentIntervals) || registration.Sequence <= firstHeartbeats && (unreachable || draining) {
 		return true
 	}
-	if r.rival.id != told.ID || !r.heardAt.Before(r.rival.at) {
-		r.rival = rival{id: told.ID, sequence: told.Sequence, at: now}
+	if r.candidate.id != registration.ID || !r.lastHeartbeatAt.Before(r.candidate.firstHeardAt) {
+		r.candidate = candidate{id: registration.ID, sequence: registration.Sequence, firstHeardAt: now}
 		return false
 	}
-	return told.Sequence > r.rival.sequence && now.Sub(r.rival.at) >= intervals(beatsAlone)
+	return registration.Sequence > r.candidate.sequence && now.Sub(r.candidate.firstHeardAt) >= intervals(soleIntervals)
 }
 
-// believe reports whether a heartbeat is taken as that of the present life, or of the
-// next one. Former is the life whose place it takes, where there is one. A wrong guess costs
-// time alone: keys of the life before are free only once their own time is over.
-func (r *registry) believe(told Registration, drainWithin time.Duration, now time.Time) (former string, believed bool) {
+// accept reports whether a heartbeat is accepted as one of the current incarnation or of its
+// successor. Former is the incarnation that it replaces, if there is one. A wrong decision
+// costs time only: the keys of the former incarnation become free only once its grants have
+// expired.
+func (r *registry) accept(registration Registration, drainWithin time.Duration, now time.Time) (former string, accepted bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	switch {
-	case r.ended[told.ID]:
+	case r.endedIncarnations[registration.ID]:
 		return "", false
-	case told.ID == r.current.ID:
-		if told.Sequence <= r.current.Sequence {
+	case registration.ID == r.current.ID:
+		if registration.Sequence <= r.current.Sequence {
 			return "", false
 		}
-		r.rival = rival{}
+		r.candidate = candidate{}
 		return "", true
-	case r.current.ID == "" && told.Sequence > firstBeats && !r.leaderAnswered():
-		// It may be a late one, or another writer's: the leader would give the keys of the
-		// life that it knows away.
-		r.rival = rival{id: told.ID, waits: true, told: told, drainWithin: drainWithin}
+	case r.current.ID == "" && registration.Sequence > firstHeartbeats && !r.leaderAnswered():
+		// It may be delayed, or come from another sender. If it were accepted, the leader
+		// would reassign the keys of the incarnation that it knows.
+		r.candidate = candidate{id: registration.ID, waiting: true, registration: registration, drainWithin: drainWithin}
 		return "", false
 	case r.current.ID == "":
 		return "", true
-	case !r.follows(told, now):
+	case !r.isSuccessor(registration, now):
 		return "", false
 	}
-	r.rival.waits, r.rival.told, r.rival.drainWithin = true, told, drainWithin
+	r.candidate.waiting, r.candidate.registration, r.candidate.drainWithin = true, registration, drainWithin
 	return r.current.ID, true
 }
 
-// waits reports whether a life waits to take the present one's place.
-func (r *registry) waits() bool {
+// hasWaitingCandidate reports whether an incarnation waits to replace the current one.
+func (r *registry) hasWaitingCandidate() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.rival.waits
+	return r.candidate.waiting
 }
 
-// retry takes a heartbeat that had to wait: for the time of what its predecessor was granted,
-// or for the leader to tell the life that it knew.
+// retry retries a heartbeat that had to wait until the grants of the former incarnation
+// expired, or until the leader told which incarnation it knew.
 func (r *registry) retry(now time.Time) {
 	r.mutex.Lock()
-	waiting := r.rival
+	candidate := r.candidate
 	r.mutex.Unlock()
-	if waiting.waits {
-		r.heartbeat(waiting.told, waiting.drainWithin, now)
+	if candidate.waiting {
+		r.heartbeat(candidate.registration, candidate.drainWithin, now)
 	}
 }
--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -14,210 +14,213 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// Lives under one id. The clock of the back end has jumped back between them: no order
-// follows from the starts.
+// Incarnations under one id. The clock of the back end has jumped back between them, so that
+// their start times say nothing about their order.
 var (
-	formerLife = incarnation.Incarnation{ID: "i-1", Born: 2000}.Name()
-	nextLife   = incarnation.Incarnation{ID: "i-1", Born: 1000}.Name()
-	otherLife  = incarnation.Incarnation{ID: "i-2", Born: 4000}.Name()
-	thirdLife  = incarnation.Incarnation{ID: "i-1", Born: 3000}.Name()
+	formerIncarnation = incarnation.Incarnation{ID: "i-1", Born: 2000}.Name()
+	nextIncarnation   = incarnation.Incarnation{ID: "i-1", Born: 1000}.Name()
+	otherIncarnation  = incarnation.Incarnation{ID: "i-2", Born: 4000}.Name()
+	thirdIncarnation  = incarnation.Incarnation{ID: "i-1", Born: 3000}.Name()
 )
 
-// lifeEvent is one thing that a gateway hears, intervals after the one before.
-type lifeEvent struct {
+// incarnationEvent is an event at a gateway, a number of intervals after the previous one.
+type incarnationEvent struct {
 	after float64
-	// life and sequence of a heartbeat; other events have sequence zero.
-	life     string
-	sequence uint64
-	event    string
+	// incarnation and sequence are those of a heartbeat; event is empty for heartbeats.
+	incarnation string
+	sequence    uint64
+	event       string
 }
 
-// Events without a heartbeat.
+// Events other than heartbeats.
 const (
 	connectionRefused = "connection refused"
 	deregistered      = "deregistered"
 	gatewayRestarts   = "gateway restarts"
-	leaderTells       = "leader tells"
+	leaderAnswers     = "leader tells"
 )
 
-func (e lifeEvent) happen(r *registry, now time.Time) *registry {
+func (e incarnationEvent) apply(r *registry, now time.Time) *registry {
 	switch e.event {
 	case connectionRefused:
-		r.lost(e.life)
+		r.lost(e.incarnation)
 	case deregistered:
-		r.deregister(e.life, time.Second, now)
+		r.deregister(e.incarnation, time.Second, now)
 	case gatewayRestarts:
 		r = newRegistry(func() {})
-		r.interval = beatInterval
-	case leaderTells:
-		r.restore(fleetwire.Instance{ID: e.life, Service: "s", State: fleetwire.InstanceReady, Sequence: e.sequence}, time.Second, now)
+		r.interval = heartbeatInterval
+	case leaderAnswers:
+		r.restore(fleetwire.Instance{ID: e.incarnation, Service: "s", State: fleetwire.InstanceReady, Sequence: e.sequence}, time.Second, now)
 	default:
-		beat(r, e.life, e.sequence, now)
+		sendHeartbeat(r, e.incarnation, e.sequence, now)
 	}
 	return r
 }
 
-// A back end starts again under its id, and its counts start anew. Heartbeats of its lives
-// come late, twice and crossed; the present life is the one that goes on being heard.
-func TestThePresentLifeIsTheOneThatIsHeard(t *testing.T) {
+// A back end restarts under its id, and its sequence numbers start again. Heartbeats of its
+// incarnations arrive late, twice and out of order; the current incarnation is the one that
+// continues to send heartbeats.
+func TestTheCurrentIncarnationIsTheOneThatSendsHeartbeats(t *testing.T) {
 	for name, test := range map[string]struct {
-		events []lifeEvent
+		events []incarnationEvent
 		want   string
 		gone   bool
 	}{
-		"the next life after a refused connection": {want: nextLife, events: []lifeEvent{
-			{life: formerLife, sequence: 40}, {life: formerLife, event: connectionRefused}, {after: 0.1, life: nextLife, sequence: 1},
+		"the next incarnation after a refused connection": {want: nextIncarnation, events: []incarnationEvent{
+			{incarnation: formerIncarnation, sequence: 40}, {incarnation: formerIncarnation, event: connectionRefused}, {after: 0.1, incarnation: nextIncarnation, sequence: 1},
 		}},
-		"the next life after silence": {want: nextLife, events: []lifeEvent{
-			{life: formerLife, sequence: 40}, {after: 2, life: nextLife, sequence: 1},
+		"the next incarnation after silence": {want: nextIncarnation, events: []incarnationEvent{
+			{incarnation: formerIncarnation, sequence: 40}, {after: 2, incarnation: nextIncarnation, sequence: 1},
 		}},
-		"the next life after a start that nobody noticed": {want: nextLife, events: []lifeEvent{
-			{life: formerLife, sequence: 40}, {after: 0.3, life: nextLife, sequence: 1}, {after: 1, life: nextLife, sequence: 2},
+		"the next incarnation after an unnoticed restart": {want: nextIncarnation, events: []incarnationEvent{
+			{incarnation: formerIncarnation, sequence: 40}, {after: 0.3, incarnation: nextIncarnation, sequence: 1}, {after: 1, incarnation: nextIncarnation, sequence: 2},
 		}},
-		"not before it is heard alone": {want: formerLife, events: []lifeEvent{
-			{life: formerLife, sequence: 40}, {after: 0.3, life: nextLife, sequence: 1},
+		"not before it alone sends heartbeats": {want: formerIncarnation, events: []incarnationEvent{
+			{incarnation: formerIncarnation, sequence: 40}, {after: 0.3, incarnation: nextIncarnation, sequence: 1},
 		}},
-		"a late heartbeat of the former life": {want: nextLife, events: []lifeEvent{
-			{life: formerLife, sequence: 40}, {after: 2, life: nextLife, sequence: 1}, {after: 0.5, life: formerLife, sequence: 41},
-			{after: 3, life: formerLife, sequence: 42},
+		"a late heartbeat of the former incarnation": {want: nextIncarnation, events: []incarnationEvent{
+			{incarnation: formerIncarnation, sequence: 40}, {after: 2, incarnation: nextIncarnation, sequence: 1}, {after: 0.5, incarnation: formerIncarnation, sequence: 41},
+			{after: 3, incarnation: formerIncarnation, sequence: 42},
 		}},
-		"a late heartbeat of the former life, to a gateway that restarted": {want: nextLife, events: []lifeEvent{
-			{life: nextLife, sequence: 5}, {event: gatewayRestarts}, {life: nextLife, sequence: 5, event: leaderTells},
-			{after: 0.2, life: formerLife, sequence: 40}, {after: 0.1, life: formerLife, sequence: 41},
-			{after: 0.2, life: nextLife, sequence: 6}, {after: 0.8, life: formerLife, sequence: 42}, {after: 0.2, life: nextLife, sequence: 7},
+		"a late heartbeat of the former incarnation, to a gateway that restarted": {want: nextIncarnation, events: []incarnationEvent{
+			{incarnation: nextIncarnation, sequence: 5}, {event: gatewayRestarts}, {incarnation: nextIncarnation, sequence: 5, event: leaderAnswers},
+			{after: 0.2, incarnation: formerIncarnation, sequence: 40}, {after: 0.1, incarnation: formerIncarnation, sequence: 41},
+			{after: 0.2, incarnation: nextIncarnation, sequence: 6}, {after: 0.8, incarnation: formerIncarnation, sequence: 42}, {after: 0.2, incarnation: nextIncarnation, sequence: 7},
 		}},
-		"a first heartbeat of the former life, late": {want: nextLife, events: []lifeEvent{
-			{life: nextLife, sequence: 5}, {event: gatewayRestarts}, {life: nextLife, sequence: 5, event: leaderTells},
-			{after: 0.2, life: formerLife, sequence: 1}, {after: 0.2, life: nextLife, sequence: 6},
+		"a first heartbeat of the former incarnation, late": {want: nextIncarnation, events: []incarnationEvent{
+			{incarnation: nextIncarnation, sequence: 5}, {event: gatewayRestarts}, {incarnation: nextIncarnation, sequence: 5, event: leaderAnswers},
+			{after: 0.2, incarnation: formerIncarnation, sequence: 1}, {after: 0.2, incarnation: nextIncarnation, sequence: 6},
 		}},
-		"a first heartbeat of an earlier life under another id, late, to a gateway that restarted": {want: nextLife, events: []lifeEvent{
-			{life: nextLife, sequence: 5}, {event: gatewayRestarts}, {life: nextLife, sequence: 5, event: leaderTells},
-			{after: 0.2, life: otherLife, sequence: 1}, {after: 0.7, life: nextLife, sequence: 6}, {after: 0.1, life: otherLife, sequence: 2},
-			{after: 0.8, life: nextLife, sequence: 7},
+		"a first heartbeat of an earlier incarnation under another id, late, to a gateway that restarted": {want: nextIncarnation, events: []incarnationEvent{
+			{incarnation: nextIncarnation, sequence: 5}, {event: gatewayRestarts}, {incarnation: nextIncarnation, sequence: 5, event: leaderAnswers},
+			{after: 0.2, incarnation: otherIncarnation, sequence: 1}, {after: 0.7, incarnation: nextIncarnation, sequence: 6}, {after: 0.1, incarnation: otherIncarnation, sequence: 2},
+			{after: 0.8, incarnation: nextIncarnation, sequence: 7},
 		}},
-		"a first heartbeat under another id after one that leaves": {want: otherLife, events: []lifeEvent{
-			{life: formerLife, sequence: 40}, {life: formerLife, event: deregistered}, {after: 0.2, life: otherLife, sequence: 1},
+		"a first heartbeat under another id after a deregistration": {want: otherIncarnation, events: []incarnationEvent{
+			{incarnation: formerIncarnation, sequence: 40}, {incarnation: formerIncarnation, event: deregistered}, {after: 0.2, incarnation: otherIncarnation, sequence: 1},
 		}},
-		"a first heartbeat under another id after a refused connection": {want: otherLife, events: []lifeEvent{
-			{life: formerLife, sequence: 40}, {life: formerLife, event: connectionRefused}, {after: 0.1, life: otherLife, sequence: 1},
+		"a first heartbeat under another id after a refused connection": {want: otherIncarnation, events: []incarnationEvent{
+			{incarnation: formerIncarnation, sequence: 40}, {incarnation: formerIncarnation, event: connectionRefused}, {after: 0.1, incarnation: otherIncarnation, sequence: 1},
 		}},
-		"first heartbeats under another id alone": {want: otherLife, events: []lifeEvent{
-			{life: formerLife, sequence: 40}, {after: 0.1, life: otherLife, sequence: 1}, {after: 1, life: otherLife, sequence: 2},
+		"only first heartbeats under another id": {want: otherIncarnation, events: []incarnationEvent{
+			{incarnation: formerIncarnation, sequence: 40}, {after: 0.1, incarnation: otherIncarnation, sequence: 1}, {after: 1, incarnation: otherIncarnation, sequence: 2},
 		}},
-		"heartbeats of both, crossed": {want: nextLife, events: []lifeEvent{
-			{life: formerLife, sequence: 40}, {after: 0.2, life: nextLife, sequence: 2}, {after: 0.1, life: formerLife, sequence: 41},
-			{after: 0.1, life: nextLife, sequence: 1}, {after: 0.9, life: nextLife, sequence: 3}, {after: 1, life: nextLife, sequence: 4},
+		"heartbeats of both, out of order": {want: nextIncarnation, events: []incarnationEvent{
+			{incarnation: formerIncarnation, sequence: 40}, {after: 0.2, incarnation: nextIncarnation, sequence: 2}, {after: 0.1, incarnation: formerIncarnation, sequence: 41},
+			{after: 0.1, incarnation: nextIncarnation, sequence: 1}, {after: 0.9, incarnation: nextIncarnation, sequence: 3}, {after: 1, incarnation: nextIncarnation, sequence: 4},
 		}},
-		"a heartbeat twice": {want: formerLife, events: []lifeEvent{
-			{life: formerLife, sequence: 40}, {after: 0.4, life: nextLife, sequence: 1}, {after: 1, life: nextLife, sequence: 1},
+		"a heartbeat twice": {want: formerIncarnation, events: []incarnationEvent{
+			{incarnation: formerIncarnation, sequence: 40}, {after: 0.4, incarnation: nextIncarnation, sequence: 1}, {after: 1, incarnation: nextIncarnation, sequence: 1},
 		}},
-		"a restarted gateway beside the next life": {want: nextLife, events: []lifeEvent{
-			{event: gatewayRestarts}, {life: formerLife, sequence: 40, event: leaderTells},
-			{after: 0.5, life: nextLife, sequence: 7}, {after: 1, life: nextLife, sequence: 8},
+		"a restarted gateway and the next incarnation": {want: nextIncarnation, events: []incarnationEvent{
+			{event: gatewayRestarts}, {incarnation: formerIncarnation, sequence: 40, event: leaderAnswers},
+			{after: 0.5, incarnation: nextIncarnation, sequence: 7}, {after: 1, incarnation: nextIncarnation, sequence: 8},
 		}},
-		"a late word of the former life that was told first": {want: nextLife, events: []lifeEvent{
-			{event: gatewayRestarts}, {life: formerLife, sequence: 40}, {after: 0.3, life: nextLife, sequence: 7},
-			{after: 1, life: nextLife, sequence: 8},
+		"a late heartbeat of the former incarnation that arrives first": {want: nextIncarnation, events: []incarnationEvent{
+			{event: gatewayRestarts}, {incarnation: formerIncarnation, sequence: 40}, {after: 0.3, incarnation: nextIncarnation, sequence: 7},
+			{after: 1, incarnation: nextIncarnation, sequence: 8},
 		}},
-		"a third life": {want: thirdLife, events: []lifeEvent{
-			{life: formerLife, sequence: 40}, {after: 2, life: nextLife, sequence: 1}, {after: 2, life: thirdLife, sequence: 1},
-			{after: 0.1, life: formerLife, sequence: 50}, {after: 0.1, life: nextLife, sequence: 9},
+		"a third incarnation": {want: thirdIncarnation, events: []incarnationEvent{
+			{incarnation: formerIncarnation, sequence: 40}, {after: 2, incarnation: nextIncarnation, sequence: 1}, {after: 2, incarnation: thirdIncarnation, sequence: 1},
+			{after: 0.1, incarnation: formerIncarnation, sequence: 50}, {after: 0.1, incarnation: nextIncarnation, sequence: 9},
 		}},
-		"a deregistration of the former life, late": {want: nextLife, events: []lifeEvent{
-			{life: formerLife, sequence: 40}, {after: 2, life: nextLife, sequence: 1}, {life: formerLife, event: deregistered},
+		"a deregistration of the former incarnation, late": {want: nextIncarnation, events: []incarnationEvent{
+			{incarnation: formerIncarnation, sequence: 40}, {after: 2, incarnation: nextIncarnation, sequence: 1}, {incarnation: formerIncarnation, event: deregistered},
 		}},
-		"an end of the former life, late": {want: nextLife, events: []lifeEvent{
-			{life: formerLife, sequence: 40}, {after: 2, life: nextLife, sequence: 1}, {life: formerLife, event: connectionRefused},
+		"a refused connection to the former incarnation, late": {want: nextIncarnation, events: []incarnationEvent{
+			{incarnation: formerIncarnation, sequence: 40}, {after: 2, incarnation: nextIncarnation, sequence: 1}, {incarnation: formerIncarnation, event: connectionRefused},
 		}},
-		"a deregistration without a start": {want: nextLife, gone: true, events: []lifeEvent{
-			{life: nextLife, sequence: 1}, {life: "i-1", event: deregistered},
+		"a deregistration without a start time": {want: nextIncarnation, gone: true, events: []incarnationEvent{
+			{incarnation: nextIncarnation, sequence: 1}, {incarnation: "i-1", event: deregistered},
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRegistry(func() {})
-			r.interval = beatInterval
+			r.interval = heartbeatInterval
 			now := steady.Reading()
-			for _, each := range test.events {
-				now = now.Add(time.Duration(each.after * float64(beatInterval)))
-				r = each.happen(r, now)
+			for _, event := range test.events {
+				now = now.Add(time.Duration(event.after * float64(heartbeatInterval)))
+				r = event.apply(r, now)
 			}
-			present := r.snapshot()
-			assert.Equal(t, present.ID, test.want)
-			assert.Equal(t, present.State != fleetwire.InstanceReady, test.gone)
+			current := r.snapshot()
+			assert.Equal(t, current.ID, test.want)
+			assert.Equal(t, current.State != fleetwire.InstanceReady, test.gone)
 		})
 	}
 }
 
-// followingLife is the next one of the rig's back end, "i-1".
-var followingLife = incarnation.Incarnation{ID: "i-1", Born: 5}.Name()
+// successorIncarnation is the next incarnation of the rig's back end, "i-1".
+var successorIncarnation = incarnation.Incarnation{ID: "i-1", Born: 5}.Name()
 
-// livesHold is for how long keys are granted in the rig: longer than a life is silent before
-// the next one is heard.
-const livesHold = 2 * time.Second
+// incarnationKeyHold is how long keys are granted in the rig: longer than an incarnation is
+// silent before the next one's first heartbeat.
+const incarnationKeyHold = 2 * time.Second
 
-// newLivesRig is a key keeper whose back end may start again.
-func newLivesRig(t *testing.T) *keyRig {
+// newIncarnationRig returns a rig whose back end may restart.
+func newIncarnationRig(t *testing.T) *keyRig {
 	rig := newKeyRig(t)
-	rig.g.config.KeyHold = livesHold
-	rig.g.registry.interval = beatInterval
+	rig.g.config.KeyHold = incarnationKeyHold
+	rig.g.registry.interval = heartbeatInterval
 	rig.g.registry.yields = rig.g.keys.yield
 	return rig
 }
 
-// hearNext hears the next life after the present one has been silent.
-func (r *keyRig) hearNext() {
-	time.Sleep(2 * beatInterval)
-	next := Registration{ID: followingLife, Service: "s", Slots: 4, State: fleetwire.InstanceReady, Sequence: 1}
+// nextHeartbeat delivers the first heartbeat of the next incarnation after the current one has
+// been silent.
+func (r *keyRig) nextHeartbeat() {
+	time.Sleep(2 * heartbeatInterval)
+	next := Registration{ID: successorIncarnation, Service: "s", Slots: 4, State: fleetwire.InstanceReady, Sequence: 1}
 	r.g.registry.heartbeat(next, time.Second, steady.Reading())
 }
 
-// Another life at the address proves no end of the one before, which may have closed its
-// listener alone, and no answer from there shortens its time: it takes renewals that were
-// meant for the former one. The leader hears of it once that time is over.
-func TestTheNextLifeIsToldOfOnceTheFormerOnesTimeIsOver(t *testing.T) {
+// Another incarnation at the address does not prove the end of the former one, which may only
+// have closed its listener, and no answer from there shortens the time of the former one's
+// grants: the other one also receives renewals meant for the former one. The leader is told of
+// it once those grants have expired.
+func TestTheNextIncarnationIsReportedOnceTheFormerOnesGrantsExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newLivesRig(t)
+		rig := newIncarnationRig(t)
 		rig.lease(held(0, 9), nil)
 		assert.Assert(t, rig.g.keys.holds("i-1", 4, steady.Reading()))
-		rig.hearNext()
-		assert.Equal(t, rig.g.registry.snapshot().ID, "i-1", "its predecessor's keys may be held")
+		rig.nextHeartbeat()
+		assert.Equal(t, rig.g.registry.snapshot().ID, "i-1", "the former incarnation may hold its keys")
 		assert.Assert(t, !rig.g.keys.holds("i-1", 4, steady.Reading()))
 		granted := rig.holder.granted()
-		time.Sleep(livesHold - livesHold/renewals)
+		time.Sleep(incarnationKeyHold - incarnationKeyHold/renewals)
 		synctest.Wait()
 		assert.Equal(t, rig.g.registry.snapshot().ID, "i-1")
 		assert.Equal(t, len(rig.holder.granted()), len(granted), "nothing more is granted")
-		time.Sleep(livesHold/renewals + 2*keysInterval)
+		time.Sleep(incarnationKeyHold/renewals + 2*keysInterval)
 		synctest.Wait()
-		assert.Equal(t, rig.g.registry.snapshot().ID, followingLife)
+		assert.Equal(t, rig.g.registry.snapshot().ID, successorIncarnation)
 		assert.Assert(t, rig.g.session.build().EarlierOver)
 	})
 }
 
-// The next life is believed though renewals were not answered. One may still be carried out
-// by the former life, so that its keys are free only once it can't be any more.
-func TestGrantsWithoutAnswerHoldTheFormerLifesKeysAndNotTheNextLife(t *testing.T) {
+// The next incarnation is accepted although renewals were not answered. The former one may
+// still apply such a renewal, so that its keys are free only once it can't any more.
+func TestUnansweredGrantsDelayTheFormerIncarnationsKeysButNotTheNextIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newLivesRig(t)
+		rig := newIncarnationRig(t)
 		rig.lease(held(0, 9), nil)
 		rig.holder.setRefuse(errNoAnswer)
-		rig.hearNext()
-		time.Sleep(2 * livesHold)
+		rig.nextHeartbeat()
+		time.Sleep(2 * incarnationKeyHold)
 		synctest.Wait()
-		assert.Equal(t, rig.g.registry.snapshot().ID, followingLife)
+		assert.Equal(t, rig.g.registry.snapshot().ID, successorIncarnation)
 		assert.Assert(t, !rig.g.session.build().EarlierOver)
-		time.Sleep(openKept)
+		time.Sleep(maxGrantDelay)
 		assert.Assert(t, rig.g.session.build().EarlierOver)
 	})
 }
 
-// A present life that is heard again gets its keys back.
-func TestAPresentLifeThatIsHeardAgainKeepsItsPlace(t *testing.T) {
+// A current incarnation that sends a heartbeat again gets its keys back.
+func TestACurrentIncarnationThatSendsAHeartbeatAgainStaysCurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newLivesRig(t)
+		rig := newIncarnationRig(t)
 		rig.lease(held(0, 9), nil)
 		rig.holder.setRefuse(errNoAnswer)
-		rig.hearNext()
+		rig.nextHeartbeat()
 		rig.holder.setRefuse(nil)
 		_, err := rig.g.Heartbeat(Registration{ID: "i-1", Service: "s", Slots: 4, State: fleetwire.InstanceReady, Sequence: 2})
 		assert.NilError(t, err)
@@ -228,12 +231,12 @@
 	})
 }
 
-// A life that the leader knew and that has not proved itself promises nothing: it may
-// live, and hold what an earlier process has granted.
-func TestALifeThatHasNotProvedItselfPromisesNothing(t *testing.T) {
+// An incarnation that the leader knew and that has not been verified reports no releases: it
+// may be running, and hold what an earlier process has granted.
+func TestAnUnverifiedIncarnationReportsNoReleases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newKeyRig(t)
-		rig.g.registry.unproved = true
+		rig.g.registry.unverified = true
 		rig.g.config.Service = "s"
 		advance(t, rig.g.views, &fleetwire.View{Document: &routeconfig.Document{Version: 1, Services: []routeconfig.Service{{Name: "s", Keyed: true, WarmupRate: coldRate}}}})
 		assert.Assert(t, rig.g.unproved())
@@ -242,50 +245,50 @@
 	})
 }
 
-// The process of the gateway before this one may have granted, too: the time of that must be
-// over though this one has granted nothing, and also where no lease has come yet.
-func TestGrantsOfAnEarlierProcessHoldTheNextLifeUp(t *testing.T) {
+// The previous process of the gateway may have sent grants, too: they must have expired even
+// if this process has granted nothing, and even if no lease has arrived yet.
+func TestGrantsOfAnEarlierProcessDelayTheNextIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newLivesRig(t)
-		rig.hearNext()
+		rig := newIncarnationRig(t)
+		rig.nextHeartbeat()
 		assert.Equal(t, rig.g.registry.snapshot().ID, "i-1")
 		assert.Assert(t, !rig.g.session.build().EarlierOver)
 		time.Sleep(steady.Until(rig.g.keys.earlierProcessUntil().Add(2 * keysInterval)))
 		synctest.Wait()
-		assert.Equal(t, rig.g.registry.snapshot().ID, followingLife)
+		assert.Equal(t, rig.g.registry.snapshot().ID, successorIncarnation)
 		assert.Assert(t, rig.g.session.build().EarlierOver)
 	})
 }
 
-// slowHolder answers grants only when it is told to.
+// slowHolder answers grants only when the test tells it to.
 type slowHolder struct {
 	fakeHolder
-	asked, answer chan struct{}
+	called, answer chan struct{}
 }
 
 func (h *slowHolder) Grant(context.Context, GrantOrder) error {
-	h.asked <- struct{}{}
+	h.called <- struct{}{}
 	<-h.answer
 	return errNoAnswer
 }
 
-// A grant that is on its way as its life can't be reached any more may still be carried out.
-// The leader is told that the keys are free once it can't.
-func TestKeysOfALifeThatHasEndedAreFreeOnceNoGrantIsOnItsWay(t *testing.T) {
+// A grant in flight when its incarnation becomes unreachable may still be applied. The leader
+// is told that the keys are free once it can't be any more.
+func TestKeysOfAnUnreachableIncarnationAreFreeOnceNoGrantIsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newLivesRig(t)
-		holder := &slowHolder{asked: make(chan struct{}, 1), answer: make(chan struct{})}
+		rig := newIncarnationRig(t)
+		holder := &slowHolder{called: make(chan struct{}, 1), answer: make(chan struct{})}
 		rig.g.config.Keys = holder
 		rig.lease(held(0, 9), nil)
-		<-holder.asked
+		<-holder.called
 		rig.g.registry.lost("i-1")
 		time.Sleep(2 * keysInterval)
 		synctest.Wait()
 		ended := rig.g.registry.snapshot()
-		assert.Equal(t, ended.State, fleetwire.InstanceGone, "it gets nothing from now on")
+		assert.Equal(t, ended.State, fleetwire.InstanceGone, "it gets no new requests")
 		assert.Assert(t, !ended.Released)
 		close(holder.answer)
-		time.Sleep(openKept - keysInterval)
+		time.Sleep(maxGrantDelay - keysInterval)
 		synctest.Wait()
 		assert.Assert(t, !rig.g.registry.snapshot().Released, "the grant had no answer")
 		time.Sleep(3 * keysInterval)
@@ -294,55 +297,56 @@
 	})
 }
 
-// A gateway that has restarted beside a back end that has, too, knows the life that the
-// leader knew, which has not proved itself and never will. The next one is held up for the
-// time of one grant from the gateway's start, and no longer.
-func TestTheNextLifeIsBelievedSoonWhereTheFormerOneNeverProvedItself(t *testing.T) {
+// A gateway that restarted together with its back end knows the incarnation that the leader
+// knew, which will never be verified. The next one is delayed by the duration of one grant
+// from the gateway's start, and no longer.
+func TestTheSuccessorOfAnUnverifiedIncarnationIsAcceptedSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newLivesRig(t)
-		rig.g.registry.unproved = true
+		rig := newIncarnationRig(t)
+		rig.g.registry.unverified = true
 		rig.g.config.Service = "s"
 		advance(t, rig.g.views, &fleetwire.View{Document: &routeconfig.Document{Version: 1, Services: []routeconfig.Service{{Name: "s", Keyed: true, WarmupRate: coldRate}}}})
 		rig.lease(held(0, 9), nil)
-		rig.hearNext()
+		rig.nextHeartbeat()
 		assert.Equal(t, rig.g.registry.snapshot().ID, "i-1")
 		time.Sleep(steady.Until(rig.g.keys.earlierProcessUntil().Add(2 * keysInterval)))
 		synctest.Wait()
 		assert.Equal(t, len(rig.holder.granted()), 0)
-		assert.Equal(t, rig.g.registry.snapshot().ID, followingLife)
+		assert.Equal(t, rig.g.registry.snapshot().ID, successorIncarnation)
 	})
 }
 
-// A back end whose service is not divided by key holds nothing: its next life waits for
-// nothing.
-func TestTheNextLifeOfAServiceWithoutKeysIsBelievedAtOnce(t *testing.T) {
+// A back end whose service is not divided by key holds nothing: its next incarnation need not
+// wait.
+func TestTheNextIncarnationOfAServiceWithoutKeysIsAcceptedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newLivesRig(t)
+		rig := newIncarnationRig(t)
 		advance(t, rig.g.views, &fleetwire.View{Document: &routeconfig.Document{Version: 1, Services: []routeconfig.Service{{Name: "s"}}}})
-		rig.hearNext()
-		assert.Equal(t, rig.g.registry.snapshot().ID, followingLife)
+		rig.nextHeartbeat()
+		assert.Equal(t, rig.g.registry.snapshot().ID, successorIncarnation)
 	})
 }
 
-// A gateway that had restarted took the word of another writer for its back end's, before
-// it knew any life or configuration. The leader gave the keys of the life that it knew to
-// others while that held them: "side-7-0 and side-12-0 both hold keys of 16384 to 17671".
-// So it waits for the leader to tell the life that it knew, unless a life has just begun.
-func TestAGatewayThatKnowsNoLifeWaitsForTheLeaderToTellOne(t *testing.T) {
+// A gateway that had restarted accepted a heartbeat of another sender as its back end's,
+// before it knew any incarnation or configuration. The leader reassigned the keys of the
+// incarnation that it knew while that one held them: "side-7-0 and side-12-0 both hold keys of
+// 16384 to 17671". So the gateway waits for the leader to tell the incarnation that it knew,
+// unless an incarnation has just started.
+func TestAGatewayThatKnowsNoIncarnationWaitsForTheLeader(t *testing.T) {
 	for name, test := range map[string]struct {
 		known, want string
 	}{
-		"the life that was heard":     {known: formerLife, want: formerLife},
-		"another one":                 {known: nextLife, want: nextLife},
-		"none, so that it is a start": {want: formerLife},
+		"the incarnation that sent the heartbeat": {known: formerIncarnation, want: formerIncarnation},
+		"another one":                     {known: nextIncarnation, want: nextIncarnation},
+		"none, so that the sender is new": {want: formerIncarnation},
 	} {
 		t.Run(name, func(t *testing.T) {
 			answered := false
 			r := newRegistry(func() {})
-			r.interval = beatInterval
+			r.interval = heartbeatInterval
 			r.leaderAnswered = func() bool { return answered }
 			now := steady.Reading()
-			beat(r, formerLife, 40, now)
+			sendHeartbeat(r, formerIncarnation, 40, now)
 			assert.Equal(t, r.snapshot().ID, "")
 			if test.known != "" {
 				r.restore(fleetwire.Instance{ID: test.known, Service: "s", State: fleetwire.InstanceReady, Sequence: 5}, time.Second, now)
@@ -354,17 +358,17 @@
 	}
 	r := newRegistry(func() {})
 	r.leaderAnswered = func() bool { return false }
-	beat(r, nextLife, 1, steady.Reading())
-	assert.Equal(t, r.snapshot().ID, nextLife, "a life that has just begun")
+	sendHeartbeat(r, nextIncarnation, 1, steady.Reading())
+	assert.Equal(t, r.snapshot().ID, nextIncarnation, "an incarnation that has just started")
 }
 
-// A gateway stands beside one service; a heartbeat of another tells nothing, whatever is
-// known of the configuration.
-func TestAHeartbeatOfAnotherServiceTellsNothing(t *testing.T) {
+// A gateway serves the back end of one service; a heartbeat of another service is refused,
+// whatever is known of the configuration.
+func TestAHeartbeatOfAnotherServiceIsRefused(t *testing.T) {
 	rig := newKeyRig(t)
 	rig.g.config.Service = "s"
 	_, err := rig.g.Heartbeat(Registration{ID: "i-2", Service: "unheard-of", Slots: 4, State: fleetwire.InstanceDraining, Sequence: 1})
 	assert.ErrorIs(t, err, ErrOtherService)
-	assert.Equal(t, refusalReason(err), "other-service")
+	assert.Equal(t, heartbeatRefusalReason(err), "other-service")
 	assert.Equal(t, rig.g.registry.snapshot().ID, "i-1")
 }
--- a/internal/gateway/ownerlost_test.go
+++ b/internal/gateway/ownerlost_test.go
@@ -10,9 +10,9 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// A caller is told when the key of a back end that can't be reached may have another owner:
-// asked again before, the same gateway could only refuse again.
-func TestARefusalTellsWhenALostOwnersKeysAreFree(t *testing.T) {
+// A caller is told when the key of an unreachable back end may have another owner: if it asked
+// again earlier, the same gateway could only refuse again.
+func TestARefusalTellsWhenTheKeysOfAnUnreachableOwnerAreFree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newKeyRig(t)
 		time.Sleep(3 * time.Second)
@@ -31,20 +31,20 @@
 	})
 }
 
-// A request waits for the next owner of its key where that comes in its time, and is refused
-// at once where it does not.
-func TestARequestForALostOwnersKeyWaitsOnlyWhereThatHelps(t *testing.T) {
+// A request waits for the next owner of its key if there will be one before its deadline, and
+// is refused at once otherwise.
+func TestARequestForAnUnreachableOwnersKeyWaitsOnlyIfTheKeyIsFreeInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
-		rig.owns(t, 1, "i-1")
+		rig.setOwner(t, 1, "i-1")
 		lost := notRun(reasonOwnerLost)
 		lost.RetryAfter = 800 * time.Millisecond
 		began := steady.Reading()
 		assert.Assert(t, !rig.g.awaitOwner(t.Context(), "s", 5, "i-1", lost, began.Add(700*time.Millisecond)))
-		assert.Equal(t, steady.Elapsed(began), time.Duration(0), "it would wait in vain")
+		assert.Equal(t, steady.Elapsed(began), time.Duration(0), "the next owner would come after its deadline")
 		go func() {
 			time.Sleep(500 * time.Millisecond)
-			rig.owns(t, 2, "i-2")
+			rig.setOwner(t, 2, "i-2")
 		}()
 		assert.Assert(t, rig.g.awaitOwner(t.Context(), "s", 5, "i-1", lost, began.Add(time.Second)))
 		assert.Equal(t, steady.Elapsed(began), 500*time.Millisecond)
--- a/internal/gateway/ownershiporders_test.go
+++ b/internal/gateway/ownershiporders_test.go
@@ -13,11 +13,11 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// The way of granting changes from heartbeats to calls. An answer that offered the keys is
-// still on its way as the release is answered, and is taken after that.
+// The configuration changes from grants by heartbeat to grants by call. An answer that offered
+// the keys is still in flight when the release is answered, and is applied after that.
 func TestAReleaseByCallWaitsForAnswersThatOfferedTheKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newOwnersRig(t, routeconfig.GrantByHeartbeat)
+		rig := newHandoverRig(t, routeconfig.GrantByHeartbeat)
 		rig.run(6 * time.Second)
 		rig.sequence++
 		sent := steady.Reading()
@@ -34,39 +34,40 @@
 	})
 }
 
-// Another life under the same id is heard, and answers the release.
-func TestAReleaseThatIsAnsweredWhileAnotherLifeIsHeardProvesNothing(t *testing.T) {
+// Another incarnation under the same id has sent a heartbeat, and answers the release.
+func TestAReleaseThatIsAnsweredWhileAnotherIncarnationWaitsDoesNotCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newLivesRig(t)
+		rig := newIncarnationRig(t)
 		rig.lease(held(0, 9), nil)
-		rig.hearNext()
-		assert.Assert(t, rig.g.keys.yielding)
-		over := rig.g.keys.timeOver(steady.Reading())
+		rig.nextHeartbeat()
+		assert.Assert(t, rig.g.keys.grantsStopped)
+		over := rig.g.keys.allGrantsExpired(steady.Reading())
 		assert.Assert(t, !over)
 		rig.lease(nil, held(0, 9))
 		synctest.Wait()
-		assert.Assert(t, !rig.g.keys.timeOver(steady.Reading()))
-		assert.Equal(t, len(rig.g.keys.promises(0)), 0, "promised for the word of the other life")
+		assert.Assert(t, !rig.g.keys.allGrantsExpired(steady.Reading()))
+		assert.Equal(t, len(rig.g.keys.promises(0)), 0, "reported as released because of the other incarnation's answer")
 	})
 }
 
-// The gateway's process before this one sent a grant to a back end that stands still. This
-// one has granted nothing, for the back end has not proved itself.
-func TestAGrantOfAnEarlierProcessMayLieUnread(t *testing.T) {
+// The previous process of the gateway sent a grant to a back end that is stalled. This process
+// has granted nothing, because the back end is not verified.
+func TestKeysAreNotReleasedWhileAGrantOfAnEarlierProcessMayBeUnread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newLivesRig(t)
+		rig := newIncarnationRig(t)
 		rig.g.config.Service = "s"
 		advance(t, rig.g.views, &fleetwire.View{Document: &routeconfig.Document{Version: 1, Services: []routeconfig.Service{{Name: "s", Keyed: true, WarmupRate: coldRate}}}})
-		rig.g.registry.unproved = true
+		rig.g.registry.unverified = true
 		time.Sleep(5 * time.Second)
 		rig.lease(nil, asked(0, 9))
 		assert.Equal(t, len(rig.holder.granted()), 0)
-		assert.Equal(t, len(rig.g.keys.promises(0)), 0, "a grant of the earlier process may lie unread before it")
+		assert.Equal(t, len(rig.g.keys.promises(0)), 0, "a grant of the earlier process may be unread at the back end")
 	})
 }
 
 // The first report of a process that found no leader for a while is built before its first
-// view: it does not know yet that its back end gets keys by heartbeat, for longer.
+// view: the process does not know yet that its back end gets keys by heartbeat, whose grants
+// last longer.
 func TestAnEarlierProcessMayHaveOfferedByHeartbeat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newKeyRig(t)
@@ -78,8 +79,8 @@
 	})
 }
 
-// The same, where the configuration has changed from heartbeats to calls meanwhile.
-func TestAnEarlierProcessMayHaveOfferedBeforeAChange(t *testing.T) {
+// The same, if the configuration has changed from heartbeats to calls in the meantime.
+func TestAnEarlierProcessMayHaveOfferedBeforeAChangeOfConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newKeyRig(t)
 		rig.setGrants(routeconfig.GrantByCall, 2)
@@ -88,22 +89,22 @@
 	})
 }
 
-// Nothing listened for a tenth of a second. The back end is well, and its next heartbeat
-// comes an interval later; until then nothing looks whether it listens again.
-func TestAnOwnerThatRefusedForAMomentKeepsItsKeys(t *testing.T) {
+// The back end did not listen for 100 ms. It is healthy, and its next heartbeat arrives an
+// interval later; until then the gateway must check by itself whether it listens again.
+func TestAnOwnerThatRefusedConnectionsForAMomentKeepsItsKeys(t *testing.T) {
 	for _, interval := range []int{40, 43, 65} { // steps of 20 ms: 0.8, 0.86 and 1.3 s
 		lost := 0
 		for phase := range interval {
 			moved := false
 			synctest.Test(t, func(t *testing.T) {
-				rig := newOwnersRig(t, routeconfig.GrantByCall)
+				rig := newHandoverRig(t, routeconfig.GrantByCall)
 				rig.run(6 * time.Second)
 				rig.silent = true
 				beats := func(steps int) {
 					for range steps {
 						rig.step()
 						if rig.steps%interval == 0 {
-							rig.sendBeat()
+							rig.sendHeartbeat()
 						}
 					}
 				}
@@ -112,9 +113,9 @@
 					beats(1)
 				}
 				rig.moved = false
-				rig.refuses(true)
+				rig.setRefusing(true)
 				beats(5)
-				rig.listens()
+				rig.listen()
 				beats(250)
 				moved = rig.moved
 			})
@@ -123,24 +124,25 @@
 			}
 		}
 		if lost > 0 {
-			t.Errorf("heartbeats each %v: its keys went to another one at %d of %d moments", time.Duration(interval)*ownersStep, lost, interval)
+			t.Errorf("heartbeats each %v: its keys went to another back end at %d of %d moments", time.Duration(interval)*handoverStep, lost, interval)
 		}
 	}
 }
 
-// It is heard and reached again at each moment around that at which its keys are told free.
-func TestAnOwnerIsReachedAgainAtAnyMoment(t *testing.T) {
+// The back end listens and sends heartbeats again at each moment around the one at which its
+// keys are reported free.
+func TestAnOwnerBecomesReachableAgainAtAnyMoment(t *testing.T) {
 	for _, grants := range []routeconfig.GrantMode{routeconfig.GrantByCall, routeconfig.GrantByHeartbeat} {
 		for wait := range 80 {
 			synctest.Test(t, func(t *testing.T) {
-				rig := newOwnersRig(t, grants)
+				rig := newHandoverRig(t, grants)
 				rig.run(6 * time.Second)
-				rig.refuses(true)
+				rig.setRefusing(true)
 				rig.silent = true
-				rig.run(time.Duration(wait) * 2 * ownersStep)
-				rig.listens()
+				rig.run(time.Duration(wait) * 2 * handoverStep)
+				rig.listen()
 				rig.silent = false
-				rig.sendBeat()
+				rig.sendHeartbeat()
 				rig.run(4 * time.Second)
 				assert.Equal(t, rig.g.registry.snapshot().State, fleetwire.InstanceReady)
 			})
@@ -148,25 +150,26 @@
 	}
 }
 
-// The rig's own word that the keys have another owner must not be set before they have the
-// first one: the table of the incident asks for it, and runUntilMoved waits for it.
-func TestTheRigDoesNotTakeKeysForMovedFromTheStart(t *testing.T) {
+// The rig's flag that the keys have another owner must not be set before they have the first
+// one: TestKeysHaveANextOwnerOnlyOnceTheFormerOneHoldsNone checks it, and runUntilMoved waits
+// for it.
+func TestTheRigDoesNotConsiderKeysMovedFromTheStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newOwnersRig(t, routeconfig.GrantByCall)
+		rig := newHandoverRig(t, routeconfig.GrantByCall)
 		rig.run(6 * time.Second)
 		assert.Assert(t, rig.ownedBy("i-1") > 0)
 		assert.Assert(t, !rig.moved)
 	})
 }
 
-// The way of granting changes from calls to heartbeats as a grant is on its way: the process
-// stands still before it sends it.
-func TestAPromiseByHeartbeatWaitsForAGrantOnItsWay(t *testing.T) {
+// The configuration changes from grants by call to grants by heartbeat while a grant is in
+// flight: the process is stalled before it sends it.
+func TestAReleaseByHeartbeatWaitsForAGrantInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newKeyRig(t)
-		holder := &addressHolder{former: &heldProcess{}}
+		holder := &addressBackend{former: &backendProcess{}}
 		holder.setStall(3 * time.Second)
-		defer time.Sleep(4 * time.Second) // what is on its way ends
+		defer time.Sleep(4 * time.Second) // until the grant in flight has ended
 		rig.g.config.Keys = holder
 		rig.lease(held(0, 9), nil)
 		rig.setGrants(routeconfig.GrantByHeartbeat, 1)
@@ -176,13 +179,14 @@
 		rig.beat(t, "i-1", nil)
 		rig.lease(nil, held(0, 9))
 		assert.Assert(t, rig.g.keys.grants[heldKey{held(0, 9)[0].Keys, 7}].bound.Sending())
-		assert.Equal(t, len(rig.g.keys.promises(0)), 0, "a grant is on its way")
+		assert.Equal(t, len(rig.g.keys.promises(0)), 0, "a grant is in flight")
 	})
 }
 
-// Nothing listened at its address for a moment, and a heartbeat of an earlier life comes late.
-// The back end is well and heard each 1.3 s: it must be the present one again.
-func TestALateHeartbeatWhileOneCannotBeReachedDoesNotEndIt(t *testing.T) {
+// The back end did not listen for a moment, and a heartbeat of an earlier incarnation arrives
+// late. The back end is healthy and sends a heartbeat each 1.3 s: it must become reachable
+// again.
+func TestALateHeartbeatDoesNotEndAnUnreachableIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newKeyRig(t)
 		rig.g.registry.interval = 1300 * time.Millisecond
@@ -193,7 +197,7 @@
 		rig.lease(held(0, 9), nil)
 		rig.g.registry.lost("i-1")
 		rig.g.registry.lookAgain = rig.g.registry.reached // it listens again
-		rig.beatWith(t, "i-0", 40, nil, nil)
+		rig.heartbeatWith(t, "i-0", 40, nil, nil)
 		time.Sleep(1200 * time.Millisecond)
 		for range 10 {
 			rig.beat(t, "i-1", nil)
@@ -203,9 +207,9 @@
 	})
 }
 
-// The keeper's process stands still for a moment after it read the clock. A lease that was
-// asked for since, and before the keys were told free, gives nothing.
-func TestALeaseAskedForBeforeTheKeysWereToldFreeGivesNothing(t *testing.T) {
+// The gateway's process is stalled for a moment after it read the clock. A lease that was
+// requested since, but before the keys were reported free, must be ignored.
+func TestALeaseRequestedBeforeTheKeysWereReportedFreeIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newKeyRig(t)
 		rig.setGrants(routeconfig.GrantByCall, 1)
@@ -220,17 +224,18 @@
 		assert.Equal(t, rig.g.session.build().Instance.State, fleetwire.InstanceReady)
 		time.Sleep(time.Millisecond)
 		rig.g.registry.lost("i-1")
-		rig.g.keys.work(t.Context(), read)
+		rig.g.keys.step(t.Context(), read)
 		assert.Assert(t, rig.g.registry.snapshot().Released)
 		rig.g.keys.take(&fleetwire.Lease{SentAt: asked, Duration: 8 * time.Second, Instance: "i-1", Held: held(0, 9)}, rig.epoch)
 		assert.Equal(t, rig.g.keys.rangesHeld(), 0)
 	})
 }
 
-// A range that is to be given up may be covered under the leases that allow it. Later leases
-// are longer and do not. A cover that its process began before their end and sends after it
-// must not leave: the leader has given the range away then.
-func TestACoverThatWasBegunInTimeDoesNotLeaveTooLate(t *testing.T) {
+// A superseding grant of a range to be released is allowed only under leases that say so.
+// Later leases last longer and do not allow it. A superseding grant that was started before
+// the last such lease ended must not be sent after its end: by then the leader has reassigned
+// the range.
+func TestASupersedingGrantIsNotSentAfterTheLastLeaseThatAllowsIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newKeyRig(t)
 		rig.setGrants(routeconfig.GrantByCall, 1)
@@ -240,7 +245,7 @@
 		time.Sleep(time.Second)
 		rig.lease(nil, asked(0, 9))
 		key := heldKey{held(0, 9)[0].Keys, 7}
-		until := rig.g.keys.releases[key].coverUntil
+		until := rig.g.keys.releases[key].supersedeUntil
 		for !steady.Reading().After(until.Add(time.Second)) {
 			rig.lease(nil, held(0, 9))
 			time.Sleep(keysInterval)
@@ -250,26 +255,26 @@
 		if sent == nil {
 			sent = &grant{Held: held(0, 9)[0]}
 		}
-		sent.bound.Send(leastHold) // as cover has done before the end
+		sent.bound.Send(minGrantDuration) // as supersede has done before the end
 		rig.g.keys.mutex.Unlock()
-		_, ok := rig.g.keys.prepare("i-1", sent, grantTerms{longest: leastHold, until: until})
+		_, ok := rig.g.keys.prepareGrant("i-1", sent, grantLimits{maxDuration: minGrantDuration, endsBefore: until})
 		assert.Assert(t, !ok, "sent %v after the last lease that allows it", steady.Elapsed(until))
 	})
 }
 
-// Nothing listened for a moment, and then another life does, which is heard. What accepts
-// connections is that one: the former one must not be taken for there again by it, and granted
-// keys for another while.
-func TestALifeIsNotReachedAgainByTheNextOnesListener(t *testing.T) {
+// The back end does not listen for a moment; then another incarnation, which has sent a
+// heartbeat, does. The former one must not be considered reachable again because of that
+// listener, and be granted keys for longer.
+func TestAnIncarnationIsNotReachableThroughItsSuccessorsListener(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newOwnersRig(t, routeconfig.GrantByCall)
+		rig := newHandoverRig(t, routeconfig.GrantByCall)
 		rig.run(6 * time.Second)
-		rig.refuses(true)
+		rig.setRefusing(true)
 		rig.silent = true
 		rig.run(300 * time.Millisecond)
-		rig.holder.set(func() { rig.holder.next = &heldProcess{} })
+		rig.holder.set(func() { rig.holder.next = &backendProcess{} })
 		rig.g.registry.heartbeat(Registration{ID: "i-5", Service: "s", Slots: 4, State: fleetwire.InstanceReady, Sequence: 1}, time.Second, steady.Reading())
-		rig.listens()
+		rig.listen()
 		rig.run(300 * time.Millisecond)
 		assert.Equal(t, rig.g.registry.snapshot().State, fleetwire.InstanceGone)
 		rig.run(DefaultKeyHold)
@@ -277,15 +282,15 @@
 	})
 }
 
-// A gateway has restarted beside a back end that can't be reached and stands still. A grant of
-// its earlier process may lie unread before it, also where no lease has listed a range to this
-// one.
-func TestOneThatNeverAnsweredThisProcessIsNotToldFreeByTime(t *testing.T) {
+// A gateway has restarted while its back end is unreachable and stalled. A grant of the
+// earlier process may be queued, unread, at the back end, even if no lease has listed a range
+// to this process.
+func TestKeysOfABackEndThatNeverAnsweredThisProcessAreNotFreeByExpiryAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newLivesRig(t)
+		rig := newIncarnationRig(t)
 		rig.g.registry.lost("i-1")
 		rig.lease(nil, nil)
-		time.Sleep(openKept - 2*keysInterval)
+		time.Sleep(maxGrantDelay - 2*keysInterval)
 		synctest.Wait()
 		assert.Assert(t, !rig.g.registry.snapshot().Released)
 		time.Sleep(4 * keysInterval)
@@ -294,19 +299,19 @@
 	})
 }
 
-// Another back end answers at the address and refuses what is meant for the present one. Its
-// listener is no sign of that: taken for one, the two words alternated ten times a second, and
-// each went to every gateway of the fleet.
-func TestOneWhoseAddressAnotherHasIsNotReachedThere(t *testing.T) {
+// Another back end answers at the address and refuses orders for the current one. Its listener
+// does not show that the current one is reachable: when it was taken for that, the two states
+// alternated ten times a second, and each change was sent to every gateway of the fleet.
+func TestABackEndWhoseAddressAnotherOneUsesIsNotReachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newOwnersRig(t, routeconfig.GrantByCall)
+		rig := newHandoverRig(t, routeconfig.GrantByCall)
 		rig.run(6 * time.Second)
 		rig.silent = true
-		rig.holder.set(func() { rig.holder.next, rig.holder.nextID = &heldProcess{}, "i-9" })
+		rig.holder.set(func() { rig.holder.next, rig.holder.nextID = &backendProcess{}, "i-9" })
 		changes := 0
-		rig.g.registry.changed = func() { changes++ }
+		rig.g.registry.onChange = func() { changes++ }
 		rig.run(3 * time.Second)
-		assert.Equal(t, changes, 1, "it can't be reached")
+		assert.Equal(t, changes, 1, "reported as unreachable once")
 		assert.Assert(t, rig.moved)
 	})
 }
--- a/internal/gateway/refusedheartbeat.go
+++ b/internal/gateway/refusedheartbeat.go
@@ -2,8 +2,8 @@
 
 import "errors"
 
-// What is wrong with a heartbeat that is refused. It may come from another writer: it
-// names no back end to use, and ends none.
+// Reasons to refuse a heartbeat. A refused heartbeat may come from another sender: it neither
+// registers a back end nor ends one.
 var (
 	ErrUnreadable   = errors.New("cannot be read")
 	ErrMalformed    = errors.New("is not what a back end says")
@@ -11,10 +11,10 @@
 	ErrOtherService = errors.New("not the service beside this gateway")
 )
 
-// refusalReasons are the words of metrics and logs.
-var refusalReasons = []struct {
-	err  error
-	word string
+// heartbeatRefusalReasons maps errors to the reasons in metrics and logs.
+var heartbeatRefusalReasons = []struct {
+	err    error
+	reason string
 }{
 	{ErrUnreadable, "unreadable"},
 	{ErrMalformed, "malformed"},
@@ -22,21 +22,21 @@
 	{ErrOtherService, "other-service"},
 }
 
-// refusalReason is what is wrong with a heartbeat, in a word.
-func refusalReason(err error) string {
-	for _, known := range refusalReasons {
+// heartbeatRefusalReason returns the reason of a refusal for metrics and logs.
+func heartbeatRefusalReason(err error) string {
+	for _, known := range heartbeatRefusalReasons {
 		if errors.Is(err, known.err) {
-			return known.word
+			return known.reason
 		}
 	}
 	return "keys" // a KeyReportError
 }
 
-// RefusedHeartbeat counts and logs a heartbeat, or a word of leaving, that was refused. ID
-// is what it was sent for.
+// RefusedHeartbeat counts and logs a heartbeat or deregistration that was refused. ID is the
+// id that it was sent for.
 func (g *Gateway) RefusedHeartbeat(id string, err error) {
-	why := refusalReason(err)
-	g.metrics.refused.WithLabelValues(why).Inc()
-	const mostOfID = 64
-	g.config.Log.Warn("heartbeat refused", "id", id[:min(mostOfID, len(id))], "reason", why, "error", err)
+	reason := heartbeatRefusalReason(err)
+	g.metrics.refused.WithLabelValues(reason).Inc()
+	const maxLoggedID = 64
+	g.config.Log.Warn("heartbeat refused", "id", id[:min(maxLoggedID, len(id))], "reason", reason, "error", err)
 }
