--- a/internal/gateway/registration.go
+++ b/internal/gateway/registration.go
@@ -8,83 +8,85 @@
 	"github.com/quartzdock/quartzdock/internal/incarnation"
 )
 
-// Registration is what a back end says of itself.
+// Registration is the content of a back end's heartbeat.
 type Registration struct {
-	// ID is the name of its life (incarnation.Name).
+	// ID is the name of its incarnation (incarnation.Name).
 	ID      string
 	Service string
 	Slots   int
 	State   fleetwire.InstanceState
-	// WarmupLeft is how much longer it is cold from its start.
+	// WarmupLeft is the remaining time of its warmup after the start.
 	WarmupLeft time.Duration
-	// Sequence grows with each heartbeat of a life, so that a late one is known.
+	// Sequence increases with each heartbeat of an incarnation, so that a delayed one is
+	// recognized.
 	Sequence uint64
-	// Held is what it holds or still works on, and Freed what it has let go since
-	// its last acknowledged heartbeat, where it gets its keys by heartbeat.
+	// Held lists the ranges that it holds or still serves requests of, and Freed those that it
+	// has released since its last acknowledged heartbeat, if it gets its keys by heartbeat.
 	Held  []HeldRange
 	Freed []FreedRange
 }
 
-// registry keeps what is known of the back end beside the gateway.
+// registry keeps what is known of the back end of this gateway.
 type registry struct {
 	mutex   sync.Mutex
 	current fleetwire.Instance
-	// left is set once the back end has said that it leaves for good.
-	left bool
-	// refuseFrom is when a leaving back end gets nothing new any more.
-	refuseFrom time.Time
-	// ended has the lives that are over.
-	ended map[string]bool
-	// interval is the longest time between two heartbeats of a life, and heardAt when the
-	// present one was heard last.
-	interval time.Duration
-	heardAt  time.Time
-	// unproved says that the present instance is only the one that the leader knew when
-	// this process started.
-	unproved bool
-	// rival is a life that was heard beside the present one and is not believed yet.
-	rival rival
-	// yields is called, without the mutex, before another life takes the place of a former
-	// one. It reports whether the time of all that was granted to that one is over; where it
-	// is not, nothing more is granted, and retry is called once it is.
+	// deregistered is set once the back end has deregistered.
+	deregistered bool
+	// refusesFrom is the time from which a draining back end gets no new requests.
+	refusesFrom time.Time
+	// endedIncarnations has the incarnations that were replaced, or deregistered while another
+	// one was current.
+	endedIncarnations map[string]bool
+	// interval is the longest time between two heartbeats of an incarnation, and
+	// lastHeartbeatAt the arrival of the current one's last heartbeat.
+	interval        time.Duration
+	lastHeartbeatAt time.Time
+	// unverified is set while the current instance is only the one that the leader knew when
+	// this process started, and the back end itself has not confirmed it yet.
+	unverified bool
+	// candidate is an incarnation that sends heartbeats besides the current one and is not
+	// accepted yet.
+	candidate candidate
+	// yields is called, without the mutex, before another incarnation replaces a former one.
+	// It reports whether every grant to the former one has expired; if not, grants to it stop,
+	// and retry is called once they have expired.
 	yields func(former string, now time.Time) bool
-	// replaced is called, without the mutex, where another life took the place of one that had
-	// not said that it leaves.
+	// replaced is called, without the mutex, after another incarnation has replaced one that
+	// had not announced its stop.
 	replaced func(former string)
-	// leaderAnswered reports whether the leader has answered this process, which then
-	// knows the life that the leader knew; retry is called once it has.
+	// leaderAnswered reports whether the leader has answered this process, which then knows
+	// the incarnation that the leader knew; retry is called once it has.
 	leaderAnswered func() bool
-	// saidState is what the present instance has said of itself last.
-	saidState fleetwire.InstanceState
-	// otherThere says that another back end has answered at the address since the present
-	// instance was heard.
-	otherThere bool
-	// lookAgain is called, without the mutex, where an instance is heard that could not be
-	// reached.
+	// reportedState is the state that the current instance last reported.
+	reportedState fleetwire.InstanceState
+	// otherAtAddress is set if another back end has answered at the address since the last
+	// heartbeat of the current instance.
+	otherAtAddress bool
+	// lookAgain is called, without the mutex, when an unreachable instance sends a heartbeat.
 	lookAgain func(instance string)
-	// unheard counts the intervals since the last word of the present instance.
-	unheard int
-	// changed is called after each change, without the mutex.
-	changed func()
-	// told is called, with the mutex, for each word on how much longer the present
-	// instance is cold, before requests are admitted by it; fresh says that it is the
-	// first of its life.
+	// unheardIntervals counts the intervals since the last contact with the current instance.
+	unheardIntervals int
+	// onChange is called after each change, without the mutex.
+	onChange func()
+	// told is called, with the mutex, for each heartbeat with the remaining warmup time of the
+	// current instance, before requests are admitted because of it; fresh is set for the first
+	// heartbeat of an incarnation.
 	told func(left time.Duration, fresh bool)
 }
 
 func newRegistry(changed func()) *registry {
 	return &registry{
-		ended:          map[string]bool{},
-		changed:        changed,
-		told:           func(time.Duration, bool) {},
-		lookAgain:      func(string) {},
-		yields:         func(string, time.Time) bool { return true },
-		replaced:       func(string) {},
-		leaderAnswered: func() bool { return true },
+		endedIncarnations: map[string]bool{},
+		onChange:          changed,
+		told:              func(time.Duration, bool) {},
+		lookAgain:         func(string) {},
+		yields:            func(string, time.Time) bool { return true },
+		replaced:          func(string) {},
+		leaderAnswered:    func() bool { return true },
 	}
 }
 
-// snapshot returns the present instance; its ID is empty where none is known.
+// snapshot returns the current instance; its ID is empty if none is known.
 func (r *registry) snapshot() fleetwire.Instance {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -98,83 +100,83 @@
 	if r.current.ID == "" || r.current.ID != instance || r.current.State == fleetwire.InstanceGone {
 		return false
 	}
-	return r.refuseFrom.IsZero() || now.Before(r.refuseFrom)
+	return r.refusesFrom.IsZero() || now.Before(r.refusesFrom)
 }
 
-// serves reports whether an instance is the present one and has not said that it leaves.
+// serves reports whether an instance is the current one and has neither deregistered nor
+// reported that it drains.
 func (r *registry) serves(instance string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.current.ID != "" && r.current.ID == instance && !r.left && r.saidState != fleetwire.InstanceDraining
+	return r.current.ID != "" && r.current.ID == instance && !r.deregistered && r.reportedState != fleetwire.InstanceDraining
 }
 
-// heartbeat takes a back end's word, drainWithin being for how long a leaving
-// one may still get requests. It reports whether this is the newest word of the
-// life that is there.
-func (r *registry) heartbeat(told Registration, drainWithin time.Duration, now time.Time) (newest bool) {
-	former, believed := r.believe(told, drainWithin, now)
-	if !believed || former != "" && !r.yields(former, now) {
+// heartbeat processes a heartbeat; drainWithin is how long a draining back end may still get
+// requests. It reports whether this is the newest heartbeat of the current incarnation.
+func (r *registry) heartbeat(registration Registration, drainWithin time.Duration, now time.Time) (newest bool) {
+	former, accepted := r.accept(registration, drainWithin, now)
+	if !accepted || former != "" && !r.yields(former, now) {
 		return false
 	}
 	left := former != "" && !r.serves(former)
-	newest, changed := r.take(told, former, drainWithin, now)
+	newest, changed := r.applyHeartbeat(registration, former, drainWithin, now)
 	if newest && former != "" && !left {
 		r.replaced(former)
 	}
 	if changed {
-		r.changed()
+		r.onChange()
 	}
 	if newest && r.unreachable() {
-		r.lookAgain(told.ID)
+		r.lookAgain(registration.ID)
 	}
 	return newest
 }
 
-// take puts a heartbeat that is believed in force. Former is the life whose place it takes,
-// where there is one.
-func (r *registry) take(told Registration, former string, drainWithin time.Duration, now time.Time) (newest, changed bool) {
+// applyHeartbeat applies an accepted heartbeat. Former is the incarnation that it replaces, if
+// there is one.
+func (r *registry) applyHeartbeat(registration Registration, former string, drainWithin time.Duration, now time.Time) (newest, changed bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	fresh := told.ID != r.current.ID
-	if fresh && former != r.current.ID || !fresh && told.Sequence <= r.current.Sequence {
-		return false, false // another word came between
+	fresh := registration.ID != r.current.ID
+	if fresh && former != r.current.ID || !fresh && registration.Sequence <= r.current.Sequence {
+		return false, false // another heartbeat was applied in between
 	}
 	if fresh {
-		r.begin(told)
+		r.startIncarnation(registration)
 	}
-	r.heardAt, r.unproved, r.otherThere = now, false, false
-	r.told(told.WarmupLeft, fresh)
-	r.unheard = 0
-	r.current.Sequence = told.Sequence
-	r.current.Slots = told.Slots
-	if r.left {
+	r.lastHeartbeatAt, r.unverified, r.otherAtAddress = now, false, false
+	r.told(registration.WarmupLeft, fresh)
+	r.unheardIntervals = 0
+	r.current.Sequence = registration.Sequence
+	r.current.Slots = registration.Slots
+	if r.deregistered {
 		return true, true
 	}
-	r.saidState = told.State
-	if told.State == fleetwire.InstanceDraining && r.refuseFrom.IsZero() {
-		r.refuseFrom = now.Add(drainWithin)
+	r.reportedState = registration.State
+	if registration.State == fleetwire.InstanceDraining && r.refusesFrom.IsZero() {
+		r.refusesFrom = now.Add(drainWithin)
 	}
 	before := r.current.State
 	if before != fleetwire.InstanceGone {
-		r.current.State = told.State
+		r.current.State = registration.State
 	}
 	return true, before != r.current.State
 }
 
-// begin starts a new life of the back end.
-func (r *registry) begin(told Registration) {
+// startIncarnation starts a new incarnation of the back end.
+func (r *registry) startIncarnation(registration Registration) {
 	if r.current.ID != "" {
-		r.ended[r.current.ID] = true
+		r.endedIncarnations[r.current.ID] = true
 	}
-	r.left, r.rival = false, rival{}
-	r.refuseFrom = time.Time{}
+	r.deregistered, r.candidate = false, candidate{}
+	r.refusesFrom = time.Time{}
 	address, node, zone := r.current.Address, r.current.Node, r.current.Zone
 	r.current = fleetwire.Instance{
-		ID: told.ID, Service: told.Service, Node: node, Address: address, Zone: zone, Slots: told.Slots, Cold: told.WarmupLeft > 0,
+		ID: registration.ID, Service: registration.Service, Node: node, Address: address, Zone: zone, Slots: registration.Slots, Cold: registration.WarmupLeft > 0,
 	}
 }
 
-// setCold follows whether the back end is taken for cold, and reports a change.
+// setCold records whether the back end is considered cold, and reports a change.
 func (r *registry) setCold(cold bool) (changed bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -183,37 +185,38 @@
 	return changed
 }
 
-// deregister takes a back end's word that it leaves for good. One that does not tell its
-// start means the present life under its id.
+// deregister processes a deregistration. One without a start time means the current
+// incarnation under its id.
 func (r *registry) deregister(id string, drainWithin time.Duration, now time.Time) {
 	r.mutex.Lock()
 	known := id != "" && (id == r.current.ID || id == incarnation.IDOf(r.current.ID))
 	if !known {
-		r.ended[id] = true
+		r.endedIncarnations[id] = true
 	}
-	if known && !r.left {
-		r.left = true
+	if known && !r.deregistered {
+		r.deregistered = true
 		if r.current.State == fleetwire.InstanceReady {
 			r.current.State = fleetwire.InstanceDraining
 		}
-		r.saidState = fleetwire.InstanceDraining
-		if r.refuseFrom.IsZero() {
-			r.refuseFrom = now.Add(drainWithin)
+		r.reportedState = fleetwire.InstanceDraining
+		if r.refusesFrom.IsZero() {
+			r.refusesFrom = now.Add(drainWithin)
 		}
 	}
 	r.mutex.Unlock()
-	r.changed()
+	r.onChange()
 }
 
-// displaced says that another back end is at an instance's address.
+// displaced records that another back end has answered at an instance's address.
 func (r *registry) displaced(instance string) {
 	r.mutex.Lock()
-	r.otherThere = r.otherThere || instance == r.current.ID
+	r.otherAtAddress = r.otherAtAddress || instance == r.current.ID
 	r.mutex.Unlock()
 	r.lost(instance)
 }
 
-// lost says that an instance can't be reached. It gets nothing new until it is reached.
+// lost records that an instance is unreachable. It gets no new requests until it is reached
+// again.
 func (r *registry) lost(instance string) {
 	r.mutex.Lock()
 	known := instance != "" && instance == r.current.ID && r.current.State != fleetwire.InstanceGone
@@ -222,35 +225,35 @@
 	}
 	r.mutex.Unlock()
 	if known {
-		r.changed()
+		r.onChange()
 	}
 }
 
-// reached says that something listens at an instance's address. One that could not be
-// reached before is taken for there again, unless another life is heard or has answered there;
-// what it held may have another owner.
+// reached records that a process listens at an instance's address. An unreachable instance
+// becomes reachable again, unless another incarnation has sent heartbeats or answered there.
+// Its former keys may have been assigned to another owner.
 func (r *registry) reached(instance string) {
 	r.mutex.Lock()
-	again := instance == r.current.ID && r.current.State == fleetwire.InstanceGone && r.saidState != 0 && !r.rival.waits && !r.otherThere
+	again := instance == r.current.ID && r.current.State == fleetwire.InstanceGone && r.reportedState != 0 && !r.candidate.waiting && !r.otherAtAddress
 	if again {
-		r.current.State, r.current.Released = r.saidState, false
+		r.current.State, r.current.Released = r.reportedState, false
 	}
 	r.mutex.Unlock()
 	if again {
-		r.changed()
+		r.onChange()
 	}
 }
 
-// unreachable reports whether the present instance can't be reached.
+// unreachable reports whether the current instance is unreachable.
 func (r *registry) unreachable() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.current.State == fleetwire.InstanceGone
 }
 
-// free says that an instance that can't be reached holds no keys any more. It reports a
+// markReleased records that an unreachable instance holds no keys any more. It reports a
 // change.
-func (r *registry) free(instance string) (changed bool) {
+func (r *registry) markReleased(instance string) (changed bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	changed = instance == r.current.ID && r.current.State == fleetwire.InstanceGone && !r.current.Released
@@ -258,47 +261,48 @@
 	return changed
 }
 
-// restore takes what the leader last knew, at the start of the process.
+// restore takes over the instance that the leader last knew, at the start of the process.
 func (r *registry) restore(known fleetwire.Instance, drainWithin time.Duration, now time.Time) {
 	r.mutex.Lock()
 	fresh := r.current.ID == ""
 	if fresh && known.State != fleetwire.InstanceGone {
 		r.current.ID, r.current.Service = known.ID, known.Service
 		r.current.Slots, r.current.State, r.current.Sequence = known.Slots, known.State, known.Sequence
-		r.saidState = known.State
-		r.unproved, r.heardAt = true, now
+		r.reportedState = known.State
+		r.unverified, r.lastHeartbeatAt = true, now
 		if known.State == fleetwire.InstanceDraining {
-			r.left = true
-			r.refuseFrom = now
+			r.deregistered = true
+			r.refusesFrom = now
 		}
 	}
 	r.mutex.Unlock()
 	if fresh {
-		r.changed()
+		r.onChange()
 	}
 }
 
-// prove takes the back end's own word that it has an id. It may be another life under it,
-// which is granted what was meant for the present one until it is believed.
+// prove records that the back end itself has answered under an id. The answer may come from
+// another incarnation with the same id, which gets the grants meant for the current one until
+// its own heartbeat is accepted.
 func (r *registry) prove(id string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if id == incarnation.IDOf(r.current.ID) {
-		r.unproved = false
+		r.unverified = false
 	}
 }
 
-// proved reports whether the back end itself has said that it is the present instance.
+// proved reports whether the back end itself has confirmed that it is the current instance.
 func (r *registry) proved() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return !r.unproved
+	return !r.unverified
 }
 
-// leaving marks that the gateway itself is being stopped.
+// leaving records that the gateway itself is being stopped.
 func (r *registry) leaving() {
 	r.mutex.Lock()
 	r.current.Leaving = true
 	r.mutex.Unlock()
-	r.changed()
+	r.onChange()
 }
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -7,60 +7,61 @@
 )
 
 const (
-	// probeAfterBeats is after how many intervals without a heartbeat it is probed
-	// whether the back end's process is still there: one may be late.
-	probeAfterBeats = 2
-	// silentBeats is after how many the leader is told that the back end is
-	// silent. Keys were held for holdFor at most, about as long, so that a back end
-	// that comes back earlier has not lost its keys.
-	silentBeats = 4
+	// probeAfterIntervals is the number of intervals without contact after which the gateway
+	// probes whether the back end's process is still there: a single heartbeat may be late.
+	probeAfterIntervals = 2
+	// silentAfterIntervals is the number after which the leader is told that the back end is
+	// silent. Grants last about as long at most, so that a back end that returns earlier has
+	// not lost its keys.
+	silentAfterIntervals = 4
 )
 
-// watchSilence counts the intervals in which nothing was heard of the back end.
-// Intervals are counted and not times compared: a gateway that stood still for
-// seconds itself has missed no more than one of its own.
+// watchSilence counts the intervals without contact with the back end. It counts intervals
+// instead of comparing times, so that a gateway that was itself stalled for seconds misses
+// only one of them.
 func (g *Gateway) watchSilence(ctx context.Context) {
-	each(ctx, g.config.HeartbeatInterval, g.noteInterval)
+	each(ctx, g.config.HeartbeatInterval, g.checkSilence)
 }
 
-// noteInterval counts one interval, and acts where too many were silent.
-func (g *Gateway) noteInterval() {
+// checkSilence counts one interval, and probes or reports the back end after too many without
+// contact.
+func (g *Gateway) checkSilence() {
 	instance, unheard := g.registry.countInterval()
-	if instance == "" || unheard < probeAfterBeats {
+	if instance == "" || unheard < probeAfterIntervals {
 		return
 	}
 	g.probe(instance)
-	if unheard == silentBeats {
+	if unheard == silentAfterIntervals {
 		g.config.Log.Warn("back end is silent", "instance", instance, "intervals", unheard, "interval_ms", g.config.HeartbeatInterval.Milliseconds())
 		g.session.report()
 	}
 }
 
-// countInterval counts an interval without a word of the present instance, and
-// returns how many there are now; no instance where its end is known.
+// countInterval counts an interval without contact with the current instance, and returns
+// their number; the instance is empty if none is known or it is unreachable.
 func (r *registry) countInterval() (instance string, unheard int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.current.ID == "" || r.current.State == fleetwire.InstanceGone {
 		return "", 0
 	}
-	r.unheard++
-	return r.current.ID, r.unheard
+	r.unheardIntervals++
+	return r.current.ID, r.unheardIntervals
 }
 
-// heard notes a word of the back end other than a heartbeat.
-func (r *registry) heard(instance string) {
+// recordContact records contact with the back end other than a heartbeat.
+func (r *registry) recordContact(instance string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if instance == r.current.ID {
-		r.unheard = 0
+		r.unheardIntervals = 0
 	}
 }
 
-// silent says that the back end has neither sent a heartbeat nor confirmed keys
-// for silentBeats intervals.
+// silent reports whether the back end has neither sent a heartbeat nor confirmed a grant for
+// silentAfterIntervals intervals.
 func (r *registry) silent() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.unheard >= silentBeats
+	return r.unheardIntervals >= silentAfterIntervals
 }
--- a/internal/gateway/silence_test.go
+++ b/internal/gateway/silence_test.go
@@ -11,8 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// newSilenceRig is a key keeper whose back end has ended: nothing listens at its
-// address.
+// newSilenceRig returns a rig whose back end has ended: nothing listens at its address.
 func newSilenceRig(t *testing.T, grants routeconfig.GrantMode) *keyRig {
 	rig := newKeyRig(t)
 	rig.setGrants(grants, 1)
@@ -22,8 +21,8 @@
 	return rig
 }
 
-// A back end that gets its keys by heartbeat is never called where nobody asks for
-// its keys, and no request reaches it once its keys have run out.
+// A back end that gets its keys by heartbeat is never called if there are no requests for its
+// keys, and no request reaches it once its keys have expired.
 func TestTheEndOfABackEndIsNoticedWithoutARequest(t *testing.T) {
 	for _, grants := range []routeconfig.GrantMode{routeconfig.GrantByCall, routeconfig.GrantByHeartbeat} {
 		synctest.Test(t, func(t *testing.T) {
@@ -33,21 +32,21 @@
 			synctest.Wait()
 			assert.Equal(t, rig.g.registry.snapshot().State, fleetwire.InstanceGone)
 			byCall := grants == routeconfig.GrantByCall
-			assert.Assert(t, !byCall || !rig.g.registry.snapshot().Released, "grants without an answer may lie unread")
-			time.Sleep(openKept)
+			assert.Assert(t, !byCall || !rig.g.registry.snapshot().Released, "unanswered grants may be unread at the back end")
+			time.Sleep(maxGrantDelay)
 			synctest.Wait()
-			assert.Assert(t, rig.g.registry.snapshot().Released, "the time of all that it may hold is over")
+			assert.Assert(t, rig.g.registry.snapshot().Released, "every grant that it may hold has expired")
 		})
 	}
 }
 
-// A back end that stands still says nothing but has not ended, and one that can't
-// reach the gateway may still take keys by call.
-func TestABackEndIsSilentWhileNothingIsHeardOfIt(t *testing.T) {
+// A back end that is stalled sends no heartbeats but has not ended, and one that can't reach
+// the gateway may still accept grants by call.
+func TestABackEndIsSilentUntilAHeartbeatOrAConfirmedGrant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newKeyRig(t)
 		rig.setGrants(routeconfig.GrantByCall, 1)
-		for range silentBeats {
+		for range silentAfterIntervals {
 			assert.Assert(t, !rig.g.session.build().Silent)
 			rig.g.registry.countInterval()
 		}
@@ -55,11 +54,11 @@
 		rig.lease(held(0, 99), nil)
 		assert.Assert(t, !rig.g.session.build().Silent, "it has confirmed a grant")
 		rig.holder.setRefuse(errors.New("no answer"))
-		for range silentBeats {
+		for range silentAfterIntervals {
 			rig.g.registry.countInterval()
 		}
 		assert.Assert(t, rig.g.session.build().Silent)
 		rig.beat(t, "i-1", nil)
-		assert.Assert(t, !rig.g.session.build().Silent, "its heartbeat has come")
+		assert.Assert(t, !rig.g.session.build().Silent, "its heartbeat has arrived")
 	})
 }
--- a/internal/gateway/unreadable_test.go
+++ b/internal/gateway/unreadable_test.go
@@ -12,16 +12,16 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// answerOf is a peer's answer with a told load.
+// answerOf is a peer's answer with a load header.
 func answerOf(load string) *http.Response {
 	return &http.Response{StatusCode: http.StatusOK, Header: http.Header{fieldOutcome: {string(outcomeAnswered)}, fieldLoad: {load}}}
 }
 
-// A told load that no gateway writes tells nothing: what was known before holds, and the
-// answer that it came with stays one.
-func TestLoadsThatNoGatewayWritesTellNothing(t *testing.T) {
+// A load header that no gateway writes is ignored: the known load stays, and the answer with
+// the header is still used.
+func TestMalformedLoadsOfPeersAreIgnored(t *testing.T) {
 	known := peerLoad{running: 3, slots: 18, serviceTime: time.Second}
-	for _, told := range []string{
+	for _, load := range []string{
 		"", ",,,,,,,", "NaN,0,18,1,1,1,1,1", "-1,0,18,1,1,1,1,1", "1,-9,18,1,1,1,1,1", "1,0,-18,1,1,1,1,1",
 		"1,0,18,-1,1,1,1,1", "1,0,18,1,-1,1,1,1", "1,0,18,1,1,-1,1,1", "1,0,18,1,1,1,-1,1", "1,0,18,1,1,1,1,-1",
 		"1,0,65537,1,1,1,1,1", "9223372036854775807,9223372036854775807,18,1,1,1,1,1", "1,0,18,9223372036854775807,1,1,1,1",
@@ -29,30 +29,31 @@
 		"01,0,18,1,1,1,1,1", " 1,0,18,1,1,1,1,1",
 	} {
 		p := &peer{load: known}
-		result := decodeResult(answerOf(told), nil)
+		result := decodeResult(answerOf(load), nil)
 		assert.Equal(t, result.Outcome, outcomeAnswered)
 		p.end(result, steady.Reading())
-		assert.Equal(t, p.load, known, told)
+		assert.Equal(t, p.load, known, load)
 	}
 	for _, twice := range []string{"1,0,18,1,1,1,1,1", "2,0,18,1,1,1,1,1"} {
 		response := answerOf("1,0,18,1,1,1,1,1")
 		response.Header.Add(fieldLoad, twice)
-		assert.Equal(t, decodeResult(response, nil).Load, peerLoad{}, "two of them")
+		assert.Equal(t, decodeResult(response, nil).Load, peerLoad{}, "two load headers")
 	}
 }
 
-// The reason of a peer is one of the known words: it names a time series.
-func TestReasonsThatAreNotKnownNameNothing(t *testing.T) {
+// The reason of a peer must be one of the known ones, since it becomes the label of a time
+// series.
+func TestUnknownReasonsOfPeersAreReplaced(t *testing.T) {
 	response := answerOf("")
 	response.Header.Set(fieldOutcome, string(outcomeNotRun))
 	response.Header.Set(fieldReason, strings.Repeat("x", 4096))
 	result := decodeResult(response, nil)
-	assert.Equal(t, result.Outcome, outcomeNotRun, "it is believed that it was not run")
+	assert.Equal(t, result.Outcome, outcomeNotRun, "the outcome is still used")
 	assert.Equal(t, result.Reason, reasonBroken)
 }
 
-// A word of a time that has not come vouches for nothing.
-func TestAWordFromTheFutureVouchesForNothing(t *testing.T) {
+// A peer word whose age or validity is out of range is refused and changes nothing.
+func TestPeerWordsWithInvalidTimesAreRefused(t *testing.T) {
 	for _, passed := range []fleetwire.PeerWord{
 		{Age: -time.Hour, For: 2 * time.Second}, {Age: 0, For: -time.Second}, {Age: 0, For: 300 * time.Hour}, {Age: 1<<63 - 1, For: time.Second},
 	} {
