--- a/internal/gateway/keyheartbeats.go
+++ b/internal/gateway/keyheartbeats.go
@@ -23,9 +23,9 @@
 	// answerVoid is how long after a heartbeat's arrival a back end may still accept its
 	// answer: it waits for one second, on a clock that may run slow.
 	answerVoid = time.Second + time.Duration(clockDrift*float64(time.Second)) + cpuQuotaPause
-	// reportedRangeGrace is added to the heartbeat interval to get how long a range that a
-	// heartbeat named counts as held while this process has no lease to offer it under. The
-	// back end itself refuses requests for keys that it does not hold.
+	// reportedRangeGrace is how much longer than a heartbeat interval a range named by a
+	// heartbeat counts as held while this process has no lease to offer it under. The back end
+	// itself refuses requests for keys that it does not hold.
 	reportedRangeGrace = 200 * time.Millisecond
 )
 
--- a/internal/gateway/keyheartbeats_test.go
+++ b/internal/gateway/keyheartbeats_test.go
@@ -42,7 +42,7 @@
 	return offer
 }
 
-func heldAs(first, last keyspace.Key, fence keyspace.Fence) []HeldRange {
+func heldUnderFence(first, last keyspace.Key, fence keyspace.Fence) []HeldRange {
 	return []HeldRange{{keyspace.Range{First: first, Last: last}, fence}}
 }
 
@@ -104,22 +104,22 @@
 		rig.beat(t, "i-1", nil)
 		time.Sleep(time.Second)
 		fence := composeFence(7, 0)
-		rig.beat(t, "i-1", heldAs(0, 99, fence))
+		rig.beat(t, "i-1", heldUnderFence(0, 99, fence))
 		time.Sleep(time.Second)
 		rig.lease(held(0, 39), asked(40, 99))
 		assert.Assert(t, rig.g.keys.holds("i-1", 50, steady.Reading()), "served until the back end is told")
 		// A heartbeat that was sent before does not name them: its sender has not received the
 		// answer that omits them.
-		offer := rig.beat(t, "i-1", heldAs(0, 39, fence))
+		offer := rig.beat(t, "i-1", heldUnderFence(0, 39, fence))
 		assert.Equal(t, len(offer.Held), 1)
 		assert.Assert(t, !rig.g.keys.holds("i-1", 50, steady.Reading()))
 		assert.Equal(t, len(rig.g.keys.promises(0)), 0)
 		// It still serves requests for some of them.
-		rig.beat(t, "i-1", append(heldAs(0, 39, fence), heldAs(90, 99, fence)...))
+		rig.beat(t, "i-1", append(heldUnderFence(0, 39, fence), heldUnderFence(90, 99, fence)...))
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
 		assert.Equal(t, len(rig.g.keys.promises(0)), 0)
-		rig.beat(t, "i-1", heldAs(0, 39, fence), FreedRange{keyspace.Range{First: 40, Last: 99}, "left"})
+		rig.beat(t, "i-1", heldUnderFence(0, 39, fence), FreedRange{keyspace.Range{First: 40, Last: 99}, "left"})
 		released := rig.g.keys.promises(0)
 		assert.Equal(t, len(released), 1)
 		assert.Equal(t, released[0].Handover, "left")
@@ -138,7 +138,7 @@
 		rig.lease(held(0, 39), asked(40, 99))
 		rig.beat(t, "i-1", nil)
 		time.Sleep(100 * time.Millisecond)
-		rig.beat(t, "i-1", heldAs(0, 39, composeFence(7, 0)))
+		rig.beat(t, "i-1", heldUnderFence(0, 39, composeFence(7, 0)))
 		assert.Equal(t, len(rig.g.keys.promises(0)), 0)
 		time.Sleep(answerVoid - steady.Elapsed(offered) - time.Millisecond)
 		synctest.Wait()
@@ -185,7 +185,7 @@
 			assert.Assert(t, !rig.g.keys.holds("i-1", 5, steady.Reading()))
 		}
 		rig.lease(held(0, 99), nil)
-		offer := rig.beat(t, "i-1", heldAs(0, 99, before))
+		offer := rig.beat(t, "i-1", heldUnderFence(0, 99, before))
 		assert.Equal(t, offer.Held[0].Fence, before, "accepted: renewed under the same fence")
 		assert.Assert(t, rig.g.keys.holds("i-1", 5, steady.Reading()))
 	})
@@ -197,7 +197,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
 		rig.g.keys.take(&fleetwire.Lease{Instance: "i-1"}, rig.epoch)
-		assert.Assert(t, rig.beat(t, "i-1", heldAs(0, 99, composeFence(7, 0))) == nil)
+		assert.Assert(t, rig.beat(t, "i-1", heldUnderFence(0, 99, composeFence(7, 0))) == nil)
 		assert.Assert(t, rig.g.keys.holds("i-1", 5, steady.Reading()))
 		assert.Assert(t, !rig.g.keys.holds("i-1", 100, steady.Reading()))
 		time.Sleep(2 * (DefaultHeartbeatInterval + reportedRangeGrace))
@@ -226,7 +226,7 @@
 		rig.beat(t, "i-1", nil)
 		assert.Assert(t, rig.beat(t, "i-2", nil) == nil)
 		assert.Assert(t, !rig.g.keys.holds("i-2", 5, steady.Reading()))
-		assert.Assert(t, rig.beat(t, "i-1", heldAs(0, 99, composeFence(7, 0))) == nil, "a heartbeat of the former incarnation")
+		assert.Assert(t, rig.beat(t, "i-1", heldUnderFence(0, 99, composeFence(7, 0))) == nil, "a heartbeat of the former incarnation")
 	})
 }
 
@@ -236,8 +236,8 @@
 		rig.lease(held(0, 99), nil)
 		rig.beat(t, "i-1", nil)
 		refused := []Registration{
-			{Held: heldAs(50, 40, 1)},
-			{Held: heldAs(0, keyspace.LastKey+1, 1)},
+			{Held: heldUnderFence(50, 40, 1)},
+			{Held: heldUnderFence(0, keyspace.LastKey+1, 1)},
 			{Freed: []FreedRange{{Keys: keyspace.Range{First: 0, Last: keyspace.LastKey + 1}}}},
 			{Freed: []FreedRange{{Keys: keyspace.Range{First: 9, Last: 8}}}},
 		}
@@ -248,7 +248,7 @@
 			assert.Assert(t, errors.As(err, &wrong), "case %d: %v", i, err)
 		}
 		// Ranges that were never held or granted are ignored.
-		rig.beat(t, "i-1", append(heldAs(0, 99, composeFence(7, 0)), heldAs(200, 300, 12345)...), FreedRange{keyspace.Range{First: 400, Last: 500}, "x"})
+		rig.beat(t, "i-1", append(heldUnderFence(0, 99, composeFence(7, 0)), heldUnderFence(200, 300, 12345)...), FreedRange{keyspace.Range{First: 400, Last: 500}, "x"})
 		assert.Assert(t, rig.g.keys.holds("i-1", 5, steady.Reading()))
 		assert.Assert(t, !rig.g.keys.holds("i-1", 250, steady.Reading()), "not offered")
 		assert.Equal(t, len(rig.g.keys.promises(0)), 0)
@@ -262,7 +262,7 @@
 		rig := newHeartbeatRig(t)
 		rig.lease(held(0, 99), nil)
 		rig.beat(t, "i-1", nil)
-		offer := rig.beat(t, "i-1", append(heldAs(0, 99, composeFence(7, 0)), heldAs(50, 99, composeFence(6, 0))...))
+		offer := rig.beat(t, "i-1", append(heldUnderFence(0, 99, composeFence(7, 0)), heldUnderFence(50, 99, composeFence(6, 0))...))
 		assert.Equal(t, len(offer.Held), 1)
 		assert.Assert(t, rig.g.keys.holds("i-1", 60, steady.Reading()))
 	})
@@ -275,13 +275,13 @@
 		rig := newHeartbeatRig(t)
 		time.Sleep(2 * answerVoid)
 		rig.lease(held(0, 39), nil)
-		rig.beat(t, "i-1", heldAs(0, 39, composeFence(7, 0)), FreedRange{keyspace.Range{First: 40, Last: 99}, "old"})
+		rig.beat(t, "i-1", heldUnderFence(0, 39, composeFence(7, 0)), FreedRange{keyspace.Range{First: 40, Last: 99}, "old"})
 		rig.lease(held(0, 99), nil)
-		rig.beat(t, "i-1", heldAs(0, 39, composeFence(7, 0)))
+		rig.beat(t, "i-1", heldUnderFence(0, 39, composeFence(7, 0)))
 		time.Sleep(2 * answerVoid)
 		rig.lease(held(0, 39), asked(40, 99))
-		rig.beat(t, "i-1", heldAs(0, 99, composeFence(7, 0)))
-		rig.beat(t, "i-1", heldAs(0, 39, composeFence(7, 0)))
+		rig.beat(t, "i-1", heldUnderFence(0, 99, composeFence(7, 0)))
+		rig.beat(t, "i-1", heldUnderFence(0, 39, composeFence(7, 0)))
 		time.Sleep(2 * answerVoid)
 		synctest.Wait()
 		assert.Equal(t, len(rig.g.keys.promises(0)), 1)
@@ -298,7 +298,7 @@
 		assert.Assert(t, rig.g.keys.holds("i-1", 5, steady.Reading()))
 		called := rig.holder.granted()
 		rig.setGrants(routeconfig.GrantByHeartbeat, 2)
-		offer := rig.beat(t, "i-1", heldAs(0, 99, called[len(called)-1].Fence))
+		offer := rig.beat(t, "i-1", heldUnderFence(0, 99, called[len(called)-1].Fence))
 		assert.Assert(t, offer.Held[0].Fence >= called[len(called)-1].Fence)
 		assert.Assert(t, rig.g.keys.holds("i-1", 5, steady.Reading()))
 		time.Sleep(3 * time.Second)
@@ -345,12 +345,12 @@
 		time.Sleep(20 * time.Second)
 		rig.lease(held(0, 99), nil)
 		rig.beat(t, "i-1", nil)
-		rig.beat(t, "i-1", heldAs(0, 99, composeFence(7, 0)))
+		rig.beat(t, "i-1", heldUnderFence(0, 99, composeFence(7, 0)))
 		leaseUnderHigherFence(rig)
 		assert.Equal(t, len(rig.g.keys.promises(0)), 0, "the back end still holds it")
-		rig.beat(t, "i-1", heldAs(0, 99, composeFence(7, 0)))
+		rig.beat(t, "i-1", heldUnderFence(0, 99, composeFence(7, 0)))
 		assert.Equal(t, len(rig.g.keys.promises(0)), 0)
-		rig.beat(t, "i-1", append(heldAs(0, 39, composeFence(9, 0)), heldAs(50, 199, composeFence(9, 0))...))
+		rig.beat(t, "i-1", append(heldUnderFence(0, 39, composeFence(9, 0)), heldUnderFence(50, 199, composeFence(9, 0))...))
 		time.Sleep(2 * answerVoid)
 		synctest.Wait()
 		assert.Equal(t, len(rig.g.keys.promises(0)), 1)
--- a/internal/gateway/keynews.go
+++ b/internal/gateway/keynews.go
@@ -26,13 +26,13 @@
 // maxAnswerDelay is how long the answer to a heartbeat may be delayed. The caller has the
 // mutex.
 func (k *keyKeeper) maxAnswerDelay(now time.Time) time.Duration {
-	hold := min(k.gateway.config.AnswerHold, k.gateway.config.HeartbeatInterval/2)
+	delay := min(k.gateway.config.AnswerHold, k.gateway.config.HeartbeatInterval/2)
 	for _, wanted := range k.wanted {
 		if sent, ok := k.grants[heldKey{wanted.Keys, wanted.Fence}]; ok {
-			hold = min(hold, sent.until.Sub(now)-minRemainingAtAnswer)
+			delay = min(delay, sent.until.Sub(now)-minRemainingAtAnswer)
 		}
 	}
-	return hold
+	return delay
 }
 
 // awaitChange returns once the answer to a heartbeat has something to tell the back end, the
--- a/internal/gateway/keynews_test.go
+++ b/internal/gateway/keynews_test.go
@@ -42,7 +42,7 @@
 func TestARangeToBeReleasedIsAnsweredAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newRigInSync(t)
-		done := rig.heartbeatAsync(t, heldAs(0, 99, composeFence(7, 0)))
+		done := rig.heartbeatAsync(t, heldUnderFence(0, 99, composeFence(7, 0)))
 		rig.lease(held(0, 39), asked(40, 99))
 		result := <-done
 		assert.Assert(t, result.after <= promptly, "%v", result.after)
@@ -55,7 +55,7 @@
 func TestANewRangeIsAnsweredAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newRigInSync(t)
-		done := rig.heartbeatAsync(t, heldAs(0, 99, composeFence(7, 0)))
+		done := rig.heartbeatAsync(t, heldUnderFence(0, 99, composeFence(7, 0)))
 		rig.lease(append(held(0, 99), held(200, 299)...), nil)
 		result := <-done
 		assert.Assert(t, result.after <= promptly, "%v", result.after)
@@ -70,9 +70,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		rig := newRigInSync(t)
 		for name, named := range map[string][]HeldRange{
-			"lacks keys":        heldAs(0, 49, composeFence(7, 0)),
-			"names others":      append(heldAs(0, 99, composeFence(7, 0)), heldAs(200, 299, composeFence(7, 0))...),
-			"an earlier fence":  heldAs(0, 99, composeFence(6, 0)),
+			"lacks keys":        heldUnderFence(0, 49, composeFence(7, 0)),
+			"names others":      append(heldUnderFence(0, 99, composeFence(7, 0)), heldUnderFence(200, 299, composeFence(7, 0))...),
+			"an earlier fence":  heldUnderFence(0, 99, composeFence(6, 0)),
 			"holds nothing yet": nil,
 		} {
 			result := <-rig.heartbeatAsync(t, named)
@@ -88,7 +88,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		rig := newRigInSync(t)
 		arrived := steady.Reading()
-		result := <-rig.heartbeatAsync(t, heldAs(0, 99, composeFence(7, 0)))
+		result := <-rig.heartbeatAsync(t, heldUnderFence(0, 99, composeFence(7, 0)))
 		assert.Equal(t, result.after, DefaultAnswerHold)
 		rig.g.keys.mutex.Lock()
 		sent := rig.g.keys.grants[heldKey{keyspace.Range{First: 0, Last: 99}, 7}]
@@ -103,10 +103,10 @@
 func TestARenewalThatIsDueIsNotDelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newRigInSync(t)
-		result := <-rig.heartbeatAsync(t, heldAs(0, 99, composeFence(7, 0)))
+		result := <-rig.heartbeatAsync(t, heldUnderFence(0, 99, composeFence(7, 0)))
 		time.Sleep(result.offer.Hold - DefaultAnswerHold - minRemainingAtAnswer)
 		rig.g.keys.take(&fleetwire.Lease{SentAt: steady.Elapsed(rig.epoch), Duration: 8 * time.Second, Instance: "i-1", Held: held(0, 99)}, rig.epoch)
-		late := <-rig.heartbeatAsync(t, heldAs(0, 99, composeFence(7, 0)))
+		late := <-rig.heartbeatAsync(t, heldUnderFence(0, 99, composeFence(7, 0)))
 		assert.Assert(t, late.offer != nil)
 		assert.Equal(t, late.after, time.Duration(0))
 	})
@@ -118,7 +118,7 @@
 		rig := newRigInSync(t)
 		began := steady.Reading()
 		_, err := rig.g.Heartbeat(Registration{
-			ID: "i-1", Service: "s", Slots: 4, State: fleetwire.InstanceDraining, Sequence: 100, Held: heldAs(0, 99, composeFence(7, 0)),
+			ID: "i-1", Service: "s", Slots: 4, State: fleetwire.InstanceDraining, Sequence: 100, Held: heldUnderFence(0, 99, composeFence(7, 0)),
 		})
 		assert.NilError(t, err)
 		assert.Equal(t, steady.Elapsed(began), time.Duration(0))
@@ -129,9 +129,9 @@
 func TestAnAnswerIsEmptyOnceALaterHeartbeatArrives(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newRigInSync(t)
-		first := rig.heartbeatAsync(t, heldAs(0, 99, composeFence(7, 0)))
+		first := rig.heartbeatAsync(t, heldUnderFence(0, 99, composeFence(7, 0)))
 		time.Sleep(promptly)
-		second := rig.heartbeatAsync(t, heldAs(0, 99, composeFence(7, 0)))
+		second := rig.heartbeatAsync(t, heldUnderFence(0, 99, composeFence(7, 0)))
 		result := <-first
 		assert.Equal(t, result.after, promptly)
 		assert.Assert(t, result.offer == nil)
--- a/internal/gateway/keyreleases.go
+++ b/internal/gateway/keyreleases.go
@@ -68,6 +68,8 @@
 	}
 }
 
+// grantInFlight reports whether a grant that may let the back end hold keys of a range is in
+// flight.
 func (k *keyKeeper) grantInFlight(held fleetwire.Held) bool {
 	for key, sent := range k.grants {
 		if sent.bound.Sending() && key.mayHoldKeysOf(held) {
@@ -88,6 +90,7 @@
 	return k.earlierProcessExpired(now)
 }
 
+// sendRelease sends one release and records its result.
 func (k *keyKeeper) sendRelease(ctx context.Context, instance string, pending *pendingRelease, fence keyspace.Fence) {
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -11,8 +11,8 @@
 	// probes whether the back end's process is still there: a single heartbeat may be late.
 	probeAfterIntervals = 2
 	// silentAfterIntervals is the number after which the leader is told that the back end is
-	// silent. Grants last about as long at most, so that a back end that returns earlier has
-	// not lost its keys.
+	// silent. It was set when grants lasted about as long at most, so that a back end that
+	// returned earlier had not lost its keys.
 	silentAfterIntervals = 4
 )
 
