--- a/internal/gateway/fences.go
+++ b/internal/gateway/fences.go
@@ -58,8 +58,8 @@
 
 // hasUnanswered reports whether a grant of some of the keys is unanswered, under an owner's
 // fence or an earlier one.
-func (l *fenceTracker) hasUnanswered(keys keyspace.Range, owner keyspace.Fence) bool {
-	for _, unanswered := range l.unanswered {
+func (t *fenceTracker) hasUnanswered(keys keyspace.Range, owner keyspace.Fence) bool {
+	for _, unanswered := range t.unanswered {
 		if unanswered.owner <= owner && unanswered.keys.Overlaps(keys) {
 			return true
 		}
@@ -68,22 +68,22 @@
 }
 
 // addUnanswered records a grant that got no answer. Its fence is not used again.
-func (l *fenceTracker) addUnanswered(unanswered unansweredGrant) {
-	l.unanswered = append(l.unanswered, unanswered)
-	l.retireFence(unanswered.owner, unanswered.subFence)
+func (t *fenceTracker) addUnanswered(unanswered unansweredGrant) {
+	t.unanswered = append(t.unanswered, unanswered)
+	t.retireFence(unanswered.owner, unanswered.subFence)
 }
 
 // retireFence makes sure that a fence is not used again.
-func (l *fenceTracker) retireFence(owner keyspace.Fence, sub uint32) {
-	if l.subFences[owner] == sub && sub < maxSubFence {
-		l.subFences[owner]++
+func (t *fenceTracker) retireFence(owner keyspace.Fence, sub uint32) {
+	if t.subFences[owner] == sub && sub < maxSubFence {
+		t.subFences[owner]++
 	}
 }
 
 // unreadUntil is the time until which grants may be queued, unread, at a stalled back end.
-func (l *fenceTracker) unreadUntil() time.Time {
+func (t *fenceTracker) unreadUntil() time.Time {
 	var until time.Time
-	for _, unanswered := range l.unanswered {
+	for _, unanswered := range t.unanswered {
 		if !unanswered.connectionEnded {
 			until = later(until, unanswered.notedAt.Add(maxGrantDelay))
 		}
@@ -93,9 +93,9 @@
 
 // recordConfirmed records that the back end confirmed a grant: it refuses earlier grants of
 // these keys from now on.
-func (l *fenceTracker) recordConfirmed(keys keyspace.Range, owner keyspace.Fence, sub uint32) {
+func (t *fenceTracker) recordConfirmed(keys keyspace.Range, owner keyspace.Fence, sub uint32) {
 	var rest []unansweredGrant
-	for _, unanswered := range l.unanswered {
+	for _, unanswered := range t.unanswered {
 		if composeFence(unanswered.owner, unanswered.subFence) >= composeFence(owner, sub) {
 			rest = append(rest, unanswered)
 			continue
@@ -106,16 +106,16 @@
 			rest = append(rest, remaining)
 		}
 	}
-	l.unanswered = rest
+	t.unanswered = rest
 }
 
 // prune drops grants that can't be applied any more.
-func (l *fenceTracker) prune(now time.Time) {
+func (t *fenceTracker) prune(now time.Time) {
 	var rest []unansweredGrant
-	for _, unanswered := range l.unanswered {
+	for _, unanswered := range t.unanswered {
 		if now.Before(unanswered.notedAt.Add(maxGrantDelay)) {
 			rest = append(rest, unanswered)
 		}
 	}
-	l.unanswered = rest
+	t.unanswered = rest
 }
--- a/internal/gateway/fences_test.go
+++ b/internal/gateway/fences_test.go
@@ -40,19 +40,19 @@
 // one of the next owner.
 func TestFencesRiseOverAnyNumberOfUnansweredGrants(t *testing.T) {
 	const grants = 1<<16 + 1000
-	ledger := newFenceTracker()
+	tracker := newFenceTracker()
 	keys := keyspace.Range{First: 0, Last: 99}
 	now := steady.Reading()
 	before := keyspace.Fence(0)
 	for range grants {
-		sub := ledger.subFences[7]
+		sub := tracker.subFences[7]
 		fence := composeFence(7, sub)
 		assert.Assert(t, fence > before, "%d after %d", fence, before)
 		assert.Assert(t, fence < composeFence(8, 0))
 		before = fence
-		ledger.addUnanswered(unansweredGrant{keys: keys, owner: 7, subFence: sub, notedAt: now})
+		tracker.addUnanswered(unansweredGrant{keys: keys, owner: 7, subFence: sub, notedAt: now})
 		now = now.Add(grantRetryDelay)
-		ledger.prune(now)
+		tracker.prune(now)
 	}
 }
 
--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -37,7 +37,7 @@
 	connectionRefused = "connection refused"
 	deregistered      = "deregistered"
 	gatewayRestarts   = "gateway restarts"
-	leaderAnswers     = "leader tells"
+	leaderAnswers     = "leader answers"
 )
 
 func (e incarnationEvent) apply(r *registry, now time.Time) *registry {
