--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -13,53 +13,55 @@
 )
 
 const (
-	// holdLimit bounds how long a request waits for its key to get an owner, or
-	// its service an instance, and holdShare the part of its time for that.
-	holdLimit = 1500 * time.Millisecond
-	holdShare = 0.5
-	// holdStep is how often a held request looks again without news.
-	holdStep = 40 * time.Millisecond
-	// handOverTime is what it takes until keys that are free have another owner: a report, an
-	// entry of the log, a view and a grant.
+	// maxHoldTime bounds how long a request waits for its key to get an owner or for its
+	// service to get an instance. maxHoldFraction bounds the same wait as a fraction of the
+	// request's time.
+	maxHoldTime     = 1500 * time.Millisecond
+	maxHoldFraction = 0.5
+	// holdRecheckInterval is how often a waiting request is reconsidered if no new view
+	// arrives.
+	holdRecheckInterval = 40 * time.Millisecond
+	// handOverTime is how long it takes until released keys have another owner: a report, a
+	// log entry, a view and a grant.
 	handOverTime = 150 * time.Millisecond
-	// sameOwnerAgain is when the owner of a key that did not hold it is asked
-	// again without news: it waits for the key itself (egress.awaitKey), so that the answer
-	// says that it has not come for long.
+	// sameOwnerAgain is when a key's owner that did not hold the key is asked again if no
+	// new view arrives. The owner itself waits for the key (egress.awaitKey), so its refusal
+	// means that the key has been missing for a while.
 	sameOwnerAgain = 200 * time.Millisecond
-	// maxTries bounds how many gateways one request is offered to, and
-	// maxRefusals after how many that had no room it is refused.
-	maxTries    = 8
+	// maxAttempts bounds how many gateways one request is offered to. After maxRefusals
+	// refusals for lack of capacity the request is refused.
+	maxAttempts = 8
 	maxRefusals = 2
-	// crossZone is the least that a way to another zone counts, in seconds, and
-	// crossZoneShare what it counts of the route's target: an answer that comes
-	// well within the target is worth no less for coming somewhat later, and
-	// bytes between zones are dear. crossZoneTransfer stands where the answer is
-	// large: a transfer leaves its zone only where that has nothing to offer.
-	crossZone         = 0.02
-	crossZoneShare    = 0.25
-	crossZoneTransfer = 1.0
-	// choiceNoise spreads equal choices, as a share.
-	choiceNoise = 0.1
+	// minCrossZoneCost is the minimum cost of sending a request to another zone, in seconds,
+	// and crossZoneTargetFraction the cost as a fraction of the route's target latency:
+	// traffic between zones is expensive, and a somewhat later response is as good as long
+	// as it is well within the target. crossZoneTransferCost applies to large responses,
+	// which leave the zone only if it has no suitable instance.
+	minCrossZoneCost        = 0.02
+	crossZoneTargetFraction = 0.25
+	crossZoneTransferCost   = 1.0
+	// costJitter spreads requests over instances of equal cost, as a fraction of the cost.
+	costJitter = 0.1
 )
 
-// run tries a request until it has an answer or is given up. One that may have
-// run at an earlier try does not end as one that has not.
-func (g *Gateway) run(ctx context.Context, c *call) *forwardResult {
-	result := g.runTries(ctx, c)
-	if result.Outcome == outcomeNotRun && c.mayHaveRun != nil {
-		return c.mayHaveRun
+// serveWithRetries sends a request until it has a response or is given up. If an earlier
+// attempt may have run, the request does not end as not-run.
+func (g *Gateway) serveWithRetries(ctx context.Context, c *call) *forwardResult {
+	result := g.runAttempts(ctx, c)
+	if result.Outcome == outcomeNotRun && c.possiblyRun != nil {
+		return c.possiblyRun
 	}
 	return result
 }
 
-// runTries returns the result of the last try.
-func (g *Gateway) runTries(ctx context.Context, c *call) *forwardResult {
+// runAttempts returns the result of the last attempt.
+func (g *Gateway) runAttempts(ctx context.Context, c *call) *forwardResult {
 	key, hasKey := c.key, c.hasKey
-	holdUntil := c.began.Add(min(holdLimit, time.Duration(holdShare*float64(c.deadline.Sub(c.began)))))
+	holdUntil := c.began.Add(min(maxHoldTime, time.Duration(maxHoldFraction*float64(c.deadline.Sub(c.began)))))
 	tried := map[string]bool{}
 	result := notRun(reasonNoInstance)
 	sends, refusals := 0, 0
-	for range maxTries {
+	for range maxAttempts {
 		if g.views.load().evacuatedWholly(c.service.Name) {
 			return notRun(reasonEvacuated)
 		}
@@ -70,24 +72,24 @@
 		target, ok := g.choose(c, key, hasKey, tried)
 		if !ok {
 			g.trialEnds(c, trial, result)
-			if !g.hold(ctx, holdUntil) {
+			if !g.awaitNewView(ctx, holdUntil) {
 				return result
 			}
 			clear(tried)
 			continue
 		}
-		result = g.try(ctx, c, target, trial)
+		result = g.attempt(ctx, c, target, trial)
 		g.trialEnds(c, trial, result)
 		if result.Outcome == outcomeAnswered {
 			g.noteAnswered(c.digest)
 		}
 		if result.Outcome != outcomeNotRun {
-			c.mayHaveRun = result
+			c.possiblyRun = result
 		}
 		if result.Sent {
 			sends++
 		}
-		if result.Reason.full() {
+		if result.Reason.isCapacity() {
 			refusals++
 		}
 		if result.Reason == reasonEnded {
@@ -96,7 +98,7 @@
 		if endedUnder(c, result, trial) {
 			return result
 		}
-		if refusals == maxRefusals || g.final(ctx, c, result, sends) {
+		if refusals == maxRefusals || g.isFinal(ctx, c, result, sends) {
 			return result
 		}
 		if hasKey && !g.awaitOwner(ctx, c.service.Name, key, target.ID, result, holdUntil) {
@@ -107,22 +109,22 @@
 	return result
 }
 
-// endedUnder reports whether a request's visit is over because its back end has ended: the
-// request is likelier the cause than not where it was alone, or on trial. Where it has a key,
-// that has no owner for longer than the visit should wait.
+// endedUnder reports whether a request is given up because its back end terminated. That is
+// so if the request is the likely cause: it ran alone, or on trial. A request with a key is
+// given up as well, because its key has no owner for longer than the request should wait.
 func endedUnder(c *call, result *forwardResult, trial uint64) bool {
 	return result.Reason == reasonEnded && (result.AtWork <= 1 || trial != 0 || c.service.Keyed)
 }
 
-// final reports whether a result is the request's end.
-func (g *Gateway) final(ctx context.Context, c *call, result *forwardResult, sends int) bool {
+// isFinal reports whether no further attempt follows a result.
+func (g *Gateway) isFinal(ctx context.Context, c *call, result *forwardResult, sends int) bool {
 	if ctx.Err() != nil {
 		return true
 	}
 	repeats := c.route.Repetition.MayRepeat()
 	switch result.Outcome {
 	case outcomeAnswered:
-		// A back end that has requests waiting would fail again for want of room.
+		// A back end with a queue would fail again for lack of capacity.
 		if result.Status < http.StatusInternalServerError || !repeats || result.Load.waiting > 0 {
 			return true
 		}
@@ -132,9 +134,9 @@
 		}
 	}
 	if !result.Sent {
-		return c.service.Keyed && result.Reason.lasts()
+		return c.service.Keyed && result.Reason.persists()
 	}
-	if sends >= c.route.Attempts || steady.Until(c.deadline) < leastPatience {
+	if sends >= c.route.Attempts || steady.Until(c.deadline) < minSlotWait {
 		return true
 	}
 	allowed := g.budgets.repeat(c.service.Name, len(g.views.load().byID), steady.Now())
@@ -142,21 +144,22 @@
 	return !allowed
 }
 
-// hold waits a moment for news and reports whether the request may be tried
+// awaitNewView waits briefly for a new view and reports whether the request may be attempted
 // again.
-func (g *Gateway) hold(ctx context.Context, until time.Time) bool {
+func (g *Gateway) awaitNewView(ctx context.Context, until time.Time) bool {
 	left := steady.Until(until)
 	if left <= 0 || ctx.Err() != nil {
 		return false
 	}
-	g.views.load().await(ctx.Done(), min(left, holdStep))
+	g.views.load().await(ctx.Done(), min(left, holdRecheckInterval))
 	return ctx.Err() == nil
 }
 
-// awaitOwner waits, after a try at the owner of a key failed, until another try may
-// end otherwise: the key has another owner, or a moment has passed. It reports
-// whether the request may be tried again. One whose key has another owner only after that
-// time is refused at once, with the time to come back: it would wait in vain.
+// awaitOwner waits after a failed attempt at the owner of a key until another attempt may
+// end differently: the key has another owner, or a pause has passed. It reports whether the
+// request may be attempted again. If the key gets another owner only after the request's
+// waiting time, the request is refused at once with a Retry-After time, as waiting would be
+// in vain.
 func (g *Gateway) awaitOwner(ctx context.Context, service string, key keyspace.Key, tried string, failed *forwardResult, until time.Time) bool {
 	pause := sameOwnerAgain
 	switch failed.Reason {
@@ -166,7 +169,7 @@
 			return false
 		}
 	default:
-		return g.hold(ctx, until)
+		return g.awaitNewView(ctx, until)
 	}
 	again := steady.Reading().Add(pause)
 	if again.After(until) {
@@ -184,8 +187,8 @@
 	return ctx.Err() == nil
 }
 
-// choose picks the instance for a request: the owner of its key, or the one
-// expected to answer first among those not tried yet.
+// choose picks the instance for a request: the owner of its key, or the instance with the
+// lowest expected response time among those not tried yet.
 func (g *Gateway) choose(c *call, key keyspace.Key, hasKey bool, tried map[string]bool) (fleetwire.Instance, bool) {
 	v := g.views.load()
 	if hasKey {
@@ -204,20 +207,22 @@
 		}
 	}
 	if best.Cold {
-		g.takeShare(c.service, best, now)
+		g.countWarmupShare(c.service, best, now)
 	}
 	return best, best.ID != ""
 }
 
 const (
-	// avoidedCost and leavingCost put an instance behind all others, in seconds, and
-	// coldCost a cold one that has got this gateway's share behind those that are well.
+	// avoidedCost and leavingCost rank an instance behind all others, in seconds. coldCost
+	// ranks a cold instance that has received this gateway's share of requests behind the
+	// healthy ones.
 	avoidedCost = 100
 	leavingCost = 50
 	coldCost    = 45
 )
 
-// cost estimates how long a request takes at an instance, in seconds.
+// cost estimates how long a request takes at an instance, in seconds, with penalties for
+// instances that should be avoided.
 func (g *Gateway) cost(c *call, candidate fleetwire.Instance, now time.Time) float64 {
 	var cost float64
 	if candidate.Node == g.config.Name {
@@ -234,29 +239,29 @@
 			cost += avoidedCost
 		}
 	}
-	cost *= 1 + choiceNoise*(rand.Float64()-0.5)
+	cost *= 1 + costJitter*(rand.Float64()-0.5)
 	if candidate.Zone != g.config.Zone {
-		cost += zoneCost(c.route)
+		cost += crossZoneCost(c.route)
 	}
 	if candidate.Leaving {
 		cost += leavingCost
 	}
-	if candidate.Cold && !g.hasShare(c.service, candidate, now) {
+	if candidate.Cold && !g.withinWarmupShare(c.service, candidate, now) {
 		cost += coldCost
 	}
 	return cost
 }
 
-// zoneCost is what a way to another zone counts for a request, in seconds.
-func zoneCost(route *routeconfig.Route) float64 {
+// crossZoneCost is the cost of sending a request to another zone, in seconds.
+func crossZoneCost(route *routeconfig.Route) float64 {
 	if route.Repetition == routeconfig.RepeatableTransfer {
-		return crossZoneTransfer
+		return crossZoneTransferCost
 	}
-	return max(crossZone, crossZoneShare*route.TargetLatency.Seconds())
+	return max(minCrossZoneCost, crossZoneTargetFraction*route.TargetLatency.Seconds())
 }
 
-// try offers a request to one instance.
-func (g *Gateway) try(ctx context.Context, c *call, target fleetwire.Instance, trial uint64) *forwardResult {
+// attempt offers a request to one instance.
+func (g *Gateway) attempt(ctx context.Context, c *call, target fleetwire.Instance, trial uint64) *forwardResult {
 	request := &forwardRequest{
 		Method:   c.request.Method,
 		URI:      c.request.RequestURI,
@@ -281,7 +286,7 @@
 	began := steady.Reading()
 	if target.Node == g.config.Name {
 		result := g.egress.serve(ctx, request)
-		c.record(target.ID, target.Node, result, steady.Elapsed(began))
+		c.recordAttempt(target.ID, target.Node, result, steady.Elapsed(began))
 		return result
 	}
 	request.Header.Set(names.Deadline, milliseconds(max(steady.Until(c.deadline), time.Millisecond)))
@@ -290,7 +295,7 @@
 	result := peer.send(ctx, request)
 	now := steady.Reading()
 	peer.end(result, now)
-	c.record(target.ID, target.Node, result, now.Sub(began))
+	c.recordAttempt(target.ID, target.Node, result, now.Sub(began))
 	g.metrics.peerTry(result)
 	return result
 }
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -7,30 +7,32 @@
 )
 
 const (
-	// budgetParts divides the window of a retry budget.
-	budgetParts = 20
-	// ownShare of the ratio is what one gateway uses: other gateways' requests
-	// may repeat too, and calls of repeated runs count as repeats.
+	// budgetBuckets is the number of buckets in the sliding window of a retry budget.
+	budgetBuckets = 20
+	// ownShare is the fraction of the configured ratio that one gateway uses. The rest
+	// covers retries by other gateways and the calls that retried requests make, which count
+	// as retries too.
 	ownShare = 0.4
-	// ownSlack is how many repeats a gateway may make in a window beside, at most:
-	// all gateways together make slackShare of the fleet's slack, whatever their
-	// number. The rest is for gateways that know fewer others, and for the calls of
-	// repeated runs.
-	ownSlack   = 1.5
-	slackShare = 0.6
+	// ownSlack is the most retries that a gateway may make in a window in addition to the
+	// ratio. All gateways together use fleetSlackFraction of the fleet's slack, whatever their
+	// number. The rest is for gateways that know of fewer others and for the calls that
+	// retried requests make.
+	ownSlack           = 1.5
+	fleetSlackFraction = 0.6
 )
 
-// budgetCounts are what one part of the window has.
-type budgetCounts struct{ requests, repeats float64 }
+// bucketCounts are the counts of one bucket of the window.
+type bucketCounts struct{ requests, retries float64 }
 
-// serviceBudget counts one service's requests and repeats in a sliding window.
+// serviceBudget counts one service's requests and retries in a sliding window.
 type serviceBudget struct {
-	parts [budgetParts]budgetCounts
-	// last is the number of the latest part.
-	last int64
+	buckets [budgetBuckets]bucketCounts
+	// lastBucket is the number of the latest bucket; its index in buckets is that number
+	// modulo budgetBuckets.
+	lastBucket int64
 }
 
-// retryBudgets bounds the repeats of this gateway, by service.
+// retryBudgets limits the retries of this gateway, by service.
 type retryBudgets struct {
 	config    RetryBudget
 	began     steady.Instant
@@ -42,43 +44,44 @@
 	return &retryBudgets{config: config, began: steady.Now(), byService: map[string]*serviceBudget{}}
 }
 
-// request counts a request of a caller.
+// request counts a caller's request.
 func (b *retryBudgets) request(service string, now steady.Instant) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.part(service, now).requests++
+	b.currentBucket(service, now).requests++
 }
 
-// repeat counts a repeat and reports true, or refuses it. The slack is shared with
-// all gateways, of which a number is known.
+// repeat reports whether a request may be retried, and counts the retry if so. The slack is
+// shared among all gateways, whose number is given.
 func (b *retryBudgets) repeat(service string, gateways int, now steady.Instant) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	part := b.part(service, now)
-	var sum budgetCounts
-	for _, counts := range b.byService[service].parts {
+	bucket := b.currentBucket(service, now)
+	var sum bucketCounts
+	for _, counts := range b.byService[service].buckets {
 		sum.requests += counts.requests
-		sum.repeats += counts.repeats
+		sum.retries += counts.retries
 	}
-	slack := min(ownSlack, b.config.Slack*slackShare/float64(max(gateways, 1)))
-	if sum.repeats+1 > sum.requests*b.config.Ratio*ownShare+slack {
+	slack := min(ownSlack, b.config.Slack*fleetSlackFraction/float64(max(gateways, 1)))
+	if sum.retries+1 > sum.requests*b.config.Ratio*ownShare+slack {
 		return false
 	}
-	part.repeats++
+	bucket.retries++
 	return true
 }
 
-// part returns the counts of the present part and empties those that are over.
-func (b *retryBudgets) part(service string, now steady.Instant) *budgetCounts {
+// currentBucket returns the counts of the present bucket and clears the buckets that have
+// left the window.
+func (b *retryBudgets) currentBucket(service string, now steady.Instant) *bucketCounts {
 	budget, ok := b.byService[service]
 	if !ok {
 		budget = &serviceBudget{}
 		b.byService[service] = budget
 	}
-	present := int64(now.Sub(b.began) / (b.config.Window / budgetParts))
-	for budget.last < present {
-		budget.last = max(budget.last, present-budgetParts) + 1
-		budget.parts[budget.last%budgetParts] = budgetCounts{}
+	present := int64(now.Sub(b.began) / (b.config.Window / budgetBuckets))
+	for budget.lastBucket < present {
+		budget.lastBucket = max(budget.lastBucket, present-budgetBuckets) + 1
+		budget.buckets[budget.lastBucket%budgetBuckets] = bucketCounts{}
 	}
-	return &budget.parts[present%budgetParts]
+	return &budget.buckets[present%budgetBuckets]
 }
--- a/internal/gateway/choice_test.go
+++ b/internal/gateway/choice_test.go
@@ -10,7 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// choosingGateway knows one instance in its own zone and one in another.
+// choosingGateway returns a gateway that knows one instance in its own zone and one in
+// another.
 func choosingGateway(t *testing.T) *Gateway {
 	t.Helper()
 	g := &Gateway{
@@ -29,8 +30,8 @@
 	return g
 }
 
-// tell lets the gateway know of an instance's load.
-func (g *Gateway) tell(address string, running int, serviceTime time.Duration) {
+// setPeerLoad sets the load that the gateway knows of the instance at an address.
+func (g *Gateway) setPeerLoad(address string, running int, serviceTime time.Duration) {
 	load := peerLoad{running: running, slots: 10, serviceTime: serviceTime, shortService: serviceTime}
 	known := g.peers.get(address)
 	known.mutex.Lock()
@@ -44,22 +45,23 @@
 	return found.ID
 }
 
-// A somewhat faster back end elsewhere is not worth the bytes between zones
-// while the near one answers well within the target.
-func TestARequestStaysInItsZoneWhileThatServesItInTime(t *testing.T) {
+// A somewhat faster back end in another zone does not justify cross-zone traffic while the
+// near one answers well within the target.
+func TestRequestStaysInZoneThatMeetsTarget(t *testing.T) {
 	g := choosingGateway(t)
-	g.tell("127.0.0.1:1", 2, 180*time.Millisecond)
-	g.tell("127.0.0.1:2", 2, 100*time.Millisecond)
+	g.setPeerLoad("127.0.0.1:1", 2, 180*time.Millisecond)
+	g.setPeerLoad("127.0.0.1:2", 2, 100*time.Millisecond)
 	for range 50 {
 		assert.Equal(t, chosen(g, routeconfig.NonRepeatable), "near")
 	}
 }
 
-// A crowded back end in the own zone is no reason to be late.
-func TestARequestLeavesItsZoneWhereThatIsCrowded(t *testing.T) {
+// A request goes to another zone if the back end in its own zone is too loaded to answer in
+// time.
+func TestRequestLeavesOverloadedZone(t *testing.T) {
 	g := choosingGateway(t)
-	g.tell("127.0.0.1:1", 10, 180*time.Millisecond)
-	g.tell("127.0.0.1:2", 2, 100*time.Millisecond)
+	g.setPeerLoad("127.0.0.1:1", 10, 180*time.Millisecond)
+	g.setPeerLoad("127.0.0.1:2", 2, 100*time.Millisecond)
 	for range 50 {
 		assert.Equal(t, chosen(g, routeconfig.NonRepeatable), "far")
 	}
--- a/internal/gateway/parts_test.go
+++ b/internal/gateway/destinations_test.go
@@ -15,9 +15,9 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// What the drawn part of a route can't take is refused, with proof, and no try of
-// it reaches another part that has room.
-func TestARequestStaysInThePartOfItsRouteThatWasDrawn(t *testing.T) {
+// A request that the selected destination of its route can't serve is refused as not run. No
+// attempt of it reaches another destination, even one with free slots.
+func TestRequestStaysAtSelectedDestination(t *testing.T) {
 	full := map[string]http.HandlerFunc{
 		"without an instance": nil,
 		"without room": func(w http.ResponseWriter, r *http.Request) {
@@ -35,29 +35,29 @@
 			}))
 			instances := []fleetwire.Instance{hops.near.views.load().byID["i"]}
 			if refuse != nil {
-				instances = append(instances, startFullPart(t, refuse))
+				instances = append(instances, startFullDestination(t, refuse))
 			}
 			split := viewOf(true, instances...)
 			split.Document = splitDocument()
 			advance(t, hops.near.views, split)
 			v := hops.near.views.load()
-			const drawn = 0.75 // of the two halves, the one that is full
+			const draw = 0.75 // selects the second destination, which is full
 			route := v.table.Find("h", "/a")
-			assert.Equal(t, route.Pick(drawn), "full")
+			assert.Equal(t, route.Pick(draw), "full")
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
 			began := steady.Reading()
-			result := hops.near.run(ctx, &call{
-				request: hops.request(ctx, t, "r1"), id: "r1", route: route, service: v.table.Service(route.Pick(drawn)),
+			result := hops.near.serveWithRetries(ctx, &call{
+				request: hops.request(ctx, t, "r1"), id: "r1", route: route, service: v.table.Service(route.Pick(draw)),
 				began: began, deadline: began.Add(200 * time.Millisecond),
 			})
 			assert.Equal(t, result.Outcome, outcomeNotRun)
-			assert.Equal(t, runs.Load(), int32(0), "moved to the other part")
+			assert.Equal(t, runs.Load(), int32(0), "the request reached the other destination")
 		})
 	}
 }
 
-// splitDocument divides a route between a part with room and one without.
+// splitDocument splits a route between a destination with free slots and a full one.
 func splitDocument() *routeconfig.Document {
 	return &routeconfig.Document{
 		Version: 2,
@@ -69,9 +69,9 @@
 	}
 }
 
-// startFullPart runs a gateway beside a back end that refuses, and returns what a
-// view says of it.
-func startFullPart(t *testing.T, refuse http.HandlerFunc) fleetwire.Instance {
+// startFullDestination runs a gateway beside a back end that refuses all requests, and
+// returns its instance for a view.
+func startFullDestination(t *testing.T, refuse http.HandlerFunc) fleetwire.Instance {
 	t.Helper()
 	server := httptest.NewServer(refuse)
 	t.Cleanup(server.Close)
@@ -86,12 +86,12 @@
 	return fleetwire.Instance{ID: "f", Service: "full", Node: "full", Zone: "a", Address: config.PeerListen, State: fleetwire.InstanceReady, Slots: 1}
 }
 
-// A back end that has just joined gets a request of another machine in its zone
-// at once, although those that are known there have room.
-func TestABackEndThatJoinsIsChosen(t *testing.T) {
+// A back end that has just joined gets requests of other machines in its zone at once, even
+// if the known back ends there have free slots.
+func TestJoiningBackendIsChosen(t *testing.T) {
 	g := choosingGateway(t)
-	g.tell("127.0.0.1:1", 0, 20*time.Millisecond)
-	g.tell("127.0.0.1:2", 0, 20*time.Millisecond)
+	g.setPeerLoad("127.0.0.1:1", 0, 20*time.Millisecond)
+	g.setPeerLoad("127.0.0.1:2", 0, 20*time.Millisecond)
 	advance(t, g.views, viewOf(false, fleetwire.Instance{
 		ID: "joined", Service: "s", Node: "node-joined", Zone: "a", Address: "127.0.0.1:3", State: fleetwire.InstanceReady,
 	}))
--- a/internal/gateway/due_test.go
+++ b/internal/gateway/due_test.go
@@ -10,17 +10,18 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// A route that holds its requests for less than their target: none is begun that would be
-// cut off as it runs, while its caller could go elsewhere.
-func TestARequestIsDueBeforeItIsCutOff(t *testing.T) {
+// If the timeout of a route is shorter than its target, the due time is the deadline.
+// Otherwise a request could get a slot so late that it would be cut off while it runs,
+// although its caller could have gone elsewhere.
+func TestDueTimeIsNotAfterDeadline(t *testing.T) {
 	route := &routeconfig.Route{TargetLatency: 1500 * time.Millisecond, Timeout: 1200 * time.Millisecond}
 	began := steady.Reading()
-	c := &call{route: route, firstTry: began, deadline: began.Add(route.Timeout)}
+	c := &call{route: route, firstAttempt: began, deadline: began.Add(route.Timeout)}
 	assert.Equal(t, c.due(), c.deadline)
 	e := &egress{gateway: &Gateway{slots: lateGate(12)}}
 	request := &forwardRequest{Due: c.due(), Target: route.TargetLatency, Deadline: c.deadline}
-	wanted := e.demand(request)
-	assert.Assert(t, wanted.Patience+lateService < route.Timeout, "it waits for %v and runs for %v", wanted.Patience, lateService)
+	wanted := e.slotDemand(request)
+	assert.Assert(t, wanted.Patience+testServiceTime < route.Timeout, "it waits for %v and runs for %v", wanted.Patience, testServiceTime)
 	c.deadline = began.Add(time.Minute)
 	assert.Equal(t, c.due(), began.Add(route.TargetLatency))
 }
--- a/internal/gateway/egress.go
+++ b/internal/gateway/egress.go
@@ -17,22 +17,25 @@
 )
 
 const (
-	// backendConnections bounds connections to the back end beside its slots.
-	backendConnections = 8
-	// backendIdle closes connections before the back end does.
-	backendIdle = 4 * time.Second
-	backendDial = 400 * time.Millisecond
-	// answerMargin is how much earlier than the caller the egress gives up, so
-	// that its word still arrives.
-	answerMargin = 15 * time.Millisecond
-	// keyWaitShare is the part of a request's time that it may wait for its key,
-	// where the back end is about to get it; a heartbeat's interval at the most.
-	keyWaitShare = 0.5
-	// maxAnswer bounds the body of an answer.
-	maxAnswer = 64 << 20
+	// extraBackendConnections is how many connections to the back end there may be beyond
+	// its slots.
+	extraBackendConnections = 8
+	// backendIdleTimeout is shorter than the back end's own idle timeout, so that the back
+	// end never closes an idle connection first.
+	backendIdleTimeout = 4 * time.Second
+	backendDial        = 400 * time.Millisecond
+	// responseMargin is how much earlier than the caller's deadline the egress gives up, so
+	// that its result still arrives.
+	responseMargin = 15 * time.Millisecond
+	// maxKeyWaitFraction bounds, as a fraction of the request's time, how long a request
+	// waits for a key that the back end is about to get. The wait is at most one heartbeat
+	// interval.
+	maxKeyWaitFraction = 0.5
+	// maxResponseBody bounds the body of a response.
+	maxResponseBody = 64 << 20
 )
 
-// errNoAnswer: what came back is not the answer to the request.
+// errNoAnswer means that the received message is not a valid response to the request.
 var errNoAnswer = errors.New("not an answer to this request")
 
 // egress passes requests on to the back end beside the gateway.
@@ -44,10 +47,10 @@
 func newEgress(g *Gateway) (*egress, error) {
 	pool, err := upstream.New(upstream.Config{
 		Address:        g.config.BackendAddress,
-		MaxConnections: backendConnections,
+		MaxConnections: extraBackendConnections,
 		MinWarm:        -1,
 		DialTimeout:    backendDial,
-		IdleTimeout:    backendIdle,
+		IdleTimeout:    backendIdleTimeout,
 	})
 	if err != nil {
 		return nil, err
@@ -55,18 +58,18 @@
 	return &egress{gateway: g, pool: pool}, nil
 }
 
-// setSlots follows the back end's number of slots.
+// setSlots applies the back end's number of slots.
 func (e *egress) setSlots(slots int) {
-	e.pool.SetMaxConnections(slots + backendConnections)
+	e.pool.SetMaxConnections(slots + extraBackendConnections)
 	e.gateway.slots.setCapacity(slots)
 }
 
-// serve tries a request at the back end.
+// serve makes one attempt at the back end and records its result.
 func (e *egress) serve(ctx context.Context, request *forwardRequest) *forwardResult {
 	began := steady.Reading()
-	result, used := e.try(ctx, request)
+	result, used := e.attempt(ctx, request)
 	waited := steady.Elapsed(began) - used
-	e.gateway.tally.count(result, waited, used)
+	e.gateway.tally.record(result, waited, used)
 	e.gateway.metrics.backendTry(result, waited, used)
 	if result.Outcome == outcomeAnswered {
 		e.gateway.noteAnswered(request.digest)
@@ -81,110 +84,114 @@
 
 func notRun(why reason) *forwardResult { return &forwardResult{Outcome: outcomeNotRun, Reason: why} }
 
-// try returns what became of a request and for how long it used a slot.
-func (e *egress) try(ctx context.Context, request *forwardRequest) (*forwardResult, time.Duration) {
+// attempt returns the result of a request and how long it used a slot.
+func (e *egress) attempt(ctx context.Context, request *forwardRequest) (*forwardResult, time.Duration) {
 	if refusal := e.awaitKey(ctx, request); refusal != nil {
 		return refusal, 0
 	}
-	ctx, cancel := context.WithTimeout(ctx, steady.Until(request.Deadline.Add(-answerMargin)))
+	ctx, cancel := context.WithTimeout(ctx, steady.Until(request.Deadline.Add(-responseMargin)))
 	defer cancel()
 	if !request.Transfer {
-		return e.tryInSlot(ctx, request)
+		return e.attemptInSlot(ctx, request)
 	}
-	kept, ok := e.gateway.pacer.admit(e.transfer(request))
+	reservation, ok := e.gateway.pacer.admit(e.transferDemand(request))
 	if !ok {
 		return notRun(reasonLinkFull), 0
 	}
-	result, used := e.tryInSlot(ctx, request)
+	result, used := e.attemptInSlot(ctx, request)
 	answered := result.Outcome == outcomeAnswered
-	e.gateway.pacer.settle(kept, answered, len(result.Body))
+	e.gateway.pacer.settle(reservation, answered, len(result.Body))
 	if answered {
-		result.kept = kept
+		result.kept = reservation
 	}
 	return result, used
 }
 
-// transfer is what a request for a large answer asks of the link.
-func (e *egress) transfer(request *forwardRequest) overload.Transfer {
+// transferDemand is what a request with a large response demands of the link.
+func (e *egress) transferDemand(request *forwardRequest) overload.Transfer {
 	load := e.gateway.slots.load()
 	return overload.Transfer{Due: request.Due, Deadline: request.Deadline, Target: request.Target, Run: load.service(request.Target)}
 }
 
-// tryInSlot waits for a slot and uses it.
-func (e *egress) tryInSlot(ctx context.Context, request *forwardRequest) (*forwardResult, time.Duration) {
-	taken, err := e.gateway.slots.acquire(ctx, e.demand(request))
+// attemptInSlot waits for a slot, makes the attempt and releases the slot.
+func (e *egress) attemptInSlot(ctx context.Context, request *forwardRequest) (*forwardResult, time.Duration) {
+	slot, err := e.gateway.slots.acquire(ctx, e.slotDemand(request))
 	if err != nil {
-		return e.noSlot(request, err), 0
+		return e.refuseWithoutSlot(request, err), 0
 	}
 	began := steady.Reading()
-	result := e.useSlot(ctx, request)
+	result := e.recheckAndExchange(ctx, request)
 	used := steady.Elapsed(began)
-	e.release(request, result, taken, used)
+	e.release(request, result, slot, used)
 	return result, used
 }
 
-// awaitKey refuses a request as refuses does, but where only the key is missing
-// that the back end is about to get, it waits for it.
+// awaitKey checks the request as checkAdmission does. If only the key is missing and the
+// back end is about to get it, awaitKey waits for the key.
 func (e *egress) awaitKey(ctx context.Context, request *forwardRequest) *forwardResult {
-	refusal := e.refuses(request)
+	refusal := e.checkAdmission(request)
 	if refusal == nil || refusal.Reason != reasonNotOwner {
 		return refusal
 	}
 	left := steady.Until(request.Deadline)
-	ctx, cancel := context.WithTimeout(ctx, min(e.gateway.config.HeartbeatInterval, time.Duration(keyWaitShare*float64(left))))
+	ctx, cancel := context.WithTimeout(ctx, min(e.gateway.config.HeartbeatInterval, time.Duration(maxKeyWaitFraction*float64(left))))
 	defer cancel()
 	e.gateway.keys.await(ctx, request.Instance, request.Key)
-	return e.refuses(request)
+	return e.checkAdmission(request)
 }
 
-// useSlot sends the request, unless things have changed while it waited.
-func (e *egress) useSlot(ctx context.Context, request *forwardRequest) *forwardResult {
-	if refusal := e.refuses(request); refusal != nil {
+// recheckAndExchange sends the request unless it is no longer admitted after the wait for a
+// slot.
+func (e *egress) recheckAndExchange(ctx context.Context, request *forwardRequest) *forwardResult {
+	if refusal := e.checkAdmission(request); refusal != nil {
 		return refusal
 	}
 	return e.exchange(ctx, request)
 }
 
 const (
-	// leastPatience is how long a request that is not due yet may always wait for a
-	// slot, and turnsWaited for how many of the next slots that become free, where it can
-	// still be answered in time. One that is due has no such place: it would stand before
-	// all that can be in time. A back end whose runs take nearly the whole target would otherwise
-	// serve none in time: each free slot would go to one that is late already.
-	leastPatience = 30 * time.Millisecond
-	turnsWaited   = 2
-	// serviceMargin is what is kept of the time to the due moment, in service
-	// times.
-	serviceMargin = 1.8
+	// minSlotWait is how long a request that is not due yet may always wait for a slot, and
+	// minSlotTurns how many of the next released slots it may wait for if it can still be
+	// answered in time. Without minSlotTurns a back end whose service time is nearly the
+	// whole target would answer none in time: each released slot would go to a late request.
+	// A request that is due has no minimum wait, because it would go before all that can
+	// still be answered in time.
+	minSlotWait  = 30 * time.Millisecond
+	minSlotTurns = 2
+	// serviceTimeMargin is the part of the time until the due time that is reserved for
+	// running the request, in service times.
+	serviceTimeMargin = 1.8
 )
 
-// demand is what a request asks of the slots: it may wait as long as its answer
-// can still come in time, and where slots are left over, before its caller leaves.
-func (e *egress) demand(request *forwardRequest) demand {
+// slotDemand is what a request demands of the slots: it may wait as long as its response can
+// still come in time, and, for slots that requests in time leave unused, until shortly
+// before its caller's deadline.
+func (e *egress) slotDemand(request *forwardRequest) demand {
 	load := e.gateway.slots.load()
 	service := load.service(request.Target)
-	kept := time.Duration(serviceMargin * float64(service))
-	left := steady.Until(request.Due)
-	var least time.Duration
-	if left > 0 {
-		least = leastPatience
+	reserved := time.Duration(serviceTimeMargin * float64(service))
+	untilDue := steady.Until(request.Due)
+	var minWait time.Duration
+	if untilDue > 0 {
+		minWait = minSlotWait
 	}
-	if left > service {
-		least = max(least, turnsWaited*service/time.Duration(max(load.slots, 1)))
+	if untilDue > service {
+		minWait = max(minWait, minSlotTurns*service/time.Duration(max(load.slots, 1)))
 	}
 	return demand{
 		Priority: request.Priority,
 		Due:      request.Due,
 		Target:   request.Target,
-		Patience: max(least, left-kept),
-		Latest:   steady.Until(request.Deadline) - answerMargin - kept,
+		Patience: max(minWait, untilDue-reserved),
+		Latest:   steady.Until(request.Deadline) - responseMargin - reserved,
 		OnlyHere: request.HasKey,
 	}
 }
 
-// noSlot refuses a request. Its key's load counts all the same.
-func (e *egress) noSlot(request *forwardRequest, err error) *forwardResult {
-	if !errors.Is(err, errNoRoom) {
+// refuseWithoutSlot refuses a request that got no slot. It still counts toward the load of
+// its key.
+func (e *egress) refuseWithoutSlot(request *forwardRequest, err error) *forwardResult {
+	if !errors.Is(err, errNoSlot) {
 		return notRun(reasonTimeout)
 	}
 	load := e.gateway.slots.load()
@@ -196,8 +203,9 @@
 	return refusal
 }
 
-// refuses returns a refusal where the back end must not get a request now.
-func (e *egress) refuses(request *forwardRequest) *forwardResult {
+// checkAdmission returns a refusal if the back end must not get a request now, otherwise
+// nil.
+func (e *egress) checkAdmission(request *forwardRequest) *forwardResult {
 	now := steady.Reading()
 	if !e.gateway.admission.Admits(request.Deadline.Add(callersReserve)) {
 		return e.gateway.refuseStopping()
@@ -220,8 +228,9 @@
 	return nil
 }
 
-func (e *egress) release(request *forwardRequest, result *forwardResult, taken overload.Slot, used time.Duration) {
-	e.gateway.slots.release(taken, used)
+// release returns the slot of a request and counts the use toward the load of its key.
+func (e *egress) release(request *forwardRequest, result *forwardResult, slot overload.Slot, used time.Duration) {
+	e.gateway.slots.release(slot, used)
 	if !request.HasKey {
 		return
 	}
@@ -231,9 +240,9 @@
 	}
 }
 
-// exchange sends the request once and reads its answer.
+// exchange sends the request once and reads its response.
 func (e *egress) exchange(ctx context.Context, request *forwardRequest) *forwardResult {
-	outgoing, err := e.outgoing(request)
+	outgoing, err := e.newBackendRequest(request)
 	if err != nil {
 		return notRun(reasonBroken)
 	}
@@ -241,21 +250,21 @@
 	defer e.gateway.atWork.end(request)
 	response, err := e.pool.Do(ctx, outgoing)
 	if err != nil {
-		return e.failed(ctx, request, err)
+		return e.classifyError(ctx, request, err)
 	}
 	defer response.Body.Close()
 	if response.Header.Get(e.gateway.config.Headers.RequestID) != request.ID {
-		return e.broken(request, errNoAnswer)
+		return e.brokenExchange(request, errNoAnswer)
 	}
 	body, err := readAnswer(response)
 	if err != nil {
-		return e.cutOff(ctx, request, err)
+		return e.classifyIncomplete(ctx, request, err)
 	}
-	return e.judge(request, response, body)
+	return e.classifyResponse(request, response, body)
 }
 
-// outgoing builds the request for the back end.
-func (e *egress) outgoing(request *forwardRequest) (*http.Request, error) {
+// newBackendRequest builds the request for the back end.
+func (e *egress) newBackendRequest(request *forwardRequest) (*http.Request, error) {
 	target, err := url.ParseRequestURI(request.URI)
 	if err != nil {
 		return nil, err
@@ -263,7 +272,7 @@
 	names := &e.gateway.config.Headers
 	header := request.Header
 	header.Set(names.TargetInstance, incarnation.IDOf(request.Instance))
-	left := max(steady.Until(request.Deadline)-answerMargin, time.Millisecond)
+	left := max(steady.Until(request.Deadline)-responseMargin, time.Millisecond)
 	header.Set(names.Deadline, milliseconds(left))
 	if _, ok := header["User-Agent"]; !ok {
 		header["User-Agent"] = []string{""}
@@ -276,7 +285,7 @@
 }
 
 func readAnswer(response *http.Response) ([]byte, error) {
-	if response.ContentLength > maxAnswer {
+	if response.ContentLength > maxResponseBody {
 		return nil, errNoAnswer
 	}
 	if response.ContentLength > 0 {
@@ -284,17 +293,17 @@
 		if _, err := io.ReadFull(response.Body, body); err != nil {
 			return nil, err
 		}
-		// One more read lets the connection know that the body has ended.
+		// One more read lets the connection see the end of the body.
 		if _, err := response.Body.Read(make([]byte, 1)); err != io.EOF {
 			return nil, errNoAnswer
 		}
 		return body, nil
 	}
-	return io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	return io.ReadAll(io.LimitReader(response.Body, maxResponseBody))
 }
 
-// failed classifies an exchange without an answer.
-func (e *egress) failed(ctx context.Context, request *forwardRequest, err error) *forwardResult {
+// classifyError returns the result of an exchange that got no response.
+func (e *egress) classifyError(ctx context.Context, request *forwardRequest, err error) *forwardResult {
 	e.gateway.suspect(request.Instance, err)
 	if errors.Is(err, upstream.ErrNotSent) {
 		return notRun(reasonUnreachable)
@@ -302,14 +311,15 @@
 	if errors.Is(err, context.DeadlineExceeded) {
 		return &forwardResult{Outcome: outcomeUnknown, Reason: reasonTimeout, Sent: true}
 	}
-	return e.cutOff(ctx, request, err)
+	return e.classifyIncomplete(ctx, request, err)
 }
 
-// cutOff classifies an exchange whose connection ended before the whole answer was there.
-func (e *egress) cutOff(ctx context.Context, request *forwardRequest, err error) *forwardResult {
-	result := e.broken(request, err)
+// classifyIncomplete returns the result of an exchange whose connection ended before the
+// whole response had arrived.
+func (e *egress) classifyIncomplete(ctx context.Context, request *forwardRequest, err error) *forwardResult {
+	result := e.brokenExchange(request, err)
 	if ctx.Err() != nil || errors.Is(err, errNoAnswer) {
-		// The time was over, the caller has left, or the back end answered wrongly.
+		// The deadline passed, the caller disconnected, or the response was invalid.
 		return result
 	}
 	if atWork, ended := e.gateway.endedUnder(request); ended {
@@ -318,14 +328,16 @@
 	return result
 }
 
-func (e *egress) broken(request *forwardRequest, err error) *forwardResult {
+// brokenExchange logs an exchange that was interrupted or got an invalid response, and
+// returns its result: the request may have run.
+func (e *egress) brokenExchange(request *forwardRequest, err error) *forwardResult {
 	e.gateway.config.Log.Info("exchange with back end broken off", "request", request.ID, "instance", request.Instance,
 		"gateway_stopping", e.gateway.admission.Stopping(), "deadline_in_ms", steady.Until(request.Deadline).Milliseconds(), "error", err)
 	return &forwardResult{Outcome: outcomeUnknown, Reason: reasonBroken, Sent: true}
 }
 
-// judge says what a whole answer proves.
-func (e *egress) judge(request *forwardRequest, response *http.Response, body []byte) *forwardResult {
+// classifyResponse returns what a complete response proves about the request.
+func (e *egress) classifyResponse(request *forwardRequest, response *http.Response, body []byte) *forwardResult {
 	names := &e.gateway.config.Headers
 	status := response.StatusCode
 	if response.Header.Get(names.NotExecuted) != "" || status == http.StatusMisdirectedRequest {
@@ -334,7 +346,7 @@
 	}
 	success := status >= http.StatusOK && status < http.StatusMultipleChoices
 	if success && (response.Header.Get(names.Seal) == "" || response.Header.Get("Content-Encoding") != "") {
-		return e.broken(request, errNoAnswer)
+		return e.brokenExchange(request, errNoAnswer)
 	}
 	return &forwardResult{
 		Outcome: outcomeAnswered,
@@ -345,5 +357,5 @@
 	}
 }
 
-// refusedConnection says that nothing listens at an address.
+// refusedConnection reports whether nothing listens at an address.
 func refusedConnection(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
--- a/internal/gateway/egress_test.go
+++ b/internal/gateway/egress_test.go
@@ -14,8 +14,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// rawBackend answers each request on a connection with what its script says;
-// an empty answer closes the connection.
+// rawBackend answers each request on a connection with the text that its callback returns;
+// an empty text closes the connection.
 type rawBackend struct {
 	listener net.Listener
 	requests chan *http.Request
@@ -67,7 +67,7 @@
 	}
 }
 
-func egressOver(t *testing.T, backend *rawBackend) *Gateway {
+func gatewayWithBackend(t *testing.T, backend *rawBackend) *Gateway {
 	config := Config{BackendAddress: backend.listener.Addr().String(), Headers: testHeaders()}
 	g := &Gateway{config: config.withDefaults()}
 	g.metrics = newGatewayMetrics(g.config.Registry)
@@ -88,35 +88,35 @@
 	return g
 }
 
-func tryOf(id string) *forwardRequest {
+func testRequest(id string) *forwardRequest {
 	return &forwardRequest{
 		Method: http.MethodGet, URI: "/a/b%2Fc?q=1", Host: "h", Header: http.Header{"Try-Name": {id}}, ID: id,
 		Instance: "i-1", Target: time.Second, Due: steady.Reading().Add(time.Second), Deadline: steady.Reading().Add(5 * time.Second),
 	}
 }
 
-func answerText(status, id, extra, body string) string {
+func responseText(status, id, extra, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %s\r\nTry-Name: %s\r\nContent-Length: %d\r\n%s\r\n%s", status, id, len(body), extra, body)
 }
 
 const seal = "Seal: x\r\n"
 
-func TestWhatAnAnswerProves(t *testing.T) {
+func TestResponseClassification(t *testing.T) {
 	cases := map[string]struct {
 		answer  func(r *http.Request) string
 		outcome outcome
 		status  int
 	}{
-		"whole":                  {func(r *http.Request) string { return answerText("200 OK", "r1", seal, "body") }, outcomeAnswered, 200},
-		"own failure":            {func(r *http.Request) string { return answerText("500 X", "r1", seal, "no") }, outcomeAnswered, 500},
-		"another request's":      {func(r *http.Request) string { return answerText("200 OK", "r0", seal, "body") }, outcomeUnknown, 0},
-		"success without a seal": {func(r *http.Request) string { return answerText("200 OK", "r1", "", "body") }, outcomeUnknown, 0},
+		"whole":                  {func(r *http.Request) string { return responseText("200 OK", "r1", seal, "body") }, outcomeAnswered, 200},
+		"own failure":            {func(r *http.Request) string { return responseText("500 X", "r1", seal, "no") }, outcomeAnswered, 500},
+		"another request's":      {func(r *http.Request) string { return responseText("200 OK", "r0", seal, "body") }, outcomeUnknown, 0},
+		"success without a seal": {func(r *http.Request) string { return responseText("200 OK", "r1", "", "body") }, outcomeUnknown, 0},
 		"encoded": {func(r *http.Request) string {
-			return answerText("200 OK", "r1", seal+"Content-Encoding: gzip\r\n", "body")
+			return responseText("200 OK", "r1", seal+"Content-Encoding: gzip\r\n", "body")
 		}, outcomeUnknown, 0},
-		"proof that it did not run": {func(r *http.Request) string { return answerText("503 X", "r1", "Never-Ran: 1\r\n", "") }, outcomeNotRun, 0},
-		"another instance":          {func(r *http.Request) string { return answerText("421 X", "r1", "", "") }, outcomeNotRun, 0},
-		"503 without proof":         {func(r *http.Request) string { return answerText("503 X", "r1", "", "") }, outcomeAnswered, 503},
+		"proof that it did not run": {func(r *http.Request) string { return responseText("503 X", "r1", "Never-Ran: 1\r\n", "") }, outcomeNotRun, 0},
+		"another instance":          {func(r *http.Request) string { return responseText("421 X", "r1", "", "") }, outcomeNotRun, 0},
+		"503 without proof":         {func(r *http.Request) string { return responseText("503 X", "r1", "", "") }, outcomeAnswered, 503},
 		"closed without an answer":  {func(r *http.Request) string { return "" }, outcomeUnknown, 0},
 		"bytes that are no answer":  {func(r *http.Request) string { return "garbage\r\n\r\n" }, outcomeUnknown, 0},
 		"body broken off": {func(r *http.Request) string {
@@ -125,8 +125,8 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			g := egressOver(t, startRawBackend(t, c.answer))
-			result := g.egress.serve(t.Context(), tryOf("r1"))
+			g := gatewayWithBackend(t, startRawBackend(t, c.answer))
+			result := g.egress.serve(t.Context(), testRequest("r1"))
 			assert.Equal(t, result.Outcome, c.outcome, "%+v", result)
 			assert.Equal(t, result.Status, c.status)
 			assert.Assert(t, result.Sent)
@@ -134,26 +134,27 @@
 	}
 }
 
-// A second answer comes behind the first, or later in the place of the next.
-func TestASurplusAnswerReachesNobody(t *testing.T) {
+// A second response sent after the first is neither returned with the first nor taken as the
+// response to the next request.
+func TestSurplusResponseIsDiscarded(t *testing.T) {
 	backend := startRawBackend(t, func(r *http.Request) string {
 		id := r.Header.Get("Try-Name")
-		return answerText("200 OK", id, seal, "own") + answerText("200 OK", id, seal, "surplus")
+		return responseText("200 OK", id, seal, "own") + responseText("200 OK", id, seal, "surplus")
 	})
-	g := egressOver(t, backend)
+	g := gatewayWithBackend(t, backend)
 	for i := range 5 {
 		id := fmt.Sprintf("r%d", i)
-		result := g.egress.serve(t.Context(), tryOf(id))
+		result := g.egress.serve(t.Context(), testRequest(id))
 		assert.Equal(t, result.Outcome, outcomeAnswered)
 		assert.Equal(t, result.Header.Get("Try-Name"), id)
 		assert.Equal(t, string(result.Body), "own")
 	}
 }
 
-func TestTheBackEndGetsTheRequestUnaltered(t *testing.T) {
-	backend := startRawBackend(t, func(r *http.Request) string { return answerText("200 OK", "r1", seal, "") })
-	g := egressOver(t, backend)
-	assert.Equal(t, g.egress.serve(t.Context(), tryOf("r1")).Outcome, outcomeAnswered)
+func TestBackendReceivesUnalteredRequest(t *testing.T) {
+	backend := startRawBackend(t, func(r *http.Request) string { return responseText("200 OK", "r1", seal, "") })
+	g := gatewayWithBackend(t, backend)
+	assert.Equal(t, g.egress.serve(t.Context(), testRequest("r1")).Outcome, outcomeAnswered)
 	got := <-backend.requests
 	assert.Equal(t, got.RequestURI, "/a/b%2Fc?q=1")
 	assert.Equal(t, got.Header.Get("Only-For"), "i-1")
@@ -161,38 +162,38 @@
 	assert.Assert(t, ok && left <= 5*time.Second)
 }
 
-func TestNothingListeningIsProof(t *testing.T) {
+func TestRefusedConnectionProvesNotRun(t *testing.T) {
 	backend := startRawBackend(t, func(*http.Request) string { return "" })
-	g := egressOver(t, backend)
+	g := gatewayWithBackend(t, backend)
 	assert.NilError(t, backend.listener.Close())
-	result := g.egress.serve(t.Context(), tryOf("r1"))
+	result := g.egress.serve(t.Context(), testRequest("r1"))
 	assert.Equal(t, result.Outcome, outcomeNotRun)
 	assert.Assert(t, !result.Sent)
 }
 
-func TestAnotherInstanceOrALeavingOneIsNotSentAnything(t *testing.T) {
+func TestRequestForOtherOrLeavingInstanceIsNotSent(t *testing.T) {
 	backend := startRawBackend(t, func(*http.Request) string { return "" })
-	g := egressOver(t, backend)
-	other := tryOf("r1")
+	g := gatewayWithBackend(t, backend)
+	other := testRequest("r1")
 	other.Instance = "i-0"
 	assert.Equal(t, g.egress.serve(t.Context(), other).Reason, reasonNotAdmitted)
-	keyed := tryOf("r2")
+	keyed := testRequest("r2")
 	keyed.HasKey, keyed.Key = true, 5
 	assert.Equal(t, g.egress.serve(t.Context(), keyed).Reason, reasonNotOwner)
 	g.registry.deregister("i-1", 0, steady.Reading())
-	assert.Equal(t, g.egress.serve(t.Context(), tryOf("r3")).Reason, reasonNotAdmitted)
+	assert.Equal(t, g.egress.serve(t.Context(), testRequest("r3")).Reason, reasonNotAdmitted)
 	assert.Equal(t, len(backend.requests), 0)
 }
 
-// What a peer passes on keeps its meaning over the way between gateways.
-func TestATryOverAPeerKeepsItsOutcome(t *testing.T) {
+// A result keeps its outcome when it is passed on between gateways.
+func TestAttemptThroughPeerKeepsOutcome(t *testing.T) {
 	backend := startRawBackend(t, func(r *http.Request) string {
 		if r.Header.Get("Try-Name") == "shed" {
-			return answerText("503 X", "shed", "Never-Ran: 1\r\n", "")
+			return responseText("503 X", "shed", "Never-Ran: 1\r\n", "")
 		}
-		return answerText("200 OK", r.Header.Get("Try-Name"), seal, "body")
+		return responseText("200 OK", r.Header.Get("Try-Name"), seal, "body")
 	})
-	g := egressOver(t, backend)
+	g := gatewayWithBackend(t, backend)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	server := &http.Server{Handler: http.HandlerFunc(g.peerHandler)}
@@ -201,7 +202,7 @@
 	peers := newPeerSet()
 	target := peers.get(listener.Addr().String())
 	send := func(id string) *forwardResult {
-		request := tryOf(id)
+		request := testRequest(id)
 		request.Header.Set("Wait-Ms", "4000")
 		return target.send(t.Context(), request)
 	}
@@ -209,7 +210,7 @@
 	assert.Equal(t, answered.Outcome, outcomeAnswered)
 	assert.Equal(t, string(answered.Body), "body")
 	assert.Equal(t, answered.Header.Get("Seal"), "x")
-	assert.Equal(t, answered.Header.Get(fieldOutcome), "", "our own fields stay between us")
+	assert.Equal(t, answered.Header.Get(fieldOutcome), "", "header fields between gateways must not be passed on")
 	shed := send("shed")
 	assert.Equal(t, shed.Outcome, outcomeNotRun)
 	assert.Assert(t, shed.Sent)
--- a/internal/gateway/explain_test.go
+++ b/internal/gateway/explain_test.go
@@ -15,13 +15,14 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// A gateway that refuses a try says which request it was, why, and what it knew.
-func TestARefusedTryIsToldWithItsReason(t *testing.T) {
+// A gateway that refuses an attempt logs the request, the reason and the state that the
+// decision was based on.
+func TestRefusedAttemptIsLoggedWithReason(t *testing.T) {
 	backend := startRawBackend(t, nil)
-	g := egressOver(t, backend)
+	g := gatewayWithBackend(t, backend)
 	var out bytes.Buffer
 	g.config.Log = slog.New(slog.NewJSONHandler(&out, nil))
-	request := tryOf("r-1")
+	request := testRequest("r-1")
 	request.Instance = "i-other"
 	result := g.egress.serve(context.Background(), request)
 	assert.Equal(t, result.Reason, reasonNotAdmitted)
@@ -30,47 +31,47 @@
 	}
 }
 
-// Why a key is not held is told apart: what is not leased, not granted, expired
-// or taken back has different causes.
-func TestWhyAKeyIsNotHeldIsToldApart(t *testing.T) {
+// Keys that are not leased, not granted, expired or taken back have different causes and are
+// reported as different states.
+func TestMissingKeyStates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newKeyRig(t)
 		keys := rig.g.keys
-		assert.Equal(t, keys.whyNot(5, steady.Reading()), keyNotLeased)
+		assert.Equal(t, keys.missingState(5, steady.Reading()), keyNotLeased)
 		rig.holder.setRefuse(context.DeadlineExceeded)
 		rig.lease(held(0, 9), nil)
-		assert.Equal(t, keys.whyNot(5, steady.Reading()), keyNotGranted)
+		assert.Equal(t, keys.missingState(5, steady.Reading()), keyNotGranted)
 		rig.holder.setRefuse(nil)
 		time.Sleep(time.Second)
 		assert.Assert(t, keys.holds("i-1", 5, steady.Reading()))
-		assert.Equal(t, keys.whyNot(5, steady.Reading().Add(time.Minute)), keyExpired)
+		assert.Equal(t, keys.missingState(5, steady.Reading().Add(time.Minute)), keyExpired)
 		rig.lease([]fleetwire.Held{}, asked(0, 9))
-		assert.Equal(t, keys.whyNot(5, steady.Reading()), keyNotLeased)
+		assert.Equal(t, keys.missingState(5, steady.Reading()), keyNotLeased)
 	})
 }
 
-func TestWhyAKeyIsNotHeldIsToldApartByHeartbeatToo(t *testing.T) {
+func TestMissingKeyStatesByHeartbeat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
 		keys := rig.g.keys
-		assert.Equal(t, keys.whyNot(5, steady.Reading()), keyNotLeased)
+		assert.Equal(t, keys.missingState(5, steady.Reading()), keyNotLeased)
 		rig.lease(held(0, 9), nil)
-		assert.Equal(t, keys.whyNot(5, steady.Reading()), keyNotTold)
+		assert.Equal(t, keys.missingState(5, steady.Reading()), keyNotOffered)
 		rig.beat(t, "i-1", nil)
 		assert.Assert(t, keys.holds("i-1", 5, steady.Reading()))
-		assert.Equal(t, keys.whyNot(5, steady.Reading().Add(time.Minute)), keyExpired)
+		assert.Equal(t, keys.missingState(5, steady.Reading().Add(time.Minute)), keyExpired)
 		rig.beat(t, "i-1", nil)
-		assert.Equal(t, keys.whyNot(5, steady.Reading()), keyNotTaken)
+		assert.Equal(t, keys.missingState(5, steady.Reading()), keyNotAccepted)
 	})
 }
 
-// All hops draw the same requests for the log, about one in sampledOf.
-func TestSamplesAreDrawnByTheRequestsID(t *testing.T) {
-	drawn := 0
-	for i := range 100 * sampledOf {
-		if sampled(strings.Repeat("x", i%7) + time.Duration(i).String()) {
-			drawn++
+// All hops sample the same requests for the log, about one in logSampleInterval.
+func TestLogSamplingByRequestID(t *testing.T) {
+	count := 0
+	for i := range 100 * logSampleInterval {
+		if isSampled(strings.Repeat("x", i%7) + time.Duration(i).String()) {
+			count++
 		}
 	}
-	assert.Assert(t, drawn > 50 && drawn < 200, "%d", drawn)
+	assert.Assert(t, count > 50 && count < 200, "%d", count)
 }
--- a/internal/gateway/firsttries.go
+++ b/internal/gateway/firstattempts.go
@@ -7,14 +7,15 @@
 	"github.com/quartzdock/quartzdock/internal/overload"
 )
 
-// firstTries finds out, for each route, how long ago callers tried first. The zero
-// value is ready for use.
+// firstTries estimates, for each route, how long ago callers made the first attempt of a
+// request. The zero value is ready for use.
 type firstTries struct {
 	mutex  sync.Mutex
 	routes map[string]*overload.FirstTries
 }
 
-// age returns how long ago the caller of a request tried first.
+// age returns how long ago the caller of a request made its first attempt, given the waiting
+// time that the caller states.
 func (f *firstTries) age(route string, stated time.Duration) time.Duration {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -29,7 +30,7 @@
 	return known.Age(stated)
 }
 
-// follow forgets routes that a configuration does not have.
+// follow drops the routes that the view's configuration does not have.
 func (f *firstTries) follow(v *view) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -11,14 +11,14 @@
 	"github.com/quartzdock/quartzdock/internal/quarantine"
 )
 
-// outcome is what is known of a request after one try.
+// outcome is what is known about a request after one attempt.
 type outcome string
 
 // Outcomes.
 const (
-	// outcomeAnswered: the back end's whole answer is there.
+	// outcomeAnswered: the back end's whole response was received.
 	outcomeAnswered outcome = "answered"
-	// outcomeNotRun: proof that the back end has not run it and never will.
+	// outcomeNotRun: proof that the back end has not run the request and never will.
 	outcomeNotRun outcome = "not-run"
 	// outcomeUnknown: anything else.
 	outcomeUnknown outcome = "unknown"
@@ -30,54 +30,56 @@
 // Reasons.
 const (
 	reasonNone reason = ""
-	// reasonNotAdmitted: the back end is another one, or it leaves.
+	// reasonNotAdmitted: the back end is another instance, or it is leaving.
 	reasonNotAdmitted reason = "not-admitted"
-	// reasonOwnerLost: the back end that holds the key can't be reached; the refusal says when
-	// the key may have another owner.
+	// reasonOwnerLost: the back end that holds the key can't be reached; the refusal says
+	// when the key may have another owner.
 	reasonOwnerLost reason = "owner-lost"
-	// reasonNotOwner: the back end does not hold the key now.
+	// reasonNotOwner: the back end does not hold the key at present.
 	reasonNotOwner reason = "not-owner"
 	// reasonEvacuated: the back end's zone is evacuated.
 	reasonEvacuated reason = "zone-evacuated"
-	// reasonNoRoom: no slot in the time left.
+	// reasonNoRoom: no slot became free in time.
 	reasonNoRoom reason = "no-room"
-	// reasonLinkFull: the machine's link could not send the answer in the time left.
+	// reasonLinkFull: the machine's network link could not send the response in time.
 	reasonLinkFull reason = "link-full"
-	// reasonRefused: the back end itself did not run it.
+	// reasonRefused: the back end itself refused to run the request.
 	reasonRefused reason = "refused-by-back-end"
-	// reasonUnreachable: no byte of it could be sent.
+	// reasonUnreachable: no byte of the request could be sent.
 	reasonUnreachable reason = "unreachable"
-	// reasonBroken: the exchange broke off, or the answer was no answer to it.
+	// reasonBroken: the exchange was interrupted, or the response was invalid.
 	reasonBroken reason = "broken-off"
-	// reasonEnded: the back end ended while it was at work on the request.
+	// reasonEnded: the back end terminated while it was running the request.
 	reasonEnded reason = "back-end-ended"
-	// reasonTimeout: no answer in the time.
+	// reasonTimeout: no response before the deadline.
 	reasonTimeout reason = "timeout"
-	// reasonStopping: the gateway is being stopped, and the request's time ends
-	// later than the stop.
+	// reasonStopping: the gateway is stopping, and the request's deadline is after the end
+	// of the stop.
 	reasonStopping reason = "gateway-stopping"
 	// reasonNoInstance: no instance of the service is known.
 	reasonNoInstance reason = "no-instance"
 	// reasonNoConfiguration: the gateway knows no configuration yet.
 	reasonNoConfiguration reason = "no-configuration"
-	// reasonOutdated: the gateway has not had the leader's word for so long that another
-	// configuration may have been in force for long, or its zone evacuated.
+	// reasonOutdated: the leader has not confirmed the gateway's configuration for so long
+	// that another one may have been in force for long, or that the zone may have been
+	// evacuated.
 	reasonOutdated reason = "configuration-may-be-old"
-	// reasonNoMemory: the gateway keeps as many bytes for slow readers as it may.
+	// reasonNoMemory: the gateway buffers as many bytes as it may.
 	reasonNoMemory reason = "no-memory"
-	// reasonRouteChanged: the route has become one whose requests run once, and the
-	// request runs beside others of its connection.
+	// reasonRouteChanged: the route no longer allows requests to run more than once, but the
+	// request was started alongside others of its connection.
 	reasonRouteChanged reason = "route-changed"
-	// reasonAwaitsTrial: back ends have ended under the request, and it was granted no trial
-	// in its time.
+	// reasonAwaitsTrial: back ends have terminated while running the request, and it got no
+	// trial run before its deadline.
 	reasonAwaitsTrial reason = "awaits-trial"
-	// reasonHeldBack: so many back ends have ended under the request that it is not sent.
+	// reasonHeldBack: so many back ends have terminated while running the request that it is
+	// not sent any more.
 	reasonHeldBack reason = "held-back"
-	// reasonNoRoute: no route has the request's host and path.
+	// reasonNoRoute: no route matches the request's host and path.
 	reasonNoRoute reason = "no-route"
 )
 
-// reasons are the known ones.
+// reasons is the set of known reasons.
 var reasons = map[reason]bool{
 	reasonNone:            true,
 	reasonNotAdmitted:     true,
@@ -102,17 +104,19 @@
 	reasonHeldBack:        true,
 }
 
-// known says that a peer's reason is one of these. Others would name series of metrics.
+// known reports whether a reason sent by a peer is one of reasons. Unknown ones would create
+// new metric series.
 func (r reason) known() bool { return reasons[r] }
 
-// lasts says that another try at the same back end within the next moments would
-// end alike.
-func (r reason) lasts() bool { return r.full() || r == reasonStopping }
+// persists reports whether another attempt at the same back end shortly afterwards would end
+// the same way.
+func (r reason) persists() bool { return r.isCapacity() || r == reasonStopping }
 
-// full says that what a request needs is all used.
-func (r reason) full() bool { return r == reasonNoRoom || r == reasonLinkFull }
+// isCapacity reports whether a request was refused because a resource that it needs is
+// exhausted.
+func (r reason) isCapacity() bool { return r == reasonNoRoom || r == reasonLinkFull }
 
-// forwardRequest is one try of a request at one back end.
+// forwardRequest is one attempt of a request at one back end.
 type forwardRequest struct {
 	Method string
 	// URI is the request target as the caller sent it.
@@ -122,58 +126,58 @@
 	Body    []byte
 	ID      string
 	Service string
-	// Instance is the only one that may run it.
+	// Instance is the only instance that may run the request.
 	Instance string
 	Key      keyspace.Key
 	HasKey   bool
 	Priority int
-	// Transfer says that the answer is a large one.
+	// Transfer says that a large response is expected.
 	Transfer bool
-	// Trial is the number of the trial by which it runs where it is suspected; zero is none.
+	// Trial is the number of the trial under which a suspected request runs; zero is none.
 	Trial uint64
-	// Target is the time within which the answer is worth most, Due when that
-	// is over, Deadline when the caller stops waiting.
+	// Target is the route's target latency. Due is the time until which a response meets it,
+	// and Deadline when the caller stops waiting.
 	Target   time.Duration
 	Due      time.Time
 	Deadline time.Time
 
-	digestOnce sync.Once
-	digested   quarantine.Digest
+	digestOnce  sync.Once
+	digestValue quarantine.Digest
 }
 
-// digest names the request among others.
+// digest identifies requests with the same content.
 func (r *forwardRequest) digest() quarantine.Digest {
 	r.digestOnce.Do(func() {
-		same := quarantine.Request{Service: r.Service, Method: r.Method, Host: r.Host, Target: r.URI, Body: r.Body}
+		content := quarantine.Request{Service: r.Service, Method: r.Method, Host: r.Host, Target: r.URI, Body: r.Body}
 		if r.HasKey {
-			same.Key = strconv.FormatUint(uint64(r.Key), 10)
+			content.Key = strconv.FormatUint(uint64(r.Key), 10)
 		}
-		r.digested = same.Digest()
+		r.digestValue = content.Digest()
 	})
-	return r.digested
+	return r.digestValue
 }
 
-// forwardResult is what became of one try.
+// forwardResult is the result of one attempt.
 type forwardResult struct {
 	Outcome outcome
 	Reason  reason
-	// Sent says that the back end may have been sent the request.
+	// Sent says that the request may have been sent to the back end.
 	Sent bool
-	// Status, Header and Body are set where the outcome is answered.
+	// Status, Header and Body are set if the outcome is outcomeAnswered.
 	Status int
 	Header http.Header
 	Body   []byte
-	// Stream is the body where it is passed on as it comes; Body is nil then.
-	Stream *answerStream
+	// Stream is the body if it is passed on while it is being received; Body is nil then.
+	Stream *responseStream
 	Load   peerLoad
-	// AtWork is on how many requests the back end was at work when it ended.
+	// AtWork is how many requests the back end was running when it terminated.
 	AtWork int
-	// loadRead says that a peer told the load in words that can be read.
+	// loadRead says that a peer reported a load that could be parsed.
 	loadRead bool
-	// RetryAfter is when the request may be served by the same gateway, where that
-	// is known: it is being stopped, or many were refused before.
+	// RetryAfter is when the same gateway may be able to serve the request, if that is
+	// known: the gateway is stopping, or many requests were refused before.
 	RetryAfter time.Duration
-	// kept is what this machine's link keeps for the answer, where the back end beside
-	// it has made a large one.
+	// kept is the link capacity that is reserved for a large response of the back end beside
+	// this gateway.
 	kept overload.Kept
 }
--- a/internal/gateway/forward_bench_test.go
+++ b/internal/gateway/forward_bench_test.go
@@ -13,19 +13,19 @@
 	"github.com/quartzdock/quartzdock/internal/routeconfig"
 )
 
-// benchAnswer is how long an answer's body is, in bytes.
-const benchAnswer = 1500
+// benchBodySize is the size of a response body, in bytes.
+const benchBodySize = 1500
 
-// BenchmarkForward is a request over two gateways, with caller and back end in
-// the same process.
+// BenchmarkForward measures a request through two gateways, with caller and back end in the
+// same process.
 func BenchmarkForward(b *testing.B) {
-	body := make([]byte, benchAnswer)
+	body := make([]byte, benchBodySize)
 	setup := twoHopsConfig{repetition: routeconfig.Repeatable, timeout: time.Second}
 	hops := startTwoHops(b, setup, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		header := w.Header()
 		header.Set("Try-Name", r.Header.Get("Try-Name"))
 		header.Set("Seal", "x")
-		header.Set("Content-Length", strconv.Itoa(benchAnswer))
+		header.Set("Content-Length", strconv.Itoa(benchBodySize))
 		_, _ = w.Write(body)
 	}))
 	number := 0
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -11,43 +11,43 @@
 	"github.com/quartzdock/quartzdock/internal/keyspace"
 )
 
-// Fields between gateways.
+// Header fields between gateways.
 const (
 	fieldPrefix   = "Quartzdock-"
 	fieldService  = fieldPrefix + "Service"
 	fieldInstance = fieldPrefix + "Instance"
 	fieldPriority = fieldPrefix + "Priority"
-	// fieldDue is in how many milliseconds the answer is due, fieldTarget the
-	// whole time that it should take.
+	// fieldDue is the time until the response is due, and fieldTarget the target latency,
+	// both in milliseconds.
 	fieldDue    = fieldPrefix + "Due-Ms"
 	fieldTarget = fieldPrefix + "Target-Ms"
-	// fieldTransfer says that the answer is a large one.
+	// fieldTransfer says that a large response is expected.
 	fieldTransfer = fieldPrefix + "Transfer"
-	// fieldTrial is the number of the trial by which a suspected request runs.
+	// fieldTrial is the number of the trial under which a suspected request runs.
 	fieldTrial = fieldPrefix + "Trial"
-	// fieldAtWork is on how many requests the back end was at work when it ended.
+	// fieldAtWork is how many requests the back end was running when it terminated.
 	fieldAtWork = fieldPrefix + "At-Work"
-	// fieldTellsEnds tells of ends of back ends.
+	// fieldTellsEnds marks a message about terminated back ends.
 	fieldTellsEnds = fieldPrefix + "Tells-Ends"
-	// fieldAsksWord asks for a fleetwire.PeerWord, and names the version that is known.
+	// fieldAsksWord requests a fleetwire.PeerWord and names the version that the sender has.
 	fieldAsksWord = fieldPrefix + "Asks-Word"
 	fieldOutcome  = fieldPrefix + "Outcome"
 	fieldReason   = fieldPrefix + "Reason"
-	// fieldSent says that the back end was sent the request.
+	// fieldSent says that the request was sent to the back end.
 	fieldSent = fieldPrefix + "Sent"
 	fieldLoad = fieldPrefix + "Load"
-	// fieldRetryAfter is in how many milliseconds a refused request may be served
-	// by the same gateway.
+	// fieldRetryAfter is the time in milliseconds until the same gateway may be able to
+	// serve a refused request.
 	fieldRetryAfter = fieldPrefix + "Retry-After-Ms"
 )
 
-// connectionFields belong to one connection (RFC 9110, section 7.6.1).
+// connectionFields apply to one connection only (RFC 9110, section 7.6.1).
 var connectionFields = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// forwardable returns the fields of a header that go on to the next hop.
+// forwardable returns the header fields that are passed to the next hop.
 func forwardable(header http.Header) http.Header {
 	result := make(http.Header, len(header)+4)
 	for name, values := range header {
@@ -66,10 +66,10 @@
 	return result
 }
 
-// milliseconds writes a duration as whole milliseconds.
+// milliseconds formats a duration as whole milliseconds.
 func milliseconds(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) }
 
-// parseMilliseconds reads a field of whole milliseconds.
+// parseMilliseconds parses a number of whole milliseconds.
 func parseMilliseconds(text string) (time.Duration, bool) {
 	value, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || value < 0 || value > int64(24*time.Hour/time.Millisecond) {
@@ -78,7 +78,7 @@
 	return time.Duration(value) * time.Millisecond, true
 }
 
-// parseKey reads a request's key.
+// parseKey parses a request's key.
 func parseKey(text string) (keyspace.Key, bool) {
 	value, err := strconv.ParseUint(text, 10, 32)
 	if err != nil || value > uint64(keyspace.LastKey) {
@@ -87,10 +87,11 @@
 	return keyspace.Key(value), true
 }
 
-// bearsUnit makes whole numbers of the requests a second that a cold back end bears.
-const bearsUnit = 1000
+// warmupRateUnit scales the warm-up rate of a cold back end, in requests a second, to a
+// whole number.
+const warmupRateUnit = 1000
 
-// formatLoad writes a load for the field between gateways.
+// formatLoad formats a load for the header field between gateways.
 func formatLoad(load peerLoad) string {
 	buffer := make([]byte, 0, 48)
 	buffer = strconv.AppendInt(buffer, int64(load.running), 10)
@@ -107,37 +108,38 @@
 	buffer = append(buffer, ',')
 	buffer = strconv.AppendInt(buffer, load.linkBacklog.Microseconds(), 10)
 	buffer = append(buffer, ',')
-	buffer = strconv.AppendInt(buffer, int64(math.Round(load.bears*bearsUnit)), 10)
+	buffer = strconv.AppendInt(buffer, int64(math.Round(load.bears*warmupRateUnit)), 10)
 	return string(buffer)
 }
 
 const (
-	// mostRequests and mostSlots bound what is believed of a told load: more than any
-	// machine's connections.
-	mostRequests = 1 << 20
-	mostSlots    = 1 << 16
-	// mostMicros bounds its times, and mostBears what a cold back end bears, in
-	// thousandths of a request a second.
-	mostMicros = int64(24 * time.Hour / time.Microsecond)
-	mostBears  = 1_000_000 * bearsUnit
+	// maxLoadRequests and maxLoadSlots are the highest counts that are accepted in a
+	// reported load: more than the connections of any machine.
+	maxLoadRequests = 1 << 20
+	maxLoadSlots    = 1 << 16
+	// maxLoadMicros is the longest duration that is accepted, and maxWarmupRate the highest
+	// warm-up rate, in thousandths of a request a second.
+	maxLoadMicros = int64(24 * time.Hour / time.Microsecond)
+	maxWarmupRate = 1_000_000 * warmupRateUnit
 )
 
-// loadBounds are the highest values of a load's fields, in their order.
-var loadBounds = [...]int64{mostRequests, mostRequests, mostSlots, mostMicros, mostMicros, mostMicros, mostMicros, mostBears}
+// maxLoadValues are the highest accepted values of a load's numbers, in their order.
+var maxLoadValues = [...]int64{maxLoadRequests, maxLoadRequests, maxLoadSlots, maxLoadMicros, maxLoadMicros, maxLoadMicros, maxLoadMicros, maxWarmupRate}
 
-// parseLoad reads what formatLoad wrote. Text that it does not write is refused.
+// parseLoad parses the format of formatLoad and rejects any text that formatLoad can't
+// produce.
 func parseLoad(text string) (peerLoad, bool) {
-	const longest = 160
-	if len(text) > longest || strings.Count(text, ",") != len(loadBounds)-1 {
+	const maxLength = 160
+	if len(text) > maxLength || strings.Count(text, ",") != len(maxLoadValues)-1 {
 		return peerLoad{}, false
 	}
-	var numbers [len(loadBounds)]int64
+	var numbers [len(maxLoadValues)]int64
 	rest := text
-	for i, most := range loadBounds {
+	for i, limit := range maxLoadValues {
 		var part string
 		part, rest, _ = strings.Cut(rest, ",")
 		number, err := strconv.ParseInt(part, 10, 64)
-		if err != nil || number < 0 || number > most || strconv.FormatInt(number, 10) != part {
+		if err != nil || number < 0 || number > limit || strconv.FormatInt(number, 10) != part {
 			return peerLoad{}, false
 		}
 		numbers[i] = number
@@ -148,6 +150,6 @@
 		shortService: time.Duration(numbers[4]) * time.Microsecond,
 		shortUpTo:    time.Duration(numbers[5]) * time.Microsecond,
 		linkBacklog:  time.Duration(numbers[6]) * time.Microsecond,
-		bears:        float64(numbers[7]) / bearsUnit,
+		bears:        float64(numbers[7]) / warmupRateUnit,
 	}, true
 }
--- a/internal/gateway/ingress.go
+++ b/internal/gateway/ingress.go
@@ -18,62 +18,66 @@
 )
 
 const (
-	// defaultDeadline stands where a caller states none.
+	// defaultDeadline applies if a caller states no deadline.
 	defaultDeadline = 30 * time.Second
-	// deadlineMargin is kept of a caller's deadline for the way back.
+	// deadlineMargin is the part of a caller's deadline that is reserved for returning the
+	// response.
 	deadlineMargin = 5 * time.Millisecond
-	// defaultMaxBody bounds request bodies before the first configuration.
+	// defaultMaxBody bounds request bodies if the configuration sets no limit.
 	defaultMaxBody = 64 << 20
 )
 
-// call is one request of a caller.
+// call is one request of a caller and the attempts at it.
 type call struct {
 	request *http.Request
 	body    []byte
 	id      string
-	// key is the request's, where its service has keys and it tells one.
+	// key is the request's key, and hasKey says that the service uses keys and the request
+	// names a valid one.
 	key     keyspace.Key
 	hasKey  bool
 	route   *routeconfig.Route
 	service *routeconfig.Service
 	began   time.Time
-	// firstTry is when its caller tried first, as far as that is known.
-	firstTry time.Time
-	deadline time.Time
-	// timesOut says that the deadline is the route's timeout.
-	timesOut bool
-	// mayHaveRun is the last result that is not proof of the contrary.
-	mayHaveRun *forwardResult
-	// tries that were made, for the log.
-	tries []tryRecord
+	// firstAttempt is when the caller first sent the request, as far as that is known.
+	firstAttempt time.Time
+	deadline     time.Time
+	// limitedByRoute says that the deadline comes from the route's timeout.
+	limitedByRoute bool
+	// possiblyRun is the last result whose request may have run.
+	possiblyRun *forwardResult
+	// attempts are recorded for the log.
+	attempts []attemptRecord
 
-	digestOnce sync.Once
-	digested   quarantine.Digest
+	digestOnce  sync.Once
+	digestValue quarantine.Digest
 }
 
-// digest names the request among others. It is the one that gateways beside back ends find.
+// digest identifies requests with the same content. The gateways beside the back ends
+// compute the same digest.
 func (c *call) digest() quarantine.Digest {
 	c.digestOnce.Do(func() {
-		same := quarantine.Request{Service: c.service.Name, Method: c.request.Method, Host: c.request.Host, Target: c.request.RequestURI, Body: c.body}
+		content := quarantine.Request{Service: c.service.Name, Method: c.request.Method, Host: c.request.Host, Target: c.request.RequestURI, Body: c.body}
 		if c.hasKey {
-			same.Key = strconv.FormatUint(uint64(c.key), 10)
+			content.Key = strconv.FormatUint(uint64(c.key), 10)
 		}
-		c.digested = same.Digest()
+		c.digestValue = content.Digest()
 	})
-	return c.digested
+	return c.digestValue
 }
 
-// due is until when the answer is worth most. A route may hold its requests for less than
-// their target: one that waited for a slot until the target would then be cut off as it runs.
+// due is the time until which the response meets the route's target. It is never after the
+// deadline: the timeout of a route may be shorter than its target, and a request that waited
+// for a slot until the target would be cut off while it runs.
 func (c *call) due() time.Time {
-	due := c.firstTry.Add(c.route.TargetLatency)
+	due := c.firstAttempt.Add(c.route.TargetLatency)
 	if c.deadline.Before(due) {
 		return c.deadline
 	}
 	return due
 }
 
-// callerHandler takes requests of callers.
+// callerHandler handles the requests of callers.
 func (g *Gateway) callerHandler(w http.ResponseWriter, r *http.Request) {
 	g.active.Add(1)
 	defer g.active.Add(-1)
@@ -82,9 +86,9 @@
 	g.lastCaller.Store(steady.At(began))
 	v := g.views.load()
 	route := v.find(r)
-	if why := g.refusesCaller(r, v, route, began); why != reasonNone {
+	if why := g.checkCallerRequest(r, v, route, began); why != reasonNone {
 		g.metrics.request("", outcomeNotRun, why)
-		g.refuse(w, r, why, retryAfter(notRun(why)), nil)
+		g.writeRefusal(w, r, why, retryAfter(notRun(why)), nil)
 		return
 	}
 	if route == nil {
@@ -100,38 +104,38 @@
 	}
 	if !g.admission.Admits(c.deadline) {
 		g.metrics.request(c.service.Name, outcomeNotRun, reasonStopping)
-		g.refuse(w, r, reasonStopping, retryAfter(g.refuseStopping()), nil)
+		g.writeRefusal(w, r, reasonStopping, retryAfter(g.refuseStopping()), nil)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), steady.Until(c.deadline))
 	defer cancel()
 	g.held.add(len(c.body))
-	result := g.run(ctx, c)
+	result := g.serveWithRetries(ctx, c)
 	defer result.Stream.close()
-	g.held.add(result.size())
-	defer g.held.add(-len(c.body) - result.size())
-	g.answer(w, c, result)
+	g.held.add(result.bodySize())
+	defer g.held.add(-len(c.body) - result.bodySize())
+	g.respond(w, c, result)
 }
 
-// refusesCaller says why a caller's request is refused before it is read, reasonNone where
-// it is not. Route is nil where the view has none for it.
-func (g *Gateway) refusesCaller(r *http.Request, v *view, route *routeconfig.Route, now time.Time) reason {
+// checkCallerRequest returns why a caller's request is refused before its body is read, or
+// reasonNone. Route is nil if no route of the view matches the request.
+func (g *Gateway) checkCallerRequest(r *http.Request, v *view, route *routeconfig.Route, now time.Time) reason {
 	switch {
 	case g.held.full():
 		return reasonNoMemory
 	case v.table == nil:
 		return reasonNoConfiguration
 	case !g.session.vouched.holds(now):
-		// Another configuration may have been in force for long, with other routes.
+		// Another configuration with other routes may have been in force for long.
 		return reasonOutdated
 	case route != nil && !route.Repetition.MayRepeat() && httpserver.MayRunBeside(r):
-		// The route has changed since the request was taken for one that may run twice.
+		// The route has changed since the request was accepted as one that may run twice.
 		return reasonRouteChanged
 	}
 	return reasonNone
 }
 
-// newCall reads a request, or returns the status of its refusal.
+// newCall reads a request, or returns the HTTP status of its refusal.
 func (g *Gateway) newCall(w http.ResponseWriter, r *http.Request, v *view, route *routeconfig.Route, began time.Time) (*call, int) {
 	limit := v.table.Document().Limits.MaxBodyBytes
 	if limit <= 0 {
@@ -158,41 +162,41 @@
 	}
 	c.key, c.hasKey = parseKey(r.Header.Get(g.config.Headers.Key))
 	c.hasKey = c.hasKey && c.service.Keyed
-	waits, ok := parseMilliseconds(r.Header.Get(g.config.Headers.Deadline))
+	wait, ok := parseMilliseconds(r.Header.Get(g.config.Headers.Deadline))
 	if !ok {
-		waits = defaultDeadline
+		wait = defaultDeadline
 	}
-	c.firstTry = began
+	c.firstAttempt = began
 	if ok {
-		c.firstTry = began.Add(-g.firstTries.age(route.Name, waits))
+		c.firstAttempt = began.Add(-g.firstTries.age(route.Name, wait))
 	}
-	c.deadline = began.Add(waits - deadlineMargin)
+	c.deadline = began.Add(wait - deadlineMargin)
 	if limit := began.Add(route.Timeout); limit.Before(c.deadline) {
-		c.deadline, c.timesOut = limit, true
+		c.deadline, c.limitedByRoute = limit, true
 	}
 	g.budgets.request(c.service.Name, steady.At(began))
 	return c, 0
 }
 
-// answer writes the final answer of a request.
-func (g *Gateway) answer(w http.ResponseWriter, c *call, result *forwardResult) {
+// respond writes the final response to a request.
+func (g *Gateway) respond(w http.ResponseWriter, c *call, result *forwardResult) {
 	took := steady.Elapsed(c.began)
 	if c.request.Context().Err() != nil {
 		g.metrics.callerLeft(c.service.Name)
-		// A return would end in an empty success, which a caller that closed only
-		// its own side of the connection could read.
+		// Returning would send an empty success, which a caller that has closed only its own
+		// side of the connection could read.
 		panic(http.ErrAbortHandler)
 	}
 	g.metrics.answered(c, result, took)
 	switch result.Outcome {
 	case outcomeAnswered:
-		g.logAnswer(c, result, took)
+		g.logResponse(c, result, took)
 		header := w.Header()
 		for name, values := range result.Header {
 			header[name] = values
 		}
 		if result.Stream != nil {
-			g.streamAnswer(w, c, result)
+			g.streamResponse(w, c, result)
 			return
 		}
 		if g.writeAnswer(c.request.Context(), w, result.Status, result.Body) {
@@ -200,55 +204,54 @@
 		}
 		return
 	case outcomeNotRun:
-		g.refuse(w, c.request, result.Reason, retryAfter(result), c.tries)
+		g.writeRefusal(w, c.request, result.Reason, retryAfter(result), c.attempts)
 	default:
 		status := http.StatusBadGateway
 		if result.Reason == reasonTimeout {
 			status = http.StatusGatewayTimeout
 		}
-		g.logFailure(c.request, status, result.Reason, 0, c.tries)
+		g.logFailure(c.request, status, result.Reason, 0, c.attempts)
 		http.Error(w, string(result.Reason), status)
 	}
 }
 
 const (
-	// retryOutage is when to come back where something is being replaced: a
-	// leader, an owner, an instance. Callers that come back sooner spend their
-	// repeats before it is over.
-	retryOutage = 600 * time.Millisecond
-	// retryRoom is when to come back at the earliest to a full back end, and
-	// retryServices in how many of its service times.
-	retryRoom     = 300 * time.Millisecond
-	retryServices = 3
-	// retrySpread is around when callers come back whose gateway is known to serve
-	// again at a certain time.
-	retrySpread = 200 * time.Millisecond
-	// longestRetry bounds what a caller is told: nobody knows the load of half a minute
-	// later.
+	// retryAfterOutage is the Retry-After time while a leader, an owner or an instance is
+	// being replaced. Callers that come back sooner use up their retries before the
+	// replacement is over.
+	retryAfterOutage = 600 * time.Millisecond
+	// minRetryWhenFull is the shortest Retry-After time for a back end without capacity, and
+	// retryServiceTimes the same in service times of the back end.
+	minRetryWhenFull  = 300 * time.Millisecond
+	retryServiceTimes = 3
+	// retryJitter spreads the return of callers if it is known when the gateway can serve
+	// again.
+	retryJitter = 200 * time.Millisecond
+	// longestRetry bounds Retry-After: the load half a minute ahead can't be predicted.
 	longestRetry = 30 * time.Second
 )
 
-// retryAfter says when a refused request should come back, at different times
-// for different callers. Where its turn is after the caller has left, it is told so, and
-// can go elsewhere. Told a third of the time that they had left instead, callers came
-// back together, and none of them found room.
+// retryAfter returns when a refused request should come back, with jitter so that callers
+// come back at different times. A caller whose turn comes only after its deadline is told so
+// and can go elsewhere. Telling callers a third of their remaining time instead made them
+// come back together, and none of them found capacity.
 func retryAfter(result *forwardResult) time.Duration {
-	base := retryOutage
+	base := retryAfterOutage
 	switch result.Reason {
 	case reasonStopping, reasonOwnerLost:
-		base = retrySpread
+		base = retryJitter
 	case reasonNoRoom:
-		base = max(retryRoom, retryServices*result.Load.serviceTime)
+		base = max(minRetryWhenFull, retryServiceTimes*result.Load.serviceTime)
 	case reasonLinkFull:
-		// What the link has to send now is through by then.
-		base = max(retryRoom, result.Load.linkBacklog)
+		// The link's present backlog has been sent by then.
+		base = max(minRetryWhenFull, result.Load.linkBacklog)
 	}
 	return min(result.RetryAfter+base/2+time.Duration(rand.Float64()*float64(base)), longestRetry)
 }
 
-// refuse answers a request that has not run and will not.
-func (g *Gateway) refuse(w http.ResponseWriter, r *http.Request, why reason, after time.Duration, tries []tryRecord) {
-	g.logFailure(r, http.StatusServiceUnavailable, why, after, tries)
+// writeRefusal answers a request that has not run and will not run.
+func (g *Gateway) writeRefusal(w http.ResponseWriter, r *http.Request, why reason, after time.Duration, attempts []attemptRecord) {
+	g.logFailure(r, http.StatusServiceUnavailable, why, after, attempts)
 	w.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
 	http.Error(w, string(why), http.StatusServiceUnavailable)
 }
--- a/internal/gateway/linkadmission_test.go
+++ b/internal/gateway/linkadmission_test.go
@@ -13,78 +13,78 @@
 	"gotest.tools/v3/assert"
 )
 
-// linkLoad is one machine that is asked for large answers.
-type linkLoad struct {
-	// rate is how many are asked for a second.
+// linkScenario describes the requests for large responses that one machine gets.
+type linkScenario struct {
+	// rate is the number of requests a second.
 	rate float64
-	// lasting is for how long.
-	lasting time.Duration
-	// returns is how often a refused caller comes back, each time after what the link
-	// had to send.
-	returns int
+	// duration is how long requests keep arriving.
+	duration time.Duration
+	// retries is how often a refused caller comes back, each time after the link's backlog
+	// at that moment has been sent.
+	retries int
 }
 
 const (
-	transferSize   = 90_000
-	transferRun    = 300 * time.Millisecond
-	transferTarget = 1500 * time.Millisecond
-	transferLeaves = 8 * time.Second
+	transferSize    = 90_000
+	transferRun     = 300 * time.Millisecond
+	transferTarget  = 1500 * time.Millisecond
+	transferTimeout = 8 * time.Second
 )
 
-// linkOutcome counts how requests for large answers ended.
-type linkOutcome struct{ asked, inTime, late, refused, gone int }
+// linkOutcome counts the outcomes of requests for large responses.
+type linkOutcome struct{ requests, inTime, late, refused, abandoned int }
 
-// play asks a machine for large answers at random times; each is made in a time,
-// goes over the machine's link, and needs a little for the caller's.
-func (l linkLoad) play(t *testing.T) linkOutcome {
-	pacer := newLinkPacer(narrowRate)
-	link := &narrowLink{rate: narrowRate}
-	draw := rand.New(rand.NewPCG(1, 2))
+// simulate sends a machine requests for large responses at random times. Each response takes
+// transferRun to produce, then passes the machine's link and finally the caller's link.
+func (l linkScenario) simulate(t *testing.T) linkOutcome {
+	pacer := newLinkPacer(slowLinkRate)
+	link := &slowLink{rate: slowLinkRate}
+	random := rand.New(rand.NewPCG(1, 2))
 	began := steady.Reading()
 	var outcome linkOutcome
 	var mutex sync.Mutex
 	var all sync.WaitGroup
-	ask := func() {
-		asked := steady.Reading()
+	send := func() {
+		sentAt := steady.Reading()
 		count := func(which *int) {
 			mutex.Lock()
 			*which++
 			mutex.Unlock()
 		}
-		wanted := overload.Transfer{Due: asked.Add(transferTarget), Deadline: asked.Add(transferLeaves), Target: transferTarget, Run: transferRun}
-		kept, ok := pacer.admit(wanted)
-		for range l.returns {
+		wanted := overload.Transfer{Due: sentAt.Add(transferTarget), Deadline: sentAt.Add(transferTimeout), Target: transferTarget, Run: transferRun}
+		reservation, ok := pacer.admit(wanted)
+		for range l.retries {
 			if ok {
 				break
 			}
 			mutex.Lock()
-			pause := time.Duration((0.5 + draw.Float64()) * float64(max(retryRoom, pacer.backlog())))
+			pause := time.Duration((0.5 + random.Float64()) * float64(max(minRetryWhenFull, pacer.backlog())))
 			mutex.Unlock()
 			time.Sleep(pause)
-			kept, ok = pacer.admit(wanted)
+			reservation, ok = pacer.admit(wanted)
 		}
 		if !ok {
 			count(&outcome.refused)
 			return
 		}
 		time.Sleep(transferRun)
-		pacer.settle(kept, true, transferSize)
+		pacer.settle(reservation, true, transferSize)
 		pacer.write(t.Context(), &linkWriter{httptest.NewRecorder(), link}, make([]byte, transferSize))
 		time.Sleep(pacer.link.TimeFor(transferSize))
-		switch took := steady.Elapsed(asked); {
+		switch took := steady.Elapsed(sentAt); {
 		case took <= transferTarget:
 			count(&outcome.inTime)
-		case took <= transferLeaves:
+		case took <= transferTimeout:
 			count(&outcome.late)
 		default:
-			count(&outcome.gone)
+			count(&outcome.abandoned)
 		}
 	}
-	for steady.Elapsed(began) < l.lasting {
-		outcome.asked++
-		all.Go(ask)
+	for steady.Elapsed(began) < l.duration {
+		outcome.requests++
+		all.Go(send)
 		mutex.Lock()
-		pause := time.Duration(draw.ExpFloat64() / l.rate * float64(time.Second))
+		pause := time.Duration(random.ExpFloat64() / l.rate * float64(time.Second))
 		mutex.Unlock()
 		time.Sleep(pause)
 	}
@@ -92,86 +92,86 @@
 	return outcome
 }
 
-// linkAnswers is how many large answers the link sends in a second.
-const linkAnswers = bulkShare * narrowRate / transferSize
+// linkCapacity is how many large responses the link sends in a second.
+const linkCapacity = pacedLinkFraction * slowLinkRate / transferSize
 
-// Where more is asked for than the link sends, nearly all that it sends comes in
-// time, and the rest is refused at once instead of waiting for nothing.
-func TestALinkThatIsAskedForTooMuchServesWhatItCanInTime(t *testing.T) {
+// If more is requested than the link can send, nearly all that it sends arrives in time, and
+// the other requests are refused at once.
+func TestOverloadedLinkServesItsCapacityInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		outcome := linkLoad{rate: 1.4 * linkAnswers, lasting: 30 * time.Second}.play(t)
+		outcome := linkScenario{rate: 1.4 * linkCapacity, duration: 30 * time.Second}.simulate(t)
 		t.Logf("%+v", outcome)
-		sent := linkAnswers * 30
-		assert.Assert(t, float64(outcome.inTime) > 0.85*sent, "%+v, of %.0f that the link sends", outcome, sent)
+		sent := linkCapacity * 30
+		assert.Assert(t, float64(outcome.inTime) > 0.85*sent, "%+v, of %.0f that the link can send", outcome, sent)
 		assert.Assert(t, float64(outcome.late) < 0.15*sent, "%+v", outcome)
-		assert.Equal(t, outcome.gone, 0)
+		assert.Equal(t, outcome.abandoned, 0)
 	})
 }
 
-// Callers that come back add to what is asked for, and what is sent goes to first
-// tries all the same.
-func TestCallersThatComeBackDoNotMakeAllLate(t *testing.T) {
+// Callers that retry add to the load, but the link's capacity still goes to first attempts,
+// so that most of what is sent is in time.
+func TestRetriesDoNotMakeAllResponsesLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		outcome := linkLoad{rate: 1.7 * linkAnswers, lasting: 30 * time.Second, returns: 2}.play(t)
+		outcome := linkScenario{rate: 1.7 * linkCapacity, duration: 30 * time.Second, retries: 2}.simulate(t)
 		t.Logf("%+v", outcome)
-		assert.Assert(t, float64(outcome.inTime) > 0.8*linkAnswers*30, "%+v", outcome)
-		assert.Equal(t, outcome.gone, 0)
+		assert.Assert(t, float64(outcome.inTime) > 0.8*linkCapacity*30, "%+v", outcome)
+		assert.Equal(t, outcome.abandoned, 0)
 	})
 }
 
-// A wave that the link can send before the callers leave is late, not refused for good:
-// who comes back as told finds room behind it.
-func TestAShortWaveOfLargeAnswersIsServedLate(t *testing.T) {
+// A burst that the link can send before the callers time out is served late instead of being
+// refused for good: callers that come back as told find capacity behind it.
+func TestShortBurstOfLargeResponsesIsServedLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		outcome := linkLoad{rate: 3 * linkAnswers, lasting: time.Second, returns: 2}.play(t)
+		outcome := linkScenario{rate: 3 * linkCapacity, duration: time.Second, retries: 2}.simulate(t)
 		t.Logf("%+v", outcome)
-		assert.Equal(t, outcome.gone, 0)
-		assert.Assert(t, float64(outcome.refused) < 0.35*float64(outcome.asked), "%+v", outcome)
+		assert.Equal(t, outcome.abandoned, 0)
+		assert.Assert(t, float64(outcome.refused) < 0.35*float64(outcome.requests), "%+v", outcome)
 	})
 }
 
-func TestALinkWithRoomRefusesNothing(t *testing.T) {
+func TestLinkWithSpareCapacityRefusesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		outcome := linkLoad{rate: 0.6 * linkAnswers, lasting: 30 * time.Second}.play(t)
+		outcome := linkScenario{rate: 0.6 * linkCapacity, duration: 30 * time.Second}.simulate(t)
 		assert.Equal(t, outcome.refused, 0)
-		assert.Assert(t, outcome.late < outcome.asked/50, "%+v", outcome)
+		assert.Assert(t, outcome.late < outcome.requests/50, "%+v", outcome)
 	})
 }
 
-// A process that has just started does not know how large the answers are.
-func TestFewAnswersAreBegunBeforeTheirSizeIsKnown(t *testing.T) {
-	pacer := newLinkPacer(narrowRate)
-	wanted := overload.Transfer{Due: steady.Reading().Add(transferTarget), Deadline: steady.Reading().Add(transferLeaves), Target: transferTarget, Run: transferRun}
-	begun := 0
+// A process that has just started does not know how large the responses are.
+func TestFewTransfersStartBeforeTheirSizeIsKnown(t *testing.T) {
+	pacer := newLinkPacer(slowLinkRate)
+	wanted := overload.Transfer{Due: steady.Reading().Add(transferTarget), Deadline: steady.Reading().Add(transferTimeout), Target: transferTarget, Run: transferRun}
+	started := 0
 	var first overload.Kept
 	for range 60 {
-		if kept, ok := pacer.admit(wanted); ok {
-			first = kept
-			begun++
+		if reservation, ok := pacer.admit(wanted); ok {
+			first = reservation
+			started++
 		}
 	}
-	assert.Assert(t, begun > 0 && begun*transferSize < narrowRate, "%d begun", begun)
+	assert.Assert(t, started > 0 && started*transferSize < slowLinkRate, "%d started", started)
 	pacer.settle(first, true, transferSize)
 	_, ok := pacer.admit(wanted)
-	assert.Assert(t, ok, "the size is known")
+	assert.Assert(t, ok, "refused although the size is known")
 }
 
-func TestAnUnknownLinkAdmitsAll(t *testing.T) {
+func TestLinkOfUnknownRateAdmitsAll(t *testing.T) {
 	pacer := newLinkPacer(0)
-	kept, ok := pacer.admit(overload.Transfer{})
+	reservation, ok := pacer.admit(overload.Transfer{})
 	assert.Assert(t, ok)
-	pacer.settle(kept, true, transferSize)
+	pacer.settle(reservation, true, transferSize)
 }
 
-// A process that gets too little of its processor hands bodies over more slowly
-// than the link sends them: the link looks free, and there is no room.
-func TestALinkIsInUseWhileBodiesWaitForTheProcess(t *testing.T) {
+// A process that gets too little CPU time writes bodies more slowly than the link sends
+// them. The link then looks idle although it has no capacity left.
+func TestBodiesWaitingInProcessCountAsLinkLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		pacer := newLinkPacer(narrowRate)
+		pacer := newLinkPacer(slowLinkRate)
 		pacer.settle(overload.Kept{}, true, transferSize)
-		pacer.wait(20 * transferSize) // nothing of it is handed over
+		pacer.addWaiting(20 * transferSize) // none of it is written to the link
 		now := steady.Reading()
-		wanted := overload.Transfer{Due: now.Add(transferTarget), Deadline: now.Add(transferLeaves), Target: transferTarget, Run: transferRun}
+		wanted := overload.Transfer{Due: now.Add(transferTarget), Deadline: now.Add(transferTimeout), Target: transferTarget, Run: transferRun}
 		_, ok := pacer.admit(wanted)
 		assert.Assert(t, !ok)
 	})
--- a/internal/gateway/linkpacer.go
+++ b/internal/gateway/linkpacer.go
@@ -13,125 +13,125 @@
 )
 
 const (
-	// bulkFrom is the size from which the body of an answer is paced, in bytes: at
-	// the users' 8 Mbit/s it takes the link for 16 ms.
+	// bulkFrom is the size from which the body of a response is paced, in bytes: it occupies
+	// a link of 8 Mbit/s, as the users' machines have, for 16 ms.
 	bulkFrom = 16 << 10
-	// bulkChunk is what is handed to the link at a time, in bytes. A small answer
-	// waits for one of them at most, and for bulkBurst.
-	bulkChunk = 16 << 10
-	// bulkBurst is how much ahead of the link bodies may be handed over, so that it
-	// never stands idle between two chunks.
-	bulkBurst = 25 * time.Millisecond
-	// bulkShare is the part of the link that paced bodies use: the rest is for
-	// packet headers (40 of 1,500 bytes) and small answers.
-	bulkShare = 0.93
-	// bulkTurns is how many paced bodies are handed over at the same time. One after
-	// the other they come sooner on the mean than all at once; more than one, so
-	// that a reader that stands still doesn't hold up the others.
-	bulkTurns = 3
+	// pacedChunk is how much is written to the link at a time, in bytes. A small response
+	// waits for at most one chunk and maxPacingLead.
+	pacedChunk = 16 << 10
+	// maxPacingLead is how far ahead of the link bodies may be written, so that the link is
+	// never idle between two chunks.
+	maxPacingLead = 25 * time.Millisecond
+	// pacedLinkFraction is the fraction of the link's rate that paced bodies use. The rest
+	// is for packet headers (40 of 1,500 bytes) and small responses.
+	pacedLinkFraction = 0.93
+	// maxPacedWriters is how many paced bodies are written concurrently. Sent one after the
+	// other, bodies arrive earlier on average than all at once; more than one is allowed so
+	// that a stalled reader does not block the others.
+	maxPacedWriters = 3
 )
 
-// linkPacer hands large bodies to the machine's link no faster than it sends
-// them. Otherwise they would queue there, in the buffers of many connections, and
-// small answers, for which other requests are waiting, behind them.
+// linkPacer writes large bodies no faster than the machine's network link sends them.
+// Otherwise they would queue in the socket buffers of many connections, and small responses,
+// for which other requests are waiting, would queue behind them.
 type linkPacer struct {
-	turns chan struct{}
+	writers chan struct{}
 
 	mutex sync.Mutex
 	link  *overload.Link
 }
 
-// newLinkPacer returns the pacer of a link of a number of bytes a second; zero is
+// newLinkPacer returns the pacer of a link with a rate in bytes per second; zero means
 // unknown.
 func newLinkPacer(bytesPerSecond float64) *linkPacer {
-	link := overload.NewLink(bulkShare * bytesPerSecond)
-	return &linkPacer{link: link, turns: make(chan struct{}, bulkTurns)}
+	link := overload.NewLink(pacedLinkFraction * bytesPerSecond)
+	return &linkPacer{link: link, writers: make(chan struct{}, maxPacedWriters)}
 }
 
-// decide calls a function on the link at the present time.
-func (p *linkPacer) decide(call func(link *overload.Link, now time.Time)) {
+// withLink calls a function on the link at the present time, with the mutex held.
+func (p *linkPacer) withLink(call func(link *overload.Link, now time.Time)) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	call(p.link, steady.Reading())
 }
 
-// admit keeps a part of the link for a large answer, to be given to settle once it
-// is there or will never be.
-func (p *linkPacer) admit(wanted overload.Transfer) (kept overload.Kept, ok bool) {
-	p.decide(func(link *overload.Link, now time.Time) { kept, ok = link.Admit(wanted, now) })
-	return kept, ok
+// admit reserves link capacity for a large response. The reservation must be passed to
+// settle once the response has arrived or can't arrive any more.
+func (p *linkPacer) admit(wanted overload.Transfer) (reservation overload.Kept, ok bool) {
+	p.withLink(func(link *overload.Link, now time.Time) { reservation, ok = link.Admit(wanted, now) })
+	return reservation, ok
 }
 
-// settle gives back what admit kept. Answered says that the answer has come, of a
-// number of bytes.
-func (p *linkPacer) settle(kept overload.Kept, answered bool, bytes int) {
-	p.decide(func(link *overload.Link, _ time.Time) { link.Settle(kept, answered, bytes) })
+// settle ends the reservation of admit. Answered says that the response has arrived, with a
+// body of the given number of bytes.
+func (p *linkPacer) settle(reservation overload.Kept, answered bool, bytes int) {
+	p.withLink(func(link *overload.Link, _ time.Time) { link.Settle(reservation, answered, bytes) })
 }
 
-// sent learns from a large answer that has left this machine whole.
-func (p *linkPacer) sent(kept overload.Kept) {
-	p.decide(func(link *overload.Link, now time.Time) { link.Sent(kept, now) })
+// sent records that a large response has been written completely.
+func (p *linkPacer) sent(reservation overload.Kept) {
+	p.withLink(func(link *overload.Link, now time.Time) { link.Sent(reservation, now) })
 }
 
-// backlog is how long a large answer would wait for the link.
+// backlog is how long a large response would wait for the link.
 func (p *linkPacer) backlog() (busy time.Duration) {
-	p.decide(func(link *overload.Link, now time.Time) { busy = link.Backlog(now) })
+	p.withLink(func(link *overload.Link, now time.Time) { busy = link.Backlog(now) })
 	return busy
 }
 
-// note counts bytes that go to the link, and returns for how long it is busy with
-// those before.
-func (p *linkPacer) note(bytes int) (busy time.Duration) {
-	p.decide(func(link *overload.Link, now time.Time) { busy = link.Note(bytes, now) })
+// countSent counts bytes that are written to the link and returns how long the link is busy
+// with the bytes before them.
+func (p *linkPacer) countSent(bytes int) (busy time.Duration) {
+	p.withLink(func(link *overload.Link, now time.Time) { busy = link.Note(bytes, now) })
 	return busy
 }
 
-// wait counts bytes that wait.
-func (p *linkPacer) wait(bytes int) {
-	p.decide(func(link *overload.Link, _ time.Time) { link.Wait(bytes) })
+// addWaiting counts bytes that wait to be written, or, if negative, that no longer do.
+func (p *linkPacer) addWaiting(bytes int) {
+	p.withLink(func(link *overload.Link, _ time.Time) { link.Wait(bytes) })
 }
 
-// write hands a body over, and reports whether all of it was. It returns early where
-// the context ends or the reader is gone.
+// write writes a body and reports whether all of it was written. It returns early if the
+// context ends or the reader disconnects.
 func (p *linkPacer) write(ctx context.Context, w http.ResponseWriter, body []byte) (whole bool) {
 	if !p.link.Bounded() || len(body) < bulkFrom {
-		p.note(len(body))
+		p.countSent(len(body))
 		_, err := w.Write(body)
 		return err == nil
 	}
 	return p.copy(ctx, w, bytes.NewReader(body), len(body)) == nil
 }
 
-// copy hands a body of a known length over as it comes. It returns why it ended early: the
-// source, the reader or the context.
+// copy writes a body of known length while it is being read from the source. It returns
+// the error of the source, the writer or the context that ended it early.
 func (p *linkPacer) copy(ctx context.Context, w http.ResponseWriter, source io.Reader, length int) error {
-	p.wait(length)
-	defer func() { p.wait(-length) }() // what is left of it
+	p.addWaiting(length)
+	defer func() { p.addWaiting(-length) }() // the rest that was not written
 	select {
-	case p.turns <- struct{}{}:
+	case p.writers <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	defer func() { <-p.turns }()
-	buffer := make([]byte, min(bulkChunk, length))
+	defer func() { <-p.writers }()
+	buffer := make([]byte, min(pacedChunk, length))
 	for length > 0 {
 		chunk := buffer[:min(len(buffer), length)]
 		if _, err := io.ReadFull(source, chunk); err != nil {
 			return err
 		}
-		if !pauseFor(ctx, p.note(len(chunk))-bulkBurst) {
+		if !pauseFor(ctx, p.countSent(len(chunk))-maxPacingLead) {
 			return context.Cause(ctx)
 		}
 		if _, err := w.Write(chunk); err != nil {
 			return err
 		}
-		p.wait(-len(chunk))
+		p.addWaiting(-len(chunk))
 		length -= len(chunk)
 	}
 	return nil
 }
 
-// pauseFor waits, and reports whether the context still runs.
+// pauseFor sleeps and reports whether the context is still active.
 func pauseFor(ctx context.Context, pause time.Duration) bool {
 	if pause <= 0 {
 		return ctx.Err() == nil
--- a/internal/gateway/linkpacer_test.go
+++ b/internal/gateway/linkpacer_test.go
@@ -13,31 +13,31 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// narrowLink sends what is written to it at a rate, one after the other, and notes
-// when each writer's body was through.
-type narrowLink struct {
-	rate  float64
-	mutex sync.Mutex
-	free  time.Time
-	// deepest is the longest time that anything had to wait in the link.
-	deepest time.Duration
+// slowLink is a simulated link that sends what is written to it at a fixed rate and in
+// order.
+type slowLink struct {
+	rate   float64
+	mutex  sync.Mutex
+	idleAt time.Time
+	// longestQueue is the longest time that anything had to wait in the link.
+	longestQueue time.Duration
 }
 
-func (l *narrowLink) send(bytes int) {
+func (l *slowLink) send(bytes int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := steady.Reading()
-	if l.free.Before(now) {
-		l.free = now
+	if l.idleAt.Before(now) {
+		l.idleAt = now
 	}
-	l.deepest = max(l.deepest, l.free.Sub(now))
-	l.free = l.free.Add(time.Duration(float64(bytes) / l.rate * float64(time.Second)))
+	l.longestQueue = max(l.longestQueue, l.idleAt.Sub(now))
+	l.idleAt = l.idleAt.Add(time.Duration(float64(bytes) / l.rate * float64(time.Second)))
 }
 
-// linkWriter is a response that goes over a link.
+// linkWriter is an http.ResponseWriter that writes to a slowLink.
 type linkWriter struct {
 	*httptest.ResponseRecorder
-	link *narrowLink
+	link *slowLink
 }
 
 func (w *linkWriter) Write(body []byte) (int, error) {
@@ -45,16 +45,16 @@
 	return w.ResponseRecorder.Write(body)
 }
 
-// The users' small machines.
-const narrowRate = 1.05e6
+// slowLinkRate is the link rate of the users' small machines, in bytes a second.
+const slowLinkRate = 1.05e6
 
-// Many large answers at once leave the link free for small ones, use nearly all of
-// it, and come whole.
-func TestLargeAnswersLeaveTheLinkFreeForSmallOnes(t *testing.T) {
+// Many concurrent large responses leave the link free for small ones, use nearly all of its
+// rate, and arrive completely.
+func TestLargeResponsesLeaveLinkFreeForSmallOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const answers, size = 40, 90_000
-		link := &narrowLink{rate: narrowRate}
-		pacer := newLinkPacer(narrowRate)
+		link := &slowLink{rate: slowLinkRate}
+		pacer := newLinkPacer(slowLinkRate)
 		began := steady.Reading()
 		var all sync.WaitGroup
 		for range answers {
@@ -68,18 +68,19 @@
 		assert.Assert(t, pacer.backlog() > 3*time.Second, "%v", pacer.backlog())
 		all.Wait()
 		took := steady.Elapsed(began).Seconds()
-		assert.Assert(t, link.deepest < 100*time.Millisecond, "a small answer would wait %v", link.deepest)
-		assert.Assert(t, took < answers*size/narrowRate*1.1, "%.1f s", took)
+		assert.Assert(t, link.longestQueue < 100*time.Millisecond, "a small answer would wait %v", link.longestQueue)
+		assert.Assert(t, took < answers*size/slowLinkRate*1.1, "%.1f s", took)
 		assert.Assert(t, pacer.backlog() < 100*time.Millisecond)
 	})
 }
 
-// One after the other, half of them are through in half of the time.
-func TestLargeAnswersGoOneAfterTheOther(t *testing.T) {
+// Large responses are sent one after the other: half of them are complete in about half of
+// the time.
+func TestLargeResponsesAreSentOneAfterTheOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const answers, size = 20, 90_000
-		link := &narrowLink{rate: narrowRate}
-		pacer := newLinkPacer(narrowRate)
+		link := &slowLink{rate: slowLinkRate}
+		pacer := newLinkPacer(slowLinkRate)
 		ended := make(chan struct{}, answers)
 		began := steady.Reading()
 		for range answers {
@@ -91,7 +92,7 @@
 		for range answers / 2 {
 			<-ended
 		}
-		assert.Assert(t, steady.Elapsed(began).Seconds() < 0.6*answers*size/narrowRate*1.1)
+		assert.Assert(t, steady.Elapsed(began).Seconds() < 0.6*answers*size/slowLinkRate*1.1)
 		synctest.Wait()
 		for range answers / 2 {
 			<-ended
@@ -99,16 +100,16 @@
 	})
 }
 
-// A caller that has left takes nothing of the link.
-func TestAnAnswerForNobodyIsNotSent(t *testing.T) {
+// A response to a caller that has disconnected uses no more of the link.
+func TestResponseToDisconnectedCallerIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		link := &narrowLink{rate: narrowRate}
-		pacer := newLinkPacer(narrowRate)
-		ctx, leave := context.WithCancel(t.Context())
+		link := &slowLink{rate: slowLinkRate}
+		pacer := newLinkPacer(slowLinkRate)
+		ctx, cancel := context.WithCancel(t.Context())
 		w := &linkWriter{httptest.NewRecorder(), link}
 		go func() {
 			time.Sleep(50 * time.Millisecond)
-			leave()
+			cancel()
 		}()
 		pacer.write(ctx, w, make([]byte, 1<<20))
 		assert.Assert(t, w.Body.Len() < 200<<10, "%d bytes", w.Body.Len())
@@ -117,7 +118,7 @@
 	})
 }
 
-func TestAnUnknownLinkIsNotPaced(t *testing.T) {
+func TestLinkOfUnknownRateIsNotPaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pacer := newLinkPacer(0)
 		began := steady.Reading()
--- a/internal/gateway/priority_test.go
+++ b/internal/gateway/priority_test.go
@@ -11,17 +11,17 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// requestKind is one kind of request of an overloaded back end.
+// requestKind describes one kind of request that an overloaded back end gets.
 type requestKind struct {
 	priority int
 	target   time.Duration
-	// interval between arrivals, and how long one uses a slot.
-	interval time.Duration
-	runs     time.Duration
+	// interval is the time between arrivals, and serviceTime how long a request uses a slot.
+	interval    time.Duration
+	serviceTime time.Duration
 }
 
-// servedShares offers kinds of requests to a gate for a while and returns which
-// share of each got a slot.
+// servedShares sends requests of several kinds for a while and returns the fraction of each
+// kind that got a slot.
 func servedShares(t *testing.T, g *slotGate, kinds ...requestKind) []float64 {
 	const period = 20 * time.Second
 	var mutex sync.Mutex
@@ -36,13 +36,13 @@
 				mutex.Unlock()
 				all.Go(func() {
 					wanted := demand{Priority: kind.priority, Due: steady.Reading().Add(kind.target), Target: kind.target,
-						Patience: kind.target - time.Duration(serviceMargin*float64(kind.runs))}
+						Patience: kind.target - time.Duration(serviceTimeMargin*float64(kind.serviceTime))}
 					taken, err := g.acquire(t.Context(), wanted)
 					if err != nil {
 						return
 					}
-					time.Sleep(kind.runs)
-					g.release(taken, kind.runs)
+					time.Sleep(kind.serviceTime)
+					g.release(taken, kind.serviceTime)
 					mutex.Lock()
 					served[i]++
 					mutex.Unlock()
@@ -57,28 +57,28 @@
 	return served
 }
 
-// A more urgent kind of request is not served less often than a less urgent one
-// of the same back end by more than this (the users' bound).
-const mostInversion = 0.05
+// maxInversion is how much less often a more urgent kind of request may be served than a
+// less urgent one of the same back end (a requirement of the users).
+const maxInversion = 0.05
 
-func TestAMoreUrgentKindIsServedNoLessOften(t *testing.T) {
+func TestMoreUrgentKindIsServedNoLessOften(t *testing.T) {
 	const tick = time.Millisecond
 	cases := map[string]struct{ urgent, other requestKind }{
 		"same target": {
-			requestKind{priority: 0, target: 400 * tick, interval: 8 * tick, runs: 50 * tick},
-			requestKind{priority: 2, target: 400 * tick, interval: 7 * tick, runs: 50 * tick},
+			requestKind{priority: 0, target: 400 * tick, interval: 8 * tick, serviceTime: 50 * tick},
+			requestKind{priority: 2, target: 400 * tick, interval: 7 * tick, serviceTime: 50 * tick},
 		},
 		"urgent with the shorter target": {
-			requestKind{priority: 0, target: 200 * tick, interval: 8 * tick, runs: 40 * tick},
-			requestKind{priority: 2, target: 800 * tick, interval: 7 * tick, runs: 60 * tick},
+			requestKind{priority: 0, target: 200 * tick, interval: 8 * tick, serviceTime: 40 * tick},
+			requestKind{priority: 2, target: 800 * tick, interval: 7 * tick, serviceTime: 60 * tick},
 		},
 		"urgent with the longer target": {
-			requestKind{priority: 0, target: 800 * tick, interval: 9 * tick, runs: 60 * tick},
-			requestKind{priority: 2, target: 200 * tick, interval: 7 * tick, runs: 40 * tick},
+			requestKind{priority: 0, target: 800 * tick, interval: 9 * tick, serviceTime: 60 * tick},
+			requestKind{priority: 2, target: 200 * tick, interval: 7 * tick, serviceTime: 40 * tick},
 		},
 		"urgent with the longer target, few short": {
-			requestKind{priority: 0, target: 800 * tick, interval: 9 * tick, runs: 60 * tick},
-			requestKind{priority: 2, target: 200 * tick, interval: 20 * tick, runs: 30 * tick},
+			requestKind{priority: 0, target: 800 * tick, interval: 9 * tick, serviceTime: 60 * tick},
+			requestKind{priority: 2, target: 200 * tick, interval: 20 * tick, serviceTime: 30 * tick},
 		},
 	}
 	for name, kinds := range cases {
@@ -88,7 +88,7 @@
 				g.setCapacity(8)
 				shares := servedShares(t, g, kinds.urgent, kinds.other)
 				t.Logf("urgent %.2f, other %.2f", shares[0], shares[1])
-				assert.Assert(t, shares[0] >= shares[1]-mostInversion, "urgent %.2f, other %.2f", shares[0], shares[1])
+				assert.Assert(t, shares[0] >= shares[1]-maxInversion, "urgent %.2f, other %.2f", shares[0], shares[1])
 			})
 		})
 	}
--- a/internal/gateway/spread_test.go
+++ b/internal/gateway/sessionspread_test.go
@@ -12,9 +12,9 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// When a leader ends, the gateways of a large fleet come to the next one over a
-// time that grows with their number; at the start nobody waits.
-func TestSessionsAfterALeadersEndAreSpread(t *testing.T) {
+// When a leader terminates, the gateways of a large fleet connect to the next one spread
+// over a time that grows with their number. At the first start they connect without delay.
+func TestSessionsAreSpreadAfterLeaderTermination(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const gateways = 280
 		var fleet []fleetwire.Instance
--- a/internal/gateway/slots.go
+++ b/internal/gateway/slots.go
@@ -10,42 +10,43 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// errNoRoom: the request would wait too long for a slot.
-var errNoRoom = errors.New("no slot within the time left")
+// errNoSlot means that the request would wait too long for a slot.
+var errNoSlot = errors.New("no slot available within the remaining time")
 
-// demand is what a request asks of the slots.
+// demand is what a request demands of the slots.
 type demand = overload.Demand
 
-// slotGate lets requests wait for the slots of the back end. Who waits, in which order
-// and how long is decided by an overload.SlotQueue.
+// slotGate limits the requests that run at the back end at once to its slots. An
+// overload.SlotQueue decides which requests wait, in which order and how long.
 type slotGate struct {
 	mutex sync.Mutex
 	queue *overload.SlotQueue
-	// pace is the timer of the next request that waits for a cold back end to bear it.
-	pace *time.Timer
+	// paceTimer fires when the next waiting request may be sent to a cold back end at its
+	// warm-up rate.
+	paceTimer *time.Timer
 }
 
 func newSlotGate() *slotGate { return &slotGate{queue: overload.NewSlotQueue(steady.Reading())} }
 
-// decide calls a function on the queue at the present time, and sets the timer for
-// who then waits for a cold back end.
+// decide calls a function on the queue at the present time, and sets the timer if a request
+// then waits for the warm-up rate of a cold back end.
 func (g *slotGate) decide(call func(queue *overload.SlotQueue, now time.Time)) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := steady.Reading()
 	call(g.queue, now)
-	if g.pace != nil {
+	if g.paceTimer != nil {
 		return
 	}
 	if wait := g.queue.PaceIn(now); wait > 0 {
-		g.pace = time.AfterFunc(wait, g.paceNext)
+		g.paceTimer = time.AfterFunc(wait, g.admitPaced)
 	}
 }
 
-// paceNext lets the next request go to a cold back end.
-func (g *slotGate) paceNext() {
+// admitPaced admits the next requests that wait for the warm-up rate of a cold back end.
+func (g *slotGate) admitPaced() {
 	g.mutex.Lock()
-	g.pace = nil
+	g.paceTimer = nil
 	g.mutex.Unlock()
 	g.decide(func(queue *overload.SlotQueue, now time.Time) { queue.Pace(now) })
 }
@@ -60,46 +61,46 @@
 	return load.running, load.waiting
 }
 
-// load returns what other gateways choose by.
+// load returns the load that other gateways use to choose among back ends.
 func (g *slotGate) load() peerLoad {
-	var told overload.Load
-	g.decide(func(queue *overload.SlotQueue, now time.Time) { told = queue.Load(now) })
+	var reported overload.Load
+	g.decide(func(queue *overload.SlotQueue, now time.Time) { reported = queue.Load(now) })
 	return peerLoad{
-		running:      told.Running,
-		waiting:      told.Waiting,
-		slots:        told.Slots,
-		serviceTime:  told.ServiceTime,
-		shortService: told.ShortService,
-		shortUpTo:    told.ShortUpTo,
-		bears:        told.Bears,
+		running:      reported.Running,
+		waiting:      reported.Waiting,
+		slots:        reported.Slots,
+		serviceTime:  reported.ServiceTime,
+		shortService: reported.ShortService,
+		shortUpTo:    reported.ShortUpTo,
+		bears:        reported.Bears,
 	}
 }
 
-// acquire waits for a slot. Where the estimated wait is longer than the request
-// may wait, it refuses at once.
+// acquire waits for a slot. If the estimated wait is longer than the request may wait, it
+// refuses at once.
 func (g *slotGate) acquire(ctx context.Context, wanted demand) (overload.Slot, error) {
 	admitted := make(chan struct{})
-	var arrived *overload.Ticket
-	var taken, hasSlot bool
+	var ticket *overload.Ticket
+	var accepted, hasSlot bool
 	var check time.Duration
 	g.decide(func(queue *overload.SlotQueue, now time.Time) {
-		arrived, taken = queue.Arrive(wanted, func() { close(admitted) }, now)
-		check, hasSlot = queue.CheckIn(arrived, now), arrived.HasSlot()
+		ticket, accepted = queue.Arrive(wanted, func() { close(admitted) }, now)
+		check, hasSlot = queue.CheckIn(ticket, now), ticket.HasSlot()
 	})
 	switch {
-	case !taken:
-		return overload.Slot{}, errNoRoom
+	case !accepted:
+		return overload.Slot{}, errNoSlot
 	case hasSlot:
-		return arrived.Slot(), nil
+		return ticket.Slot(), nil
 	}
-	if err := g.await(ctx, arrived, admitted, check); err != nil {
+	if err := g.await(ctx, ticket, admitted, check); err != nil {
 		return overload.Slot{}, err
 	}
-	return arrived.Slot(), nil
+	return ticket.Slot(), nil
 }
 
-// await returns once a request has a slot, or with why it gets none.
-func (g *slotGate) await(ctx context.Context, waiting *overload.Ticket, admitted <-chan struct{}, check time.Duration) error {
+// await returns once a waiting request has a slot, or why it gets none.
+func (g *slotGate) await(ctx context.Context, ticket *overload.Ticket, admitted <-chan struct{}, check time.Duration) error {
 	timer := time.NewTimer(check)
 	defer timer.Stop()
 	for {
@@ -107,31 +108,31 @@
 		case <-admitted:
 			return nil
 		case <-ctx.Done():
-			g.decide(func(queue *overload.SlotQueue, now time.Time) { queue.Leave(waiting, now) })
+			g.decide(func(queue *overload.SlotQueue, now time.Time) { queue.Leave(ticket, now) })
 			return context.Cause(ctx)
 		case <-timer.C:
 		}
-		hopeful := false
+		viable := false
 		g.decide(func(queue *overload.SlotQueue, now time.Time) {
-			if hopeful = queue.Check(waiting, now); !hopeful {
-				queue.Leave(waiting, now)
+			if viable = queue.Check(ticket, now); !viable {
+				queue.Leave(ticket, now)
 			}
-			check = queue.CheckIn(waiting, now)
+			check = queue.CheckIn(ticket, now)
 		})
-		if !hopeful {
-			return errNoRoom
+		if !viable {
+			return errNoSlot
 		}
 		timer.Reset(check)
 	}
 }
 
-// release gives a slot back that was used for a time.
-func (g *slotGate) release(taken overload.Slot, used time.Duration) {
-	g.decide(func(queue *overload.SlotQueue, now time.Time) { queue.Release(taken, used, now) })
+// release returns a slot that was used for the given time.
+func (g *slotGate) release(slot overload.Slot, used time.Duration) {
+	g.decide(func(queue *overload.SlotQueue, now time.Time) { queue.Release(slot, used, now) })
 }
 
-// comeBackIn counts a refusal of a request with a target and returns when there may
-// be room for it.
+// comeBackIn counts a refusal of a request with the given target and returns when there may
+// be a slot for it.
 func (g *slotGate) comeBackIn(target time.Duration) (wait time.Duration) {
 	g.decide(func(queue *overload.SlotQueue, now time.Time) { wait = queue.ComeBackIn(target, now) })
 	return wait
--- a/internal/gateway/slots_test.go
+++ b/internal/gateway/slots_test.go
@@ -18,22 +18,21 @@
 	shortTarget = 100 * time.Millisecond
 )
 
-func wants(target, patience time.Duration) demand {
+func demandFor(target, patience time.Duration) demand {
 	return demand{Priority: 1, Due: steady.Reading().Add(target), Target: target, Patience: patience}
 }
 
-// gateWithShort is a gate that has seen long requests and a short one, which
-// still runs.
-func gateWithShort(t *testing.T, slots int) *slotGate {
+// limiterWithShortLoad returns a slotGate that has served long requests and one short one.
+func limiterWithShortLoad(t *testing.T, slots int) *slotGate {
 	g := newSlotGate()
 	g.setCapacity(slots)
 	for range 20 {
-		taken, err := g.acquire(t.Context(), wants(longTarget, time.Second))
+		taken, err := g.acquire(t.Context(), demandFor(longTarget, time.Second))
 		assert.NilError(t, err)
 		time.Sleep(50 * time.Millisecond)
 		g.release(taken, 50*time.Millisecond)
 	}
-	taken, err := g.acquire(t.Context(), wants(shortTarget, time.Second))
+	taken, err := g.acquire(t.Context(), demandFor(shortTarget, time.Second))
 	assert.NilError(t, err)
 	assert.Assert(t, taken.Short)
 	time.Sleep(500 * time.Millisecond)
@@ -41,34 +40,34 @@
 	return g
 }
 
-// Requests that wait for calls elsewhere must not fill every slot that such
-// calls need here.
-func TestLongRequestsLeaveSlotsForShortOnesThatCome(t *testing.T) {
+// Long requests wait for calls to other back ends, and those may make short calls to this
+// one. If long requests filled every slot, such calls would find none.
+func TestLongRequestsLeaveSlotsForShortOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := gateWithShort(t, 6)
+		g := limiterWithShortLoad(t, 6)
 		admitted := 0
 		for range 6 {
 			ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
-			if _, err := g.acquire(ctx, wants(longTarget, time.Second)); err == nil {
+			if _, err := g.acquire(ctx, demandFor(longTarget, time.Second)); err == nil {
 				admitted++
 			}
 			cancel()
 		}
-		assert.Equal(t, admitted, 5, "short ones use less than one slot")
-		_, err := g.acquire(t.Context(), wants(shortTarget, time.Millisecond))
+		assert.Equal(t, admitted, 5, "short requests use less than one slot, so one is reserved")
+		_, err := g.acquire(t.Context(), demandFor(shortTarget, time.Millisecond))
 		assert.NilError(t, err)
 	})
 }
 
-// Where calls use more slots, more are kept: what they use on average, in whole slots.
-func TestAsManySlotsAreKeptForShortRequestsAsTheyUse(t *testing.T) {
+// If short requests use more slots, more are reserved: their average use, in whole slots.
+func TestSlotsReservedForShortRequestsMatchTheirUse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := gateWithShort(t, 8)
+		g := limiterWithShortLoad(t, 8)
 		var running sync.WaitGroup
 		for _, target := range []time.Duration{shortTarget, shortTarget, shortTarget, longTarget, longTarget} {
 			running.Go(func() {
 				for range 100 {
-					taken, err := g.acquire(t.Context(), wants(target, time.Second))
+					taken, err := g.acquire(t.Context(), demandFor(target, time.Second))
 					assert.Check(t, err)
 					time.Sleep(50 * time.Millisecond)
 					g.release(taken, 50*time.Millisecond)
@@ -78,39 +77,39 @@
 		running.Wait()
 		for range 8 {
 			ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
-			_, _ = g.acquire(ctx, wants(longTarget, time.Second))
+			_, _ = g.acquire(ctx, demandFor(longTarget, time.Second))
 			cancel()
 		}
 		_, long, _ := g.queue.Running()
-		assert.Equal(t, long, 5, "calls may come again the next moment")
+		assert.Equal(t, long, 5, "slots stay reserved between short requests")
 	})
 }
 
-// Without short requests no slot stays empty.
-func TestLongRequestsUseAllSlotsWhereNoShortOnesCome(t *testing.T) {
+// Without short requests no slot is reserved for them.
+func TestLongRequestsUseAllSlotsWithoutShortOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newSlotGate()
 		g.setCapacity(6)
 		for range 6 {
-			_, err := g.acquire(t.Context(), wants(longTarget, time.Millisecond))
+			_, err := g.acquire(t.Context(), demandFor(longTarget, time.Millisecond))
 			assert.NilError(t, err)
 		}
-		_, err := g.acquire(t.Context(), wants(longTarget, time.Millisecond))
-		assert.ErrorIs(t, err, errNoRoom)
+		_, err := g.acquire(t.Context(), demandFor(longTarget, time.Millisecond))
+		assert.ErrorIs(t, err, errNoSlot)
 	})
 }
 
-func TestTheMoreUrgentGetsTheNextSlot(t *testing.T) {
+func TestMoreUrgentRequestGetsNextSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newSlotGate()
 		g.setCapacity(1)
-		first, err := g.acquire(t.Context(), wants(longTarget, time.Second))
+		first, err := g.acquire(t.Context(), demandFor(longTarget, time.Second))
 		assert.NilError(t, err)
 		var order atomic.Int32
 		positions := make([]int32, 3)
 		for i, priority := range []int{2, 1, 0} {
 			go func() {
-				wanted := wants(longTarget, time.Second)
+				wanted := demandFor(longTarget, time.Second)
 				wanted.Priority = priority
 				taken, err := g.acquire(t.Context(), wanted)
 				assert.Check(t, err)
@@ -126,28 +125,28 @@
 	})
 }
 
-// A request that can't be served in its time is refused at once, not held.
-func TestAHopelessRequestIsRefusedAtOnce(t *testing.T) {
+// A request that can't be served in its time is refused at once instead of waiting.
+func TestRequestThatCanNotBeServedInTimeIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newSlotGate()
 		g.setCapacity(1)
-		_, err := g.acquire(t.Context(), wants(longTarget, time.Second))
+		_, err := g.acquire(t.Context(), demandFor(longTarget, time.Second))
 		assert.NilError(t, err)
 		began := steady.Reading()
-		_, err = g.acquire(t.Context(), wants(longTarget, 10*time.Millisecond))
-		assert.ErrorIs(t, err, errNoRoom)
+		_, err = g.acquire(t.Context(), demandFor(longTarget, 10*time.Millisecond))
+		assert.ErrorIs(t, err, errNoSlot)
 		assert.Equal(t, steady.Elapsed(began), time.Duration(0))
 	})
 }
 
-func TestALeavingCallerGivesItsPlaceBack(t *testing.T) {
+func TestDisconnectedCallerLeavesSlotQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newSlotGate()
 		g.setCapacity(1)
-		first, err := g.acquire(t.Context(), wants(longTarget, time.Second))
+		first, err := g.acquire(t.Context(), demandFor(longTarget, time.Second))
 		assert.NilError(t, err)
 		ctx, cancel := context.WithCancel(t.Context())
-		go func() { _, _ = g.acquire(ctx, wants(longTarget, time.Second)) }()
+		go func() { _, _ = g.acquire(ctx, demandFor(longTarget, time.Second)) }()
 		synctest.Wait()
 		cancel()
 		synctest.Wait()
@@ -157,23 +156,23 @@
 	})
 }
 
-// A flood of short requests leaves long ones their part: the next free slot goes
-// to the long one that waits, not to one of the short ones before it.
+// A flood of short requests does not starve long ones: the next released slot goes to a
+// waiting long request, not to one of the short requests before it.
 func TestShortRequestsDoNotStarveLongOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := gateWithShort(t, 8)
+		g := limiterWithShortLoad(t, 8)
 		var taken []overload.Slot
 		for range 8 {
-			short, err := g.acquire(t.Context(), wants(shortTarget, time.Second))
+			short, err := g.acquire(t.Context(), demandFor(shortTarget, time.Second))
 			assert.NilError(t, err)
 			taken = append(taken, short)
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		for range 20 {
-			go func() { _, _ = g.acquire(ctx, wants(shortTarget, time.Second)) }()
+			go func() { _, _ = g.acquire(ctx, demandFor(shortTarget, time.Second)) }()
 		}
 		synctest.Wait()
-		go func() { _, _ = g.acquire(ctx, wants(longTarget, time.Second)) }()
+		go func() { _, _ = g.acquire(ctx, demandFor(longTarget, time.Second)) }()
 		synctest.Wait()
 		g.release(taken[0], time.Millisecond)
 		synctest.Wait()
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -7,135 +7,138 @@
 	"sync"
 )
 
-// Large answers pass the caller's gateway as they come: taken whole first, an answer of
-// 90 KB is 60 ms later for each hop over a link of 12 Mbit/s. The gateway beside the back end
-// has the whole answer before it sends the first byte, and its length, so that a part never
-// looks like the whole.
+// The caller's gateway streams large responses: buffering a response of 90 KB completely
+// before passing it on would add 60 ms per hop over a link of 12 Mbit/s. The gateway beside
+// the back end has the whole response before it sends the first byte, and sends its length,
+// so that a truncated response is always detected.
 
-// answerStream is the body of an answer that is being received. It is read as fast as it
-// comes, whatever its caller takes: a caller that reads slowly would hold up the link of the
-// machine that sends it.
-type answerStream struct {
+// responseStream is the body of a response that is being received. It is received as fast as
+// it arrives, however slowly the caller reads: a slow caller would otherwise occupy the link
+// of the machine that sends the response.
+type responseStream struct {
 	body   io.ReadCloser
 	cancel context.CancelCauseFunc
 
-	mutex sync.Mutex
-	more  sync.Cond
-	// content is the whole body, of which received bytes are there and taken were read.
-	content         []byte
-	received, taken int
-	// failure is why no more comes.
-	failure error
-	ended   chan struct{}
+	mutex   sync.Mutex
+	changed sync.Cond
+	// content holds the whole body. The first received bytes of it have arrived, and the
+	// first read bytes have been returned by Read.
+	content        []byte
+	received, read int
+	// readErr is why receiving stopped early.
+	readErr error
+	done    chan struct{}
 }
 
-// newAnswerStream begins to receive a body of a known length.
-func newAnswerStream(body io.ReadCloser, length int, cancel context.CancelCauseFunc) *answerStream {
-	s := &answerStream{body: body, cancel: cancel, content: make([]byte, length), ended: make(chan struct{})}
-	s.more.L = &s.mutex
+// newResponseStream starts to receive a body of known length.
+func newResponseStream(body io.ReadCloser, length int, cancel context.CancelCauseFunc) *responseStream {
+	s := &responseStream{body: body, cancel: cancel, content: make([]byte, length), done: make(chan struct{})}
+	s.changed.L = &s.mutex
 	go s.receive()
 	return s
 }
 
 // receive reads the body to its end.
-func (s *answerStream) receive() {
-	defer close(s.ended)
+func (s *responseStream) receive() {
+	defer close(s.done)
 	for received := 0; received < len(s.content); {
-		count, err := s.body.Read(s.content[received:min(received+bulkChunk, len(s.content))])
+		count, err := s.body.Read(s.content[received:min(received+pacedChunk, len(s.content))])
 		received += count
-		s.arrived(count, err)
+		s.advance(count, err)
 		if err != nil {
 			return
 		}
 	}
-	// One more read lets the connection know that the body has ended.
+	// One more read lets the connection see the end of the body.
 	_, _ = s.body.Read(make([]byte, 1))
 }
 
-func (s *answerStream) arrived(count int, err error) {
+// advance records received bytes, or the error that ended receiving, and wakes readers.
+func (s *responseStream) advance(count int, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.received += count
 	if err != nil && s.received < len(s.content) {
-		s.failure = err
+		s.readErr = err
 	}
-	s.more.Broadcast()
+	s.changed.Broadcast()
 }
 
 // Read implements io.Reader.
-func (s *answerStream) Read(buffer []byte) (int, error) {
+func (s *responseStream) Read(buffer []byte) (int, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for s.taken == s.received {
+	for s.read == s.received {
 		switch {
-		case s.failure != nil:
-			return 0, s.failure
-		case s.taken == len(s.content):
+		case s.readErr != nil:
+			return 0, s.readErr
+		case s.read == len(s.content):
 			return 0, io.EOF
 		}
-		s.more.Wait()
+		s.changed.Wait()
 	}
-	count := copy(buffer, s.content[s.taken:s.received])
-	s.taken += count
+	count := copy(buffer, s.content[s.read:s.received])
+	s.read += count
 	return count, nil
 }
 
-// close gives the connection back, or ends it where the body was not received whole. A nil
-// stream is none.
-func (s *answerStream) close() {
+// close returns the connection to its pool, or closes it if the body was not received
+// completely. It does nothing on a nil stream.
+func (s *responseStream) close() {
 	if s == nil {
 		return
 	}
 	if !s.whole() {
 		s.cancel(nil)
 	}
-	<-s.ended
+	<-s.done
 	_ = s.body.Close()
 	s.cancel(nil)
 }
 
-// whole says that the whole body is there.
-func (s *answerStream) whole() bool {
+// whole reports whether the whole body has been received.
+func (s *responseStream) whole() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.received == len(s.content)
 }
 
-// streams says that an answer of a peer is passed on as it comes: a large one of a back
-// end, with its length.
-func streams(response *http.Response) bool {
-	isAnswer := outcome(response.Header.Get(fieldOutcome)) == outcomeAnswered && response.StatusCode < http.StatusInternalServerError
-	return isAnswer && response.ContentLength >= bulkFrom && response.ContentLength <= maxAnswer
+// streamable reports whether a peer's response is passed on while it is being received: a
+// large response of a back end, of known length.
+func streamable(response *http.Response) bool {
+	isResponse := outcome(response.Header.Get(fieldOutcome)) == outcomeAnswered && response.StatusCode < http.StatusInternalServerError
+	return isResponse && response.ContentLength >= bulkFrom && response.ContentLength <= maxResponseBody
 }
 
-// sendTransfer sends a request for a large answer. The context bounds how long that may take
-// to begin: one that has begun is delivered, also late.
+// sendTransfer sends a request with a large response. The context limits only the time until
+// the response begins: one that has begun is delivered, even after the deadline.
 func (p *peer) sendTransfer(ctx context.Context, outgoing *http.Request) *forwardResult {
-	whole, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
+	streamCtx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	stop := context.AfterFunc(ctx, func() { cancel(context.Cause(ctx)) })
 	defer stop()
-	response, err := p.pool.Do(whole, outgoing)
+	response, err := p.pool.Do(streamCtx, outgoing)
 	if err != nil {
 		cancel(nil)
 		return peerFailed(err)
 	}
-	if !streams(response) {
+	if !streamable(response) {
 		defer cancel(nil)
 		return readResult(response)
 	}
 	result := decodeResult(response, nil)
-	result.Stream = newAnswerStream(response.Body, int(response.ContentLength), cancel)
+	result.Stream = newResponseStream(response.Body, int(response.ContentLength), cancel)
 	return result
 }
 
-// streamAnswer passes an answer on. Where that ends early, so does the caller's connection.
-func (g *Gateway) streamAnswer(w http.ResponseWriter, c *call, result *forwardResult) {
+// streamResponse passes a response on to the caller. If the stream ends early, the caller's
+// connection is aborted.
+func (g *Gateway) streamResponse(w http.ResponseWriter, c *call, result *forwardResult) {
 	ctx, stream := c.request.Context(), result.Stream
 	stop := context.AfterFunc(ctx, func() { stream.cancel(context.Cause(ctx)) })
 	defer stop()
 	beginAnswer(ctx, w, result.Status, len(stream.content))
 	if err := g.pacer.copy(ctx, w, stream, len(stream.content)); err != nil {
-		g.config.Log.Info("answer broken off on its way", append(g.requestFields(c.request), "bytes", len(stream.content), "error", err)...)
+		g.config.Log.Info("response aborted while streaming it to the caller", append(g.requestFields(c.request), "bytes", len(stream.content), "error", err)...)
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -15,32 +15,32 @@
 	"github.com/quartzdock/quartzdock/internal/routeconfig"
 )
 
-// largeAnswer is more than the sockets on the way to a caller that reads nothing hold.
-var largeAnswer = bytes.Repeat([]byte("0123456789abcdef"), 1<<20)
+// largeBody is larger than the socket buffers on the way to a caller that reads nothing.
+var largeBody = bytes.Repeat([]byte("0123456789abcdef"), 1<<20)
 
-func answerLarge(w http.ResponseWriter, r *http.Request) {
+func serveLarge(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Try-Name", r.Header.Get("Try-Name"))
 	w.Header().Set("Seal", "s")
-	_, _ = w.Write(largeAnswer)
+	_, _ = w.Write(largeBody)
 }
 
-// A caller that reads slowly holds up only its own answer: the gateway beside the back end
-// has sent all of it long before.
-func TestASlowReaderDoesNotHoldUpTheSender(t *testing.T) {
-	hops := startTwoHops(t, twoHopsConfig{repetition: routeconfig.RepeatableTransfer, timeout: 10 * time.Second}, http.HandlerFunc(answerLarge))
+// A caller that reads slowly delays only its own response: the gateway beside the back end
+// finishes sending long before.
+func TestSlowReaderDoesNotDelaySender(t *testing.T) {
+	hops := startTwoHops(t, twoHopsConfig{repetition: routeconfig.RepeatableTransfer, timeout: 10 * time.Second}, http.HandlerFunc(serveLarge))
 	response, err := http.DefaultClient.Do(hops.request(t.Context(), t, "r-1"))
 	assert.NilError(t, err)
 	defer response.Body.Close()
 	assert.Equal(t, response.StatusCode, http.StatusOK)
 	eventually(t, func() bool { return hops.far.peerActive.Load() == 0 })
-	assert.Equal(t, hops.near.active.Load(), int64(1), "the caller's answer is still on its way")
+	assert.Equal(t, hops.near.active.Load(), int64(1), "the response to the caller must still be in progress")
 	body, err := io.ReadAll(response.Body)
 	assert.NilError(t, err)
-	assert.Assert(t, bytes.Equal(body, largeAnswer))
+	assert.Assert(t, bytes.Equal(body, largeBody))
 }
 
-// An answer whose sender is lost in the middle does not look whole to its caller.
-func TestAnAnswerThatBreaksOffOnItsWayIsNotWhole(t *testing.T) {
+// A response whose sender is lost midway must not look complete to its caller.
+func TestInterruptedStreamIsNotComplete(t *testing.T) {
 	g := choosingGateway(t)
 	g.pacer = newLinkPacer(0)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -49,9 +49,9 @@
 			_, _ = sender.Write(bytes.Repeat([]byte("x"), 20<<10))
 			_ = sender.CloseWithError(errors.New("lost"))
 		}()
-		stream := newAnswerStream(body, 40<<10, func(error) {})
+		stream := newResponseStream(body, 40<<10, func(error) {})
 		defer stream.close()
-		g.streamAnswer(w, &call{request: r}, &forwardResult{Outcome: outcomeAnswered, Status: http.StatusOK, Stream: stream})
+		g.streamResponse(w, &call{request: r}, &forwardResult{Outcome: outcomeAnswered, Status: http.StatusOK, Stream: stream})
 	}))
 	defer server.Close()
 	response, err := http.Get(server.URL)
@@ -62,17 +62,16 @@
 	assert.Equal(t, string(body), strings.Repeat("x", len(body)))
 }
 
-// An answer that has begun is delivered, also beyond the time for which its route holds
-// requests.
-func TestALargeAnswerThatHasBegunIsDelivered(t *testing.T) {
-	const held = 3 * time.Second // long enough for an answer to begin on a busy machine
-	hops := startTwoHops(t, twoHopsConfig{repetition: routeconfig.RepeatableTransfer, timeout: held}, http.HandlerFunc(answerLarge))
+// A response that has begun is delivered, even beyond the timeout of its route.
+func TestStartedLargeResponseIsDeliveredAfterTimeout(t *testing.T) {
+	const timeout = 3 * time.Second // long enough for a response to begin on a busy machine
+	hops := startTwoHops(t, twoHopsConfig{repetition: routeconfig.RepeatableTransfer, timeout: timeout}, http.HandlerFunc(serveLarge))
 	response, err := http.DefaultClient.Do(hops.request(t.Context(), t, "r-1"))
 	assert.NilError(t, err)
 	defer response.Body.Close()
-	assert.Equal(t, response.StatusCode, http.StatusOK, "the answer did not begin within the route's time")
-	time.Sleep(held + 100*time.Millisecond)
+	assert.Equal(t, response.StatusCode, http.StatusOK, "the response did not begin within the route's timeout")
+	time.Sleep(timeout + 100*time.Millisecond)
 	body, err := io.ReadAll(response.Body)
 	assert.NilError(t, err)
-	assert.Assert(t, bytes.Equal(body, largeAnswer))
+	assert.Assert(t, bytes.Equal(body, largeBody))
 }
--- a/internal/gateway/summary.go
+++ b/internal/gateway/summary.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// summaryInterval is how often a gateway writes what it has done.
+// summaryInterval is how often a gateway logs a summary of its attempts.
 const summaryInterval = time.Second
 
-// tally counts tries at the back end beside the gateway since the last summary.
+// tally counts attempts at the back end beside the gateway since the last summary.
 type tally struct {
 	answered, failed, refusedHere, refusedThere, unknown atomic.Int64
-	// waitMicros and runMicros are the times that the tries waited for a slot
-	// and used it.
+	// waitMicros and runMicros are the total times for which attempts waited for a slot and
+	// used it.
 	waitMicros, runMicros atomic.Int64
 }
 
-// count takes the result of a try.
-func (t *tally) count(result *forwardResult, waited, used time.Duration) {
+// record counts the result of an attempt.
+func (t *tally) record(result *forwardResult, waited, used time.Duration) {
 	t.waitMicros.Add(waited.Microseconds())
 	t.runMicros.Add(used.Microseconds())
 	switch {
@@ -35,7 +35,7 @@
 	}
 }
 
-// summarize writes a line each interval in which there was work.
+// summarize logs a summary for each interval with at least one attempt.
 func (g *Gateway) summarize(ctx context.Context) {
 	each(ctx, summaryInterval, g.writeSummary)
 }
--- a/internal/gateway/twohops_test.go
+++ b/internal/gateway/twohops_test.go
@@ -20,35 +20,35 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// handedOut numbers the addresses that freeAddress has returned.
-var handedOut atomic.Int32
+// addressCount numbers the addresses that freeAddress has returned.
+var addressCount atomic.Int32
 
-// freeAddress returns an address of loopback that nothing listens at. Each has a host
-// of its own: tests that run side by side are never given the port that another one has
-// just closed and not used yet.
+// freeAddress returns a loopback address on which nothing listens. Each has its own host
+// address, so that a parallel test is never given a port that another one has just closed
+// and not used yet.
 func freeAddress(t testing.TB) string {
 	t.Helper()
-	number := handedOut.Add(1)
+	number := addressCount.Add(1)
 	listener, err := net.Listen("tcp", fmt.Sprintf("127.77.%d.%d:0", 1+number/250, 1+number%250))
 	assert.NilError(t, err)
 	defer listener.Close()
 	return listener.Addr().String()
 }
 
-// twoHops are a gateway beside the caller and one beside a back end, which know
-// each other without a controller.
+// twoHops are a gateway beside the caller and one beside a back end that know each other
+// without a controller.
 type twoHops struct {
 	near, far *Gateway
-	// caller and farCaller take callers' requests at near and at far.
+	// caller and farCaller are the addresses for callers' requests of near and far.
 	caller, farCaller string
 }
 
-// twoHopsConfig sets up the routes of twoHops.
+// twoHopsConfig configures the route and the gateways of twoHops.
 type twoHopsConfig struct {
 	repetition routeconfig.Repetition
 	timeout    time.Duration
 	drain      time.Duration
-	// stop bounds a planned stop; zero ends at once.
+	// stop bounds a planned stop; zero stops at once.
 	stop time.Duration
 }
 
@@ -90,12 +90,12 @@
 			}
 		})
 	}
-	hops.far.Heartbeat(hops.word(fleetwire.InstanceReady, 1))
+	hops.far.Heartbeat(hops.registration(fleetwire.InstanceReady, 1))
 	return hops
 }
 
-// word is what the back end says of itself.
-func (h *twoHops) word(state fleetwire.InstanceState, sequence uint64) Registration {
+// registration is the registration of the back end in a state.
+func (h *twoHops) registration(state fleetwire.InstanceState, sequence uint64) Registration {
 	return Registration{ID: "i", Service: "s", Slots: 64, State: state, Sequence: sequence}
 }
 
@@ -110,15 +110,15 @@
 	return request
 }
 
-// answerWhole answers as a back end does.
+// answerWhole sends a complete response, as a back end does.
 func answerWhole(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Try-Name", r.Header.Get("Try-Name"))
 	w.Header().Set("Seal", "x")
 	_, _ = io.WriteString(w, "whole")
 }
 
-// A caller that leaves ends the run at the back end, two hops away.
-func TestALeavingCallerEndsTheRunOverTwoHops(t *testing.T) {
+// If a caller disconnects, its request is canceled at the back end, two hops away.
+func TestDisconnectedCallerCancelsRunOverTwoHops(t *testing.T) {
 	running, ended := make(chan struct{}), make(chan struct{})
 	hops := startTwoHops(t, twoHopsConfig{repetition: routeconfig.Repeatable, timeout: 20 * time.Second}, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -126,7 +126,7 @@
 		<-r.Context().Done()
 		close(ended)
 	}))
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	gone := make(chan error, 1)
 	go func() {
 		response, err := http.DefaultClient.Do(hops.request(ctx, t, "r1"))
@@ -136,14 +136,14 @@
 		gone <- err
 	}()
 	<-running
-	leave()
+	cancel()
 	<-ended
 	assert.ErrorIs(t, <-gone, context.Canceled)
 }
 
-// A planned stop of the gateway that took a request, and of the one that passed
-// it on, lets it end.
-func TestAPlannedStopLetsRequestsEndOverTwoHops(t *testing.T) {
+// A planned stop of the gateway that accepted a request, and of the one that forwarded it to
+// the back end, lets the request finish.
+func TestPlannedStopLetsRequestsFinishOverTwoHops(t *testing.T) {
 	running, finish := make(chan struct{}), make(chan struct{})
 	hops := startTwoHops(t, twoHopsConfig{timeout: 20 * time.Second, stop: 5 * time.Second}, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		close(running)
@@ -175,15 +175,15 @@
 	assert.NilError(t, <-stopped)
 }
 
-// A back end that has said that it drains gets nothing once the bound is over,
-// also from a gateway that has not heard of it.
-func TestADrainBindsAGatewayThatHasNotHeardOfIt(t *testing.T) {
+// A back end that has reported that it drains gets no request once the drain time is over,
+// even from a gateway that does not know of the drain.
+func TestDrainAppliesToUninformedGateway(t *testing.T) {
 	arrived := 0
 	hops := startTwoHops(t, twoHopsConfig{timeout: 20 * time.Second, drain: time.Millisecond}, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		arrived++
 		answerWhole(w, r)
 	}))
-	hops.far.Heartbeat(hops.word(fleetwire.InstanceDraining, 2))
+	hops.far.Heartbeat(hops.registration(fleetwire.InstanceDraining, 2))
 	for hops.far.registry.admits("i", steady.Reading()) {
 		time.Sleep(time.Millisecond)
 	}
@@ -195,9 +195,9 @@
 	assert.Equal(t, arrived, 0)
 }
 
-// A request that its back end does not answer ends at its route's timeout, and
-// its end promises nothing.
-func TestARouteTimeoutEndsARequestWithoutAPromise(t *testing.T) {
+// A request that its back end does not answer ends at its route's timeout, and the response
+// does not claim that it has not run.
+func TestRouteTimeoutDoesNotClaimNotRun(t *testing.T) {
 	hops := startTwoHops(t, twoHopsConfig{timeout: 100 * time.Millisecond}, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
@@ -208,9 +208,9 @@
 	assert.Equal(t, response.StatusCode, http.StatusGatewayTimeout)
 }
 
-// A caller that closes its side of the connection counts as gone. Whatever it
-// still reads must not look like a success.
-func TestAHalfClosedCallerGetsNoSuccess(t *testing.T) {
+// A caller that closes its side of the connection counts as disconnected. Whatever it still
+// reads must not look like a success.
+func TestHalfClosedCallerGetsNoSuccess(t *testing.T) {
 	running := make(chan struct{})
 	hops := startTwoHops(t, twoHopsConfig{timeout: 20 * time.Second}, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -231,12 +231,12 @@
 	}
 }
 
-// A request that may have run at its first try must not end as one that has not
-// run, whatever becomes of its later tries.
-func TestALaterRefusalMakesNoPromiseForAnEarlierTry(t *testing.T) {
-	var tries atomic.Int32
+// A request that may have run at its first attempt must not end as not-run, whatever the
+// results of its later attempts.
+func TestLaterRefusalDoesNotCoverEarlierAttempt(t *testing.T) {
+	var attempts atomic.Int32
 	hops := startTwoHops(t, twoHopsConfig{repetition: routeconfig.Repeatable, timeout: 20 * time.Second}, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if tries.Add(1) == 1 {
+		if attempts.Add(1) == 1 {
 			conn, _, err := w.(http.Hijacker).Hijack()
 			if err == nil {
 				_ = conn.Close()
@@ -250,6 +250,6 @@
 	response, err := http.DefaultClient.Do(hops.request(t.Context(), t, "r1"))
 	assert.NilError(t, err)
 	defer response.Body.Close()
-	assert.Equal(t, tries.Load(), int32(2))
+	assert.Equal(t, attempts.Load(), int32(2))
 	assert.Equal(t, response.StatusCode, http.StatusBadGateway)
 }
--- a/internal/gateway/ending_test.go
+++ b/internal/gateway/unresponsive_test.go
@@ -13,36 +13,37 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// deafHolder is a back end that answers no order until the test is over, also
-// where the caller gives up.
-type deafHolder struct {
-	called chan struct{}
-	over   chan struct{}
+// unresponsiveHolder is a back end that answers no grant or release order until the test is
+// over, even if the caller gives up.
+type unresponsiveHolder struct {
+	called   chan struct{}
+	testDone chan struct{}
 }
 
-func (h *deafHolder) answerNothing() {
+func (h *unresponsiveHolder) block() {
 	select {
 	case h.called <- struct{}{}:
 	default:
 	}
-	<-h.over
+	<-h.testDone
 }
 
-func (h *deafHolder) Grant(context.Context, GrantOrder) error {
-	h.answerNothing()
+func (h *unresponsiveHolder) Grant(context.Context, GrantOrder) error {
+	h.block()
 	return nil
 }
 
-func (h *deafHolder) Release(context.Context, ReleaseOrder) (string, error) {
-	h.answerNothing()
+func (h *unresponsiveHolder) Release(context.Context, ReleaseOrder) (string, error) {
+	h.block()
 	return "", nil
 }
 
-// The goroutine that Stop waits for ends though the back end answers no order.
-func TestKeysEndThoughTheBackEndIsDeaf(t *testing.T) {
+// Stop waits for the key goroutine, which must end even if the back end never answers an
+// order.
+func TestKeyGoroutineEndsDespiteUnresponsiveBackend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		holder := &deafHolder{called: make(chan struct{}, 1), over: make(chan struct{})}
-		defer close(holder.over)
+		holder := &unresponsiveHolder{called: make(chan struct{}, 1), testDone: make(chan struct{})}
+		defer close(holder.testDone)
 		g := &Gateway{config: Config{Keys: holder}.withDefaults()}
 		g.metrics = newGatewayMetrics(g.config.Registry)
 		g.views = newViews()
--- /dev/null
+++ b/internal/gateway/warmup.go
@@ -0,0 +1,163 @@
+package gateway
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"net/url"
+	"time"
+
+	"github.com/quartzdock/quartzdock/internal/fleetwire"
+	"github.com/quartzdock/quartzdock/internal/incarnation"
+	"github.com/quartzdock/quartzdock/internal/overload"
+)
+
+// A cold back end can serve a few requests a second and fails above that. The gateway beside
+// it is its only sender, so it enforces the warm-up rate exactly. It reports the rate to the
+// other gateways and the cold state to the leader, which take them into account.
+
+const (
+	// warmupCheckInterval is how often it is checked whether the back end has warmed up or
+	// should be probed: a fraction of the seconds for which a back end is cold.
+	warmupCheckInterval = 100 * time.Millisecond
+	// warmupProbeTimeout bounds one probe. Back ends answer on their health path at once.
+	warmupProbeTimeout = 300 * time.Millisecond
+	// maxHealthBody bounds how much of a health response's body is read. Its content is
+	// ignored.
+	maxHealthBody = 64 << 10
+)
+
+// errDuplicateField means that a header field of the response occurs more than once.
+var errDuplicateField = errors.New("duplicate header field")
+
+// errOtherInstance means that another instance of the back end has answered.
+var errOtherInstance = errors.New("another instance answered")
+
+// configureWarmup applies the warm-up rate and period of the back end's service.
+func (g *slotGate) configureWarmup(perSecond float64, length time.Duration) {
+	g.decide(func(queue *overload.SlotQueue, _ time.Time) { queue.ConfigureWarmth(perSecond, length) })
+}
+
+// assumeCold treats the back end as cold until its state is known.
+func (g *slotGate) assumeCold() {
+	g.decide(func(queue *overload.SlotQueue, now time.Time) { queue.SuspectCold(now) })
+}
+
+// hearWarmth applies a heartbeat's report of how much longer the back end is cold; fresh
+// says that it is the first heartbeat of an incarnation.
+func (g *slotGate) hearWarmth(left time.Duration, fresh bool) {
+	g.decide(func(queue *overload.SlotQueue, now time.Time) { queue.HearWarmth(left, fresh, now) })
+}
+
+// tellWarmth applies the back end's answer to a probe: how much longer it is cold.
+func (g *slotGate) tellWarmth(left time.Duration) {
+	g.decide(func(queue *overload.SlotQueue, now time.Time) { queue.TellWarmth(left, now) })
+}
+
+// coldness reports whether the back end is treated as cold, and whether it should be probed.
+func (g *slotGate) coldness() (cold, probe bool) {
+	g.decide(func(queue *overload.SlotQueue, now time.Time) { cold, probe = queue.Coldness(now) })
+	return cold, probe
+}
+
+// hasWarmupCapacity reports whether a request that arrived now could run without waiting for
+// the warm-up rate.
+func (g *slotGate) hasWarmupCapacity() (available bool) {
+	g.decide(func(queue *overload.SlotQueue, now time.Time) { available = queue.BearsNow(now) })
+	return available
+}
+
+// watchWarmth checks the warm-up state regularly.
+func (g *Gateway) watchWarmth(ctx context.Context) {
+	each(ctx, warmupCheckInterval, func() { g.checkWarmup(ctx) })
+}
+
+// checkWarmup probes the back end if it is unknown whether it is cold, and reports a changed
+// state to the leader. In an evacuated zone nothing is probed: the back end may turn cold
+// again just before it gets requests.
+func (g *Gateway) checkWarmup(ctx context.Context) {
+	v := g.views.load()
+	if v.evacuated(g.config.Zone) {
+		g.slots.assumeCold()
+	} else if _, probe := g.slots.coldness(); probe {
+		if err := g.probeWarmup(ctx, v); err != nil {
+			g.metrics.unread(toldWarmth)
+			g.config.Log.Info("warm-up probe of the back end failed", "error", err)
+		}
+	}
+	cold, _ := g.slots.coldness()
+	if g.registry.setCold(cold) {
+		g.instanceChanged()
+	}
+}
+
+// probeWarmup asks the back end's health path how much longer the back end is cold.
+func (g *Gateway) probeWarmup(ctx context.Context, v *view) error {
+	instance := g.registry.snapshot()
+	service := v.service(g.config.Service)
+	if instance.ID == "" || instance.State == fleetwire.InstanceGone || service == nil || service.HealthPath == "" {
+		return nil
+	}
+	ctx, cancel := context.WithTimeout(ctx, warmupProbeTimeout)
+	defer cancel()
+	names := &g.config.Headers
+	header := http.Header{"User-Agent": {""}}
+	response, err := g.egress.pool.Do(ctx, &http.Request{
+		Method: http.MethodGet, URL: &url.URL{Path: service.HealthPath}, Host: g.config.BackendAddress, Header: header,
+	})
+	if err != nil {
+		return err
+	}
+	defer response.Body.Close()
+	if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxHealthBody)); err != nil {
+		return err
+	}
+	if len(response.Header.Values(names.InstanceID)) > 1 || len(response.Header.Values(names.WarmupLeft)) > 1 {
+		return errDuplicateField
+	}
+	answeredBy := response.Header.Get(names.InstanceID)
+	if answeredBy != "" && answeredBy != incarnation.IDOf(instance.ID) {
+		return errOtherInstance
+	}
+	if answeredBy != "" && !g.registry.proved() {
+		g.registry.prove(answeredBy)
+		g.keys.signal()
+	}
+	text := response.Header.Get(names.WarmupLeft)
+	if text == "" && response.StatusCode == http.StatusOK {
+		g.slots.tellWarmth(0)
+		return nil
+	}
+	left, ok := parseMilliseconds(text)
+	if !ok {
+		return fmt.Errorf("%s: %.64q is not a number of milliseconds", names.WarmupLeft, text)
+	}
+	g.slots.tellWarmth(left)
+	return nil
+}
+
+// unproved reports whether the back end may be another incarnation than the one that the
+// leader knew when this process started. Such a back end is granted no keys: the leader
+// would not know which incarnation holds them. A probe's answer or the first heartbeat
+// settles it.
+func (g *Gateway) unproved() bool {
+	service := g.views.load().service(g.config.Service)
+	return service != nil && service.WarmupRate > 0 && !g.registry.proved()
+}
+
+// prepare applies a view that is about to take effect: the warm-up rate, and whether the
+// back end may have turned cold. A gateway that has just started does not know, and a back
+// end that got no requests for a while is cold.
+func (g *Gateway) prepare(before, after *view) {
+	if service := after.service(g.config.Service); service != nil {
+		g.slots.configureWarmup(service.WarmupRate, service.Warmup)
+	}
+	if before.version() != after.version() {
+		g.firstTries.follow(after)
+	}
+	if before.table == nil || before.evacuationsIndex != after.evacuationsIndex {
+		g.slots.assumeCold()
+	}
+}
--- a/internal/gateway/warmth_test.go
+++ b/internal/gateway/warmup_test.go
@@ -16,22 +16,22 @@
 const (
 	coldRate   = 13.0
 	coldLength = 3 * time.Second
-	// coldBound is what a cold back end may get in any second: the rate, half of it
-	// over, and 8 beside.
-	coldBound = 1.5*coldRate + 8
+	// maxColdRequests is how many requests a cold back end may get in any second: one and a
+	// half times the rate, plus 8.
+	maxColdRequests = 1.5*coldRate + 8
 )
 
-// coldGate is a gate before a back end with 18 slots that is cold for a time.
-func coldGate(left time.Duration) *slotGate {
+// coldLimiter returns a slotGate with 18 slots whose back end is cold for the given time.
+func coldLimiter(left time.Duration) *slotGate {
 	g := newSlotGate()
 	g.setCapacity(18)
-	g.configureWarmth(coldRate, coldLength)
+	g.configureWarmup(coldRate, coldLength)
 	g.hearWarmth(left, true)
 	return g
 }
 
-// flood sends requests that use a slot for 20 ms each to a gate, one a millisecond,
-// and returns when each was admitted.
+// flood sends a slotGate one request a millisecond, each using a slot for 20 ms, and returns
+// when each was admitted.
 func flood(t *testing.T, g *slotGate, length time.Duration) []time.Time {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -39,7 +39,7 @@
 	admitted := make(chan time.Time, 100_000)
 	for began := steady.Reading(); steady.Elapsed(began) < length; time.Sleep(time.Millisecond) {
 		go func() {
-			taken, err := g.acquire(ctx, wants(longTarget, 300*time.Millisecond))
+			taken, err := g.acquire(ctx, demandFor(longTarget, 300*time.Millisecond))
 			if err != nil {
 				return
 			}
@@ -58,8 +58,8 @@
 	return times
 }
 
-// mostInASecond returns the most of some times, in their order, within any second.
-func mostInASecond(times []time.Time) int {
+// maxPerSecond returns the most of the given sorted times that are within one second.
+func maxPerSecond(times []time.Time) int {
 	most, first := 0, 0
 	for last := range times {
 		for times[last].Sub(times[first]) > time.Second {
@@ -70,48 +70,48 @@
 	return most
 }
 
-// A cold back end that gets what it does not bear fails, and starts cold again.
-func TestAColdBackEndGetsNoMoreThanItBears(t *testing.T) {
+// A cold back end that gets more requests than it can serve fails and restarts cold.
+func TestColdBackendIsLimitedToWarmupRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		times := flood(t, coldGate(coldLength), coldLength)
-		most := mostInASecond(times)
-		assert.Assert(t, float64(most) <= coldBound, "%d in a second", most)
+		times := flood(t, coldLimiter(coldLength), coldLength)
+		most := maxPerSecond(times)
+		assert.Assert(t, float64(most) <= maxColdRequests, "%d in a second", most)
 		assert.Assert(t, float64(len(times)) >= 0.9*coldRate*coldLength.Seconds(), "%d in all", len(times))
 	})
 }
 
-// It gets all that its slots hold once it is warm.
-func TestAWarmBackEndIsNotBounded(t *testing.T) {
+// Once the back end is warm, only its slots limit the requests.
+func TestWarmBackendIsNotRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := coldGate(coldLength)
+		g := coldLimiter(coldLength)
 		time.Sleep(coldLength)
 		times := flood(t, g, time.Second)
 		assert.Assert(t, len(times) > 700, "%d", len(times))
 	})
 }
 
-// What would wait too long for a cold back end is refused at once.
-func TestARequestThatAColdBackEndCanNotTakeInTimeIsRefusedAtOnce(t *testing.T) {
+// A request that would wait too long for the warm-up rate is refused at once.
+func TestRequestBeyondWarmupRateIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := coldGate(time.Minute)
+		g := coldLimiter(time.Minute)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		for range 10 {
-			go func() { _, _ = g.acquire(ctx, wants(longTarget, time.Second)) }()
+			go func() { _, _ = g.acquire(ctx, demandFor(longTarget, time.Second)) }()
 			synctest.Wait()
 		}
 		began := steady.Reading()
-		_, err := g.acquire(ctx, wants(longTarget, 500*time.Millisecond))
-		assert.ErrorIs(t, err, errNoRoom)
+		_, err := g.acquire(ctx, demandFor(longTarget, 500*time.Millisecond))
+		assert.ErrorIs(t, err, errNoSlot)
 		assert.Equal(t, steady.Elapsed(began), time.Duration(0))
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// A gateway that has just started does not know whether the back end is cold, and
-// asks. Until then it sends what a cold one bears.
-func TestARestartedGatewayAsksWhetherTheBackEndIsCold(t *testing.T) {
+// A gateway that has just started does not know whether the back end is cold and probes it.
+// Until then it applies the warm-up rate.
+func TestRestartedGatewayProbesWarmupState(t *testing.T) {
 	answers := map[string]struct {
 		answer string
 		cold   bool
@@ -130,16 +130,16 @@
 	for name, test := range answers {
 		t.Run(name, func(t *testing.T) {
 			backend := startRawBackend(t, func(*http.Request) string { return test.answer })
-			g := egressOver(t, backend)
+			g := gatewayWithBackend(t, backend)
 			g.config.Service = "s"
 			g.config.Headers.WarmupLeft, g.config.Headers.InstanceID = "Cold-Ms", "Answered-By"
 			g.views.prepare = g.prepare
 			advance(t, g.views, &fleetwire.View{Document: &routeconfig.Document{Version: 1, Services: []routeconfig.Service{
 				{Name: "s", HealthPath: "/health", WarmupRate: coldRate, Warmup: time.Hour},
 			}}})
-			cold, ask := g.slots.coldness()
-			assert.Assert(t, cold && ask, "before it was asked")
-			g.checkWarmth(t.Context())
+			cold, probe := g.slots.coldness()
+			assert.Assert(t, cold && probe, "before the probe")
+			g.checkWarmup(t.Context())
 			cold, _ = g.slots.coldness()
 			assert.Equal(t, cold, test.cold)
 			assert.Equal(t, g.registry.snapshot().Cold, test.cold)
@@ -147,11 +147,12 @@
 	}
 }
 
-// The first heartbeat of a life is known before its first request is admitted, and
-// the next life of a back end is not warm because the last one was.
-func TestANewLifeIsColdFromItsFirstHeartbeat(t *testing.T) {
+// The warm-up state in the first heartbeat of an incarnation applies before the
+// incarnation's first request is admitted, and a new incarnation is not treated as warm
+// because the previous one was.
+func TestNewIncarnationIsColdFromFirstHeartbeat(t *testing.T) {
 	g := newSlotGate()
-	g.configureWarmth(coldRate, coldLength)
+	g.configureWarmup(coldRate, coldLength)
 	r := newRegistry(func() {})
 	r.told = g.hearWarmth
 	beat := func(id string, sequence uint64, left time.Duration) {
@@ -165,11 +166,12 @@
 	assert.Assert(t, cold && r.snapshot().Cold)
 	beat("i-2", 2, 0)
 	cold, _ = g.coldness()
-	assert.Assert(t, cold, "a word may be older than what made it cold")
+	assert.Assert(t, cold, "a heartbeat may be older than the cause of the cold state")
 }
 
-// All gateways see a cold back end idle. Together they send it about what it bears.
-func TestGatewaysShareWhatAColdBackEndBears(t *testing.T) {
+// To every gateway a cold back end looks idle. Together they must send it about its warm-up
+// rate.
+func TestGatewaysShareWarmupRate(t *testing.T) {
 	const seconds = 10
 	synctest.Test(t, func(t *testing.T) {
 		var gateways []*Gateway
@@ -190,7 +192,7 @@
 		sent := 0
 		for range seconds * 100 {
 			for _, g := range gateways {
-				g.tell("127.0.0.1:1", 60, time.Second)
+				g.setPeerLoad("127.0.0.1:1", 60, time.Second)
 				found, _ := g.choose(&call{service: service, route: route}, 0, false, nil)
 				if found.ID == "cold" {
 					sent++
