--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -54,7 +54,8 @@
 	return result
 }
 
-// runAttempts returns the result of the last attempt.
+// runAttempts makes attempts until one is final or nothing more can be tried, and returns
+// the last result.
 func (g *Gateway) runAttempts(ctx context.Context, c *call) *forwardResult {
 	key, hasKey := c.key, c.hasKey
 	holdUntil := c.began.Add(min(maxHoldTime, time.Duration(maxHoldFraction*float64(c.deadline.Sub(c.began)))))
@@ -121,15 +122,15 @@
 	if ctx.Err() != nil {
 		return true
 	}
-	repeats := c.route.Repetition.MayRepeat()
+	retryable := c.route.Repetition.MayRepeat()
 	switch result.Outcome {
 	case outcomeAnswered:
 		// A back end with a queue would fail again for lack of capacity.
-		if result.Status < http.StatusInternalServerError || !repeats || result.Load.waiting > 0 {
+		if result.Status < http.StatusInternalServerError || !retryable || result.Load.waiting > 0 {
 			return true
 		}
 	case outcomeUnknown:
-		if !repeats {
+		if !retryable {
 			return true
 		}
 	}
@@ -171,18 +172,18 @@
 	default:
 		return g.awaitNewView(ctx, until)
 	}
-	again := steady.Reading().Add(pause)
-	if again.After(until) {
-		again = until
+	retryAt := steady.Reading().Add(pause)
+	if retryAt.After(until) {
+		retryAt = until
 	}
 	if steady.Until(until) <= 0 || ctx.Err() != nil {
 		return false
 	}
-	for v := g.views.load(); steady.Reading().Before(again) && ctx.Err() == nil; v = g.views.load() {
+	for v := g.views.load(); steady.Reading().Before(retryAt) && ctx.Err() == nil; v = g.views.load() {
 		if owner, ok := v.owner(service, key); ok && owner.ID != tried {
 			break
 		}
-		v.await(ctx.Done(), steady.Until(again))
+		v.await(ctx.Done(), steady.Until(retryAt))
 	}
 	return ctx.Err() == nil
 }
--- a/internal/gateway/choice_test.go
+++ b/internal/gateway/choice_test.go
@@ -39,6 +39,8 @@
 	known.load, known.loadAt = load, steady.Reading()
 }
 
+// chosen returns the ID of the instance that the gateway chooses for a request of a route
+// with the given repetition.
 func chosen(g *Gateway, repetition routeconfig.Repetition) string {
 	route := &routeconfig.Route{Repetition: repetition, TargetLatency: 500 * time.Millisecond}
 	found, _ := g.choose(&call{service: &routeconfig.Service{Name: "s"}, route: route}, 0, false, nil)
--- a/internal/gateway/laterequests_test.go
+++ b/internal/gateway/laterequests_test.go
@@ -143,7 +143,6 @@
 			all.Go(func() {
 				began := steady.Reading()
 				wanted := demandWithin(target, timeout)
-
 				wanted.OnlyHere = lateMode == lateSoleServer
 				if lateMode == lateDisabled {
 					wanted.Latest = 0
--- a/internal/gateway/summary.go
+++ b/internal/gateway/summary.go
@@ -11,7 +11,7 @@
 
 // tally counts attempts at the back end beside the gateway since the last summary.
 type tally struct {
-	answered, failed, refusedHere, refusedThere, unknown atomic.Int64
+	answered, failed, refusedByGateway, refusedByBackend, unknown atomic.Int64
 	// waitMicros and runMicros are the total times for which attempts waited for a slot and
 	// used it.
 	waitMicros, runMicros atomic.Int64
@@ -29,9 +29,9 @@
 	case result.Outcome == outcomeUnknown:
 		t.unknown.Add(1)
 	case result.Sent:
-		t.refusedThere.Add(1)
+		t.refusedByBackend.Add(1)
 	default:
-		t.refusedHere.Add(1)
+		t.refusedByGateway.Add(1)
 	}
 }
 
@@ -43,17 +43,17 @@
 func (g *Gateway) writeSummary() {
 	t := &g.tally
 	answered, failed, unknown := t.answered.Swap(0), t.failed.Swap(0), t.unknown.Swap(0)
-	here, there := t.refusedHere.Swap(0), t.refusedThere.Swap(0)
+	refusedByGateway, refusedByBackend := t.refusedByGateway.Swap(0), t.refusedByBackend.Swap(0)
 	waited, used := t.waitMicros.Swap(0), t.runMicros.Swap(0)
 	ran := answered + failed + unknown
-	if ran+here+there == 0 {
+	if ran+refusedByGateway+refusedByBackend == 0 {
 		return
 	}
 	load := g.slots.load()
 	const microsPerMilli = 1000
 	g.config.Log.Info("back end in the last second", "service", g.config.Service, "answered", answered, "failed", failed,
-		"unknown", unknown, "refused_here", here, "refused_there", there,
-		"wait_ms", waited/max(ran+here+there, 1)/microsPerMilli, "run_ms", used/max(ran, 1)/microsPerMilli,
+		"unknown", unknown, "refused_here", refusedByGateway, "refused_there", refusedByBackend,
+		"wait_ms", waited/max(ran+refusedByGateway+refusedByBackend, 1)/microsPerMilli, "run_ms", used/max(ran, 1)/microsPerMilli,
 		"running", load.running, "waiting", load.waiting, "slots", load.slots,
 		"long_ms", load.serviceTime.Milliseconds(), "short_ms", load.shortService.Milliseconds())
 }
--- a/internal/gateway/twohops_test.go
+++ b/internal/gateway/twohops_test.go
@@ -127,18 +127,18 @@
 		close(ended)
 	}))
 	ctx, cancel := context.WithCancel(t.Context())
-	gone := make(chan error, 1)
+	done := make(chan error, 1)
 	go func() {
 		response, err := http.DefaultClient.Do(hops.request(ctx, t, "r1"))
 		if err == nil {
 			_ = response.Body.Close()
 		}
-		gone <- err
+		done <- err
 	}()
 	<-running
 	cancel()
 	<-ended
-	assert.ErrorIs(t, <-gone, context.Canceled)
+	assert.ErrorIs(t, <-done, context.Canceled)
 }
 
 // A planned stop of the gateway that accepted a request, and of the one that forwarded it to
