--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -15,136 +15,141 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// HeaderNames are the names of the fields between callers, gateways and back
-// ends, in canonical form.
+// HeaderNames are the names of the header fields between callers, gateways and back ends, in
+// canonical form.
 type HeaderNames struct {
-	// RequestID names one attempt of a caller, Deadline how many milliseconds
-	// it waits.
+	// RequestID identifies one request of a caller. Deadline is the time that the caller still
+	// waits, in milliseconds.
 	RequestID, Deadline string
-	// Seal is on every whole answer of a back end.
+	// Seal is present on every complete response of a back end.
 	Seal string
-	// TargetInstance is the only instance that may run a request.
+	// TargetInstance is the only instance that may run the request.
 	TargetInstance string
-	// NotExecuted proves that a back end did not run a request.
+	// NotExecuted proves that the back end did not run the request.
 	NotExecuted string
-	// CallerService is the service beside which a request began.
+	// CallerService is the service of the back end whose gateway accepted the request.
 	CallerService string
 	// Key is the key of a request to a keyed service.
 	Key string
-	// WarmupLeft, of an answer about health, is how much longer the back end is cold,
-	// in milliseconds, and InstanceID its instance.
+	// WarmupLeft is on responses to health checks: the time that the back end remains cold, in
+	// milliseconds. InstanceID is the instance that responds.
 	WarmupLeft, InstanceID string
 }
 
-// GrantOrder gives keys to a back end.
+// GrantOrder grants keys to a back end.
 type GrantOrder struct {
-	// Instance is the life that may take them.
+	// Instance is the only incarnation that may accept the order.
 	Instance string
 	Keys     keyspace.Range
 	Fence    keyspace.Fence
 	Hold     time.Duration
 	Handover string
-	// PreparedAt is the steady.Reading at which it was worked out; zero is never late.
+	// PreparedAt is the steady.Reading at which Hold was computed. An order with a zero
+	// PreparedAt does not expire.
 	PreparedAt time.Time
 }
 
-// Late reports whether an order must not leave any more: its time was worked out so long ago
-// that it may outlast the lease that covers it.
+// Late reports whether the order must not be sent any more: Hold was computed so long ago that
+// the grant may outlast the lease that covers it.
 func (o *GrantOrder) Late() bool {
 	return !o.PreparedAt.IsZero() && steady.Elapsed(o.PreparedAt) > grantTimeout
 }
 
-// ReleaseOrder takes keys back from a back end.
+// ReleaseOrder revokes keys from a back end.
 type ReleaseOrder struct {
-	// Instance is the life that is to give them up; no other one's answer counts.
+	// Instance is the incarnation that must release the keys. Responses of any other one do
+	// not count.
 	Instance string
 	Keys     keyspace.Range
 	Fence    keyspace.Fence
 }
 
-// Errors of a KeyHolder. After any other one an order may still lie unread before a back end
-// that stands still.
+// Errors of a KeyHolder. After any other error the order may still be delivered to a back end
+// that hangs at the moment.
 var (
-	// ErrConnectionEnded: an order was sent, and its connection ended without an answer.
-	ErrConnectionEnded = errors.New("connection ended without an answer")
-	// ErrNotSent: an order never left, as nothing accepted a connection.
+	// ErrConnectionEnded means that the order was sent and the connection closed without a
+	// response.
+	ErrConnectionEnded = errors.New("connection closed without a response")
+	// ErrNotSent means that the order was not sent, since no connection was accepted.
 	ErrNotSent = errors.New("order not sent")
-	// ErrNotTaken: the back end has refused an order.
+	// ErrNotTaken means that the back end has refused the order.
 	ErrNotTaken = errors.New("order refused")
-	// ErrOtherInstance: another one is at the back end's address and has refused an order.
-	ErrOtherInstance = fmt.Errorf("another instance answers: %w", ErrNotTaken)
+	// ErrOtherInstance means that another instance runs at the back end's address and has
+	// refused the order.
+	ErrOtherInstance = fmt.Errorf("another instance runs at the address: %w", ErrNotTaken)
 )
 
-// KeyHolder is a back end that takes and gives up keys.
+// KeyHolder is a back end that accepts and releases keys.
 type KeyHolder interface {
-	// Grant gives keys for a time, or renews them. ErrNotSent and ErrNotTaken say that
-	// the back end does not hold them by this order; any other error leaves it open, and
-	// ErrConnectionEnded says that it began to hold them before now if it did.
+	// Grant grants keys for a time, or renews them. After ErrNotSent and ErrNotTaken the back
+	// end does not hold the keys by this order. After any other error this is unknown; after
+	// ErrConnectionEnded the back end, if it accepted the order, did so before Grant returned.
 	Grant(ctx context.Context, order GrantOrder) error
-	// Release takes keys back and returns, once the work on them has ended, what
-	// is to be handed to the next owner.
+	// Release revokes keys. It returns once the work on them has ended, with the data to hand
+	// over to the next owner.
 	Release(ctx context.Context, order ReleaseOrder) (handover string, err error)
 }
 
-// RetryBudget bounds repeats of all gateways together.
+// RetryBudget bounds the retries of all gateways together.
 type RetryBudget struct {
-	// Ratio of repeats to requests of a service within Window, and Slack beside.
+	// Ratio is the allowed ratio of retries to requests of a service within Window. Slack is
+	// the number of retries allowed in addition.
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
 }
 
-// Config of a gateway. Zero durations take the defaults.
+// Config configures a gateway. Zero durations take the defaults.
 type Config struct {
-	// Name of the process, and Zone where it runs.
+	// Name is the name of the process, and Zone the zone where it runs.
 	Name string
 	Zone string
-	// Service of the back end beside the gateway.
+	// Service is the service of the back end beside the gateway.
 	Service string
-	// CallerListen takes requests of callers and PeerListen those of other
-	// gateways, "IP:port".
+	// CallerListen is the address for callers and PeerListen the address for other gateways,
+	// "IP:port".
 	CallerListen string
 	PeerListen   string
-	// Pipelining bounds what callers may send ahead. Which requests may run side by side
-	// is said by their routes, whatever it says.
+	// Pipelining bounds the requests that callers may pipeline. The routes decide which
+	// requests may run concurrently, whatever Pipelining says.
 	Pipelining httpserver.Pipelining
-	// BackendAddress is the back end beside the gateway, "IP:port".
+	// BackendAddress is the address of the back end beside the gateway, "IP:port".
 	BackendAddress string
-	// Controllers are session addresses of some controllers.
+	// Controllers are the session addresses of some of the controllers.
 	Controllers []string
 	Headers     HeaderNames
-	// Keys speaks to the back end about its keys.
+	// Keys sends grants and releases of keys to the back end.
 	Keys   KeyHolder
 	Budget RetryBudget
-	// LinkBytesPerSecond is what the machine's link sends; zero is unknown, and
-	// answers are not paced.
+	// LinkBytesPerSecond is the bandwidth of the machine's link. Zero means unknown, and
+	// responses are not paced.
 	LinkBytesPerSecond float64
-	// HeldBytes bounds the bodies of requests and answers that are kept for slow readers
-	// and back ends; zero is no bound. Beyond it new requests are refused as not run.
+	// HeldBytes bounds the memory for bodies of requests and responses that are buffered for
+	// slow readers and back ends. Zero means no bound. Above it new requests are refused as
+	// not run.
 	HeldBytes int64
-	// DrainWithin is how long after its announcement a leaving back end may
-	// still get requests.
+	// DrainWithin is how long a leaving back end may still get requests after its
+	// announcement.
 	DrainWithin time.Duration
-	// EvacuateWithin is how long after an order's acknowledgement the back ends of an
-	// evacuated zone may still get requests.
+	// EvacuateWithin is how long the back ends of an evacuated zone may still get requests
+	// after the order was acknowledged.
 	EvacuateWithin time.Duration
-	// HeartbeatInterval is the longest time between two heartbeats of a back end that
-	// is well.
+	// HeartbeatInterval is the longest time between two heartbeats of a healthy back end.
 	HeartbeatInterval time.Duration
-	// KeyHold is for how long keys are granted at a time; they are renewed four times as
-	// often. Callers wait for it, less a renewal, until keys of a back end that has ended
-	// without a word find another owner.
+	// KeyHold is how long a grant of keys lasts; it is renewed four times within that time. If
+	// a back end ends without notice, callers wait for KeyHold, less one renewal interval,
+	// until its keys get another owner.
 	KeyHold time.Duration
-	// AnswerHold is for how long the answer to a heartbeat is held back where there is
-	// nothing new to tell of the back end's keys, and half of HeartbeatInterval at most. What
-	// changes meanwhile is told at once. A back end waits for a second.
+	// AnswerHold is how long the answer to a heartbeat is delayed if there is nothing new
+	// about the back end's keys, at most half of HeartbeatInterval. A change in the meantime
+	// is answered immediately. A back end waits one second for the answer.
 	AnswerHold time.Duration
-	// LongestHold is the longest time for which the back end takes keys.
+	// LongestHold is the longest time for which the back end accepts keys.
 	LongestHold time.Duration
-	// StopWithin bounds a planned stop.
+	// StopWithin bounds the duration of a planned stop.
 	StopWithin time.Duration
 	Log        *slog.Logger
-	// Registry takes the metrics; nil shows them nowhere.
+	// Registry registers the metrics. If it is nil they are not exported.
 	Registry prometheus.Registerer
 }
 
@@ -155,26 +160,26 @@
 	DefaultHeartbeatInterval = 1300 * time.Millisecond
 	DefaultKeyHold           = 1500 * time.Millisecond
 	DefaultAnswerHold        = 400 * time.Millisecond
-	DefaultLongestHold       = 10 * time.Second
+	DefaultMaxKeyHold        = 10 * time.Second
 	DefaultStopWithin        = 5500 * time.Millisecond
 	DefaultWindow            = 10 * time.Second
 )
 
-// shortestKeyHold is the least KeyHold: renewals are sent each keysInterval at most, and one
-// may take grantTimeout.
-const shortestKeyHold = grantTimeout + renewals*keysInterval/2
+// minKeyHold is the minimum of KeyHold. Renewals are sent at intervals of keysInterval, and
+// one may take grantTimeout.
+const minKeyHold = grantTimeout + renewals*keysInterval/2
 
-// longestAnswerHold is the most AnswerHold: half of the time for which a back end waits for
-// an answer.
-const longestAnswerHold = 500 * time.Millisecond
+// maxAnswerHold is the maximum of AnswerHold: half of the time that a back end waits for an
+// answer.
+const maxAnswerHold = 500 * time.Millisecond
 
-// check refuses settings that no gateway can keep.
-func (c *Config) check() error {
-	if c.KeyHold < shortestKeyHold {
-		return fmt.Errorf("KeyHold is %v, and %v at the least", c.KeyHold, shortestKeyHold)
+// validate rejects settings that a gateway cannot satisfy.
+func (c *Config) validate() error {
+	if c.KeyHold < minKeyHold {
+		return fmt.Errorf("KeyHold is %v, but must be at least %v", c.KeyHold, minKeyHold)
 	}
-	if c.AnswerHold < 0 || c.AnswerHold > longestAnswerHold {
-		return fmt.Errorf("AnswerHold is %v, and must lie between 0 and %v", c.AnswerHold, longestAnswerHold)
+	if c.AnswerHold < 0 || c.AnswerHold > maxAnswerHold {
+		return fmt.Errorf("AnswerHold is %v, but must be between 0 and %v", c.AnswerHold, maxAnswerHold)
 	}
 	return nil
 }
@@ -185,7 +190,7 @@
 	c.HeartbeatInterval = cmp.Or(c.HeartbeatInterval, DefaultHeartbeatInterval)
 	c.KeyHold = cmp.Or(c.KeyHold, DefaultKeyHold)
 	c.AnswerHold = cmp.Or(c.AnswerHold, DefaultAnswerHold)
-	c.LongestHold = cmp.Or(c.LongestHold, DefaultLongestHold)
+	c.LongestHold = cmp.Or(c.LongestHold, DefaultMaxKeyHold)
 	c.StopWithin = cmp.Or(c.StopWithin, DefaultStopWithin)
 	c.Budget.Window = cmp.Or(c.Budget.Window, DefaultWindow)
 	if c.Registry == nil {
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -7,23 +7,23 @@
 	"gotest.tools/v3/assert"
 )
 
-// Keys that are granted for less than a renewal takes would lapse under a back end that is
-// well.
-func TestKeysMustBeGrantedForLongEnoughToBeRenewed(t *testing.T) {
+// Keys that are granted for less time than a renewal takes would expire under a healthy back
+// end.
+func TestKeyHoldMustCoverARenewal(t *testing.T) {
 	for name, config := range map[string]Config{
-		"negative":                  {KeyHold: -time.Second},
-		"less than a renewal takes": {KeyHold: grantTimeout},
+		"negative":               {KeyHold: -time.Second},
+		"shorter than a renewal": {KeyHold: grantTimeout},
 	} {
 		_, err := Start(config)
 		assert.ErrorContains(t, err, "KeyHold", name)
 	}
 	config := Config{}.withDefaults()
-	assert.NilError(t, config.check())
+	assert.NilError(t, config.validate())
 }
 
-// A back end gives up on an answer that is held back for too long, and asks elsewhere.
-func TestAnswersAreHeldBackForAShortTimeAlone(t *testing.T) {
-	for name, hold := range map[string]time.Duration{"negative": -time.Millisecond, "as long as a back end waits": time.Second} {
+// A back end stops waiting for an answer that is delayed for too long, and asks elsewhere.
+func TestAnswerHoldIsBounded(t *testing.T) {
+	for name, hold := range map[string]time.Duration{"negative": -time.Millisecond, "as long as the back end waits": time.Second} {
 		_, err := Start(Config{AnswerHold: hold})
 		assert.ErrorContains(t, err, "AnswerHold", name)
 	}
--- a/internal/gateway/controllers.go
+++ b/internal/gateway/controllers.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// controllerList orders the controllers that a gateway may open its session with.
-// One goroutine uses it.
+// controllerList orders the controllers that a gateway tries to open its session with. It is
+// used by one goroutine only.
 type controllerList struct {
-	// seeds are always known; they come last.
+	// seeds are the configured addresses. They are always kept, at the end of the list.
 	seeds []string
-	// known are session addresses, the most promising first.
+	// known are session addresses, the most likely leader first.
 	known []string
-	// silent is the address whose session ended by silence, "" where there is none.
+	// silent is the address whose session timed out; empty if there is none.
 	silent string
 }
 
@@ -17,12 +17,13 @@
 	return controllerList{seeds: seeds, known: seeds}
 }
 
-// learn takes the addresses that a controller has told, the most promising first.
-func (l *controllerList) learn(controllers []string) {
-	if len(controllers) == 0 {
+// update replaces the addresses by those that a controller has sent, the most likely leader
+// first.
+func (l *controllerList) update(addresses []string) {
+	if len(addresses) == 0 {
 		return
 	}
-	known := slices.Clone(controllers)
+	known := slices.Clone(addresses)
 	for _, seed := range l.seeds {
 		if !slices.Contains(known, seed) {
 			known = append(known, seed)
@@ -31,9 +32,8 @@
 	l.known = known
 }
 
-// order returns the addresses in the order in which they are tried, the silent one
-// last.
-func (l *controllerList) order() []string {
+// dialOrder returns the addresses in the order in which to try them, the silent one last.
+func (l *controllerList) dialOrder() []string {
 	if l.silent == "" {
 		return l.known
 	}
@@ -41,18 +41,18 @@
 	return append(slices.DeleteFunc(slices.Clone(l.known), isSilent), l.silent)
 }
 
-// fellSilent notes that a session ended because nothing was heard. A process that stands
-// still goes on accepting connections, and those that were its followers may name it as
-// their leader for a while: opening the next session there again kept gateways without
-// news for another 1.6 s, beyond the time within which a configuration must be in force.
-func (l *controllerList) fellSilent(address string) { l.silent = address }
+// markSilent records that a session timed out without a message. A hung process still accepts
+// connections, and its former followers may name it as their leader for a while. Reopening the
+// session there left gateways without updates for another 1.6 s, longer than the time within
+// which a new configuration must be in force.
+func (l *controllerList) markSilent(address string) { l.silent = address }
 
-// heard notes that an address has said something.
-func (l *controllerList) heard(address string) {
+// markHeard records that a message arrived from an address.
+func (l *controllerList) markHeard(address string) {
 	if l.silent == address {
 		l.silent = ""
 	}
 }
 
-// follows reports whether a redirect to an address is to be followed.
-func (l *controllerList) follows(address string) bool { return address != "" && address != l.silent }
+// mayFollow reports whether to follow a redirect to an address.
+func (l *controllerList) mayFollow(address string) bool { return address != "" && address != l.silent }
--- a/internal/gateway/controllers_test.go
+++ b/internal/gateway/controllers_test.go
@@ -6,31 +6,31 @@
 	"gotest.tools/v3/assert"
 )
 
-// A leader that stands still accepts connections and says nothing; the others are tried
-// before it, also where one that has not noticed yet names it as the leader.
-func TestASilentControllerIsTriedLast(t *testing.T) {
+// A leader that hangs accepts connections but never answers. The other controllers must be
+// tried before it, even if one that has not noticed yet redirects to it.
+func TestSilentControllerIsTriedLast(t *testing.T) {
 	list := newControllerList([]string{"a", "b"})
-	list.learn([]string{"leader", "b", "c"})
-	assert.DeepEqual(t, list.order(), []string{"leader", "b", "c", "a"})
-	list.fellSilent("leader")
-	assert.DeepEqual(t, list.order(), []string{"b", "c", "a", "leader"})
-	assert.Assert(t, !list.follows("leader"), "named by a follower")
-	assert.Assert(t, list.follows("c"))
-	list.heard("c")
-	assert.DeepEqual(t, list.order(), []string{"b", "c", "a", "leader"})
-	list.heard("leader")
-	assert.DeepEqual(t, list.order(), []string{"leader", "b", "c", "a"})
-	assert.Assert(t, list.follows("leader"))
+	list.update([]string{"leader", "b", "c"})
+	assert.DeepEqual(t, list.dialOrder(), []string{"leader", "b", "c", "a"})
+	list.markSilent("leader")
+	assert.DeepEqual(t, list.dialOrder(), []string{"b", "c", "a", "leader"})
+	assert.Assert(t, !list.mayFollow("leader"), "redirect of a follower to the silent leader")
+	assert.Assert(t, list.mayFollow("c"))
+	list.markHeard("c")
+	assert.DeepEqual(t, list.dialOrder(), []string{"b", "c", "a", "leader"})
+	list.markHeard("leader")
+	assert.DeepEqual(t, list.dialOrder(), []string{"leader", "b", "c", "a"})
+	assert.Assert(t, list.mayFollow("leader"))
 }
 
-// A lone controller that fell silent is tried again.
-func TestALoneSilentControllerIsTriedAgain(t *testing.T) {
+// If there is only one controller, it is tried again after it was silent.
+func TestOnlyControllerIsRetriedAfterSilence(t *testing.T) {
 	list := newControllerList([]string{"a"})
-	list.fellSilent("a")
-	assert.DeepEqual(t, list.order(), []string{"a"})
+	list.markSilent("a")
+	assert.DeepEqual(t, list.dialOrder(), []string{"a"})
 }
 
-func TestAGreetingIsAwaitedForLongerInALargerFleet(t *testing.T) {
-	assert.Assert(t, greetingLimit(4) < greetingLimit(280))
-	assert.Assert(t, greetingLimit(1100) <= sessionSilence)
+func TestFirstMessageTimeoutGrowsWithFleet(t *testing.T) {
+	assert.Assert(t, firstMessageTimeout(4) < firstMessageTimeout(280))
+	assert.Assert(t, firstMessageTimeout(1100) <= sessionIdleTimeout)
 }
--- /dev/null
+++ b/internal/gateway/crashnotices.go
@@ -0,0 +1,160 @@
+package gateway
+
+import (
+	"bytes"
+	"context"
+	"encoding/gob"
+	"fmt"
+	"io"
+	"net/http"
+	"net/url"
+	"sync"
+	"time"
+
+	"github.com/quartzdock/quartzdock/internal/gobcheck"
+	"github.com/quartzdock/quartzdock/internal/quarantine"
+)
+
+// Gateways notify each other immediately of the requests that were in progress when a back end
+// crashed. The leader's view arrives later, and not at all while there is no leader.
+
+const (
+	// noticeBatchDelay is how long crashes are collected into one notice.
+	noticeBatchDelay = 10 * time.Millisecond
+	// A gateway that could not be notified is tried again after noticeRetryDelay, up to
+	// noticeAttempts attempts in total, each of which may take noticeTimeout.
+	noticeRetryDelay = 400 * time.Millisecond
+	noticeAttempts   = 6
+	noticeTimeout    = 500 * time.Millisecond
+	// noticeConcurrency bounds the gateways that are notified concurrently.
+	noticeConcurrency = 16
+	// maxNoticeBytes bounds the size of a notice, and maxNoticeCrashes the number of crashes
+	// in it.
+	maxNoticeBytes   = 256 << 10
+	maxNoticeCrashes = 32
+)
+
+// crashNoticeQueue holds the crashes of back ends that other gateways have to be notified of.
+type crashNoticeQueue struct {
+	mutex  sync.Mutex
+	wake   chan struct{}
+	queued []quarantine.Ended
+}
+
+func newCrashNoticeQueue() *crashNoticeQueue { return &crashNoticeQueue{wake: make(chan struct{}, 1)} }
+
+func (n *crashNoticeQueue) add(crash quarantine.Ended) {
+	n.mutex.Lock()
+	n.queued = append(n.queued, crash)
+	n.queued = n.queued[max(0, len(n.queued)-maxNoticeCrashes):]
+	n.mutex.Unlock()
+	wakeUp(n.wake)
+}
+
+func (n *crashNoticeQueue) drain() []quarantine.Ended {
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
+	drained := n.queued
+	n.queued = nil
+	return drained
+}
+
+// sendCrashNotices notifies the other gateways of crashes until the context is canceled.
+func (g *Gateway) sendCrashNotices(ctx context.Context) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-g.crashNotices.wake:
+		}
+		if !pauseFor(ctx, noticeBatchDelay) {
+			return
+		}
+		if crashes := g.crashNotices.drain(); len(crashes) > 0 {
+			g.background(func() { g.broadcastCrashes(ctx, crashes) })
+		}
+	}
+}
+
+// broadcastCrashes notifies every other gateway and retries those that failed.
+func (g *Gateway) broadcastCrashes(ctx context.Context, crashes []quarantine.Ended) {
+	var body bytes.Buffer
+	if err := gob.NewEncoder(&body).Encode(crashes); err != nil {
+		g.config.Log.Error("end of a back end not told", "error", err)
+		return
+	}
+	remaining := g.peerAddresses()
+	for range noticeAttempts {
+		remaining = g.sendCrashesToPeers(ctx, remaining, body.Bytes())
+		if len(remaining) == 0 || !pauseFor(ctx, noticeRetryDelay) {
+			return
+		}
+	}
+	g.config.Log.Warn("end of a back end not told to all gateways", "not_told", len(remaining))
+}
+
+// sendCrashesToPeers notifies several gateways and returns those that failed.
+func (g *Gateway) sendCrashesToPeers(ctx context.Context, addresses []string, body []byte) (failed []string) {
+	var mutex sync.Mutex
+	var group sync.WaitGroup
+	semaphore := make(chan struct{}, noticeConcurrency)
+	for _, address := range addresses {
+		semaphore <- struct{}{}
+		group.Go(func() {
+			defer func() { <-semaphore }()
+			err := g.sendCrashesToPeer(ctx, address, body)
+			g.metrics.noticeSent(err)
+			if err != nil {
+				mutex.Lock()
+				defer mutex.Unlock()
+				failed = append(failed, address)
+			}
+		})
+	}
+	group.Wait()
+	return failed
+}
+
+// sendCrashesToPeer notifies one gateway.
+func (g *Gateway) sendCrashesToPeer(ctx context.Context, address string, body []byte) error {
+	pool := g.peers.get(address).pool
+	if pool == nil {
+		return fmt.Errorf("no connection pool for %s", address)
+	}
+	ctx, cancel := context.WithTimeout(ctx, noticeTimeout)
+	defer cancel()
+	response, err := pool.Do(ctx, &http.Request{
+		Method: http.MethodPost, URL: &url.URL{Path: "/"}, Host: address, ContentLength: int64(len(body)),
+		Body: io.NopCloser(bytes.NewReader(body)), Header: http.Header{fieldTellsEnds: {"1"}, "User-Agent": {""}},
+	})
+	if err != nil {
+		return err
+	}
+	defer response.Body.Close()
+	if _, err := readAnswer(response); err != nil {
+		return err
+	}
+	if response.StatusCode != http.StatusNoContent {
+		return fmt.Errorf("%s responded with status %d", address, response.StatusCode)
+	}
+	return nil
+}
+
+// receiveCrashes handles a notice of another gateway.
+func (g *Gateway) receiveCrashes(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxNoticeBytes))
+	if err == nil {
+		err = gobcheck.Whole(body)
+	}
+	var crashes []quarantine.Ended
+	if err == nil {
+		err = gob.NewDecoder(bytes.NewReader(body)).Decode(&crashes)
+	}
+	if err != nil || len(crashes) > maxNoticeCrashes {
+		g.metrics.unread(unreadableCrashes)
+		http.Error(w, "ends of back ends not read", http.StatusBadRequest)
+		return
+	}
+	g.quarantine.addCrashes(crashes)
+	w.WriteHeader(http.StatusNoContent)
+}
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -1,30 +1,29 @@
-// Package gateway is the process beside each back end of a fleet. It takes the
-// requests of callers on its machine, finds the back end that each may go to,
-// and passes it to the gateway beside that; and it is the only way to the back
-// end beside itself.
+// Package gateway implements the process that runs beside each back end of a fleet. It accepts
+// the requests of callers on its machine, selects a back end for each, and forwards the
+// request to the gateway beside that back end. It is also the only path to the back end beside
+// itself.
 //
-// # The way of a request
+// # Path of a request
 //
-// The ingress (ingress.go, attempt.go) finds the route in the configuration in
-// force, picks a back end among the instances of the route's service, or the
-// owner of the request's key, and hands the request to the egress of the gateway
-// beside that back end: by a call where it is this process, otherwise over HTTP.
-// The egress (egress.go) admits the request while the back end may get it and
-// has a slot, sends it once, checks that the answer belongs to it and is whole,
-// and says what became of it:
+// The ingress (ingress.go, attempt.go) finds the route in the configuration in force. It
+// selects a back end among the instances of the route's service, or the owner of the request's
+// key, and passes the request to the egress of the gateway beside that back end: by a function
+// call if it is this process, otherwise over HTTP. The egress (egress.go) admits the request
+// if the back end may get it and has a free slot, sends it once, checks that the response
+// belongs to the request and is complete, and reports the outcome:
 //
-//   - answered: the back end's whole answer.
+//   - answered: the complete response of the back end.
 //   - not-run: proof that the back end has not run the request and never will.
 //   - unknown: anything else.
 //
-// Only not-run may be sent again for a request that must not repeat. A request
-// that was given up gets its final answer at once.
+// A request that must not be repeated may be sent again only after not-run. The caller of an
+// abandoned request gets a final response immediately.
 //
-// # What a gateway knows
+// # State of a gateway
 //
-// One goroutine keeps a session with the leading controller (session.go). What
-// it learns becomes an immutable view (view.go) that request goroutines read
-// through an atomic pointer. The back end's own word (registration.go) and its
-// grants of keys (keys.go) are known here first, so that a drain or the end of a
-// lease is kept without any other process.
+// One goroutine maintains a session with the leading controller (session.go). What it receives
+// becomes an immutable view (view.go) that request goroutines read through an atomic pointer.
+// The registration of the back end (registration.go) and its grants of keys (keys.go)
+// originate here, so that a gateway enforces a drain or the expiry of a lease without any
+// other process.
 package gateway
--- a/internal/gateway/outdated_test.go
+++ b/internal/gateway/expiredlease_test.go
@@ -13,23 +13,23 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// A gateway that nobody vouches for any more does not tell callers that a route does not
-// exist: a configuration that it has not heard of may have added it.
-func TestAGatewayThatHearsNoLeaderDoesNotSayThatThereIsNoRoute(t *testing.T) {
+// A gateway whose lease has expired must not respond that a route does not exist: a newer
+// configuration may have added it.
+func TestExpiredLeaseNeverYieldsNotFound(t *testing.T) {
 	g := choosingGateway(t)
 	g.metrics = newGatewayMetrics(prometheus.NewRegistry())
 	advance(t, g.views, &fleetwire.View{Document: documentOf(3)})
 	g.session = newSessionClient(g)
-	asked := func() int {
+	status := func() int {
 		answer := httptest.NewRecorder()
 		g.callerHandler(answer, httptest.NewRequest(http.MethodGet, "http://unknown.example/", nil))
 		return answer.Code
 	}
-	assert.Equal(t, asked(), http.StatusServiceUnavailable, "nobody has vouched yet")
+	assert.Equal(t, status(), http.StatusServiceUnavailable, "no lease was granted yet")
 	g.vouch(time.Hour)
-	assert.Equal(t, asked(), http.StatusNotFound)
-	g.session.vouched.present.Store(&word{since: steady.Reading().Add(-time.Second), until: steady.Reading()})
-	assert.Equal(t, asked(), http.StatusServiceUnavailable)
+	assert.Equal(t, status(), http.StatusNotFound)
+	g.session.vouched.current.Store(&leaseState{currentAsOf: steady.Reading().Add(-time.Second), expiresAt: steady.Reading()})
+	assert.Equal(t, status(), http.StatusServiceUnavailable)
 	g.vouch(time.Hour)
-	assert.Equal(t, asked(), http.StatusNotFound)
+	assert.Equal(t, status(), http.StatusNotFound)
 }
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -11,7 +11,7 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// Whatever a told load's bytes are, it tells nothing, or what formatLoad writes again.
+// Any load report is either rejected or encoded again to the same text by formatLoad.
 func FuzzLoad(f *testing.F) {
 	for _, text := range []string{
 		"3,1,18,90000,20000,150000,1000000,12500", "0,0,0,0,0,0,0,0", "-1,0,18,1,1,1,1,1", "NaN,0,18,1,1,1,1,1",
@@ -30,19 +30,19 @@
 		p.end(result, steady.Reading())
 		seconds, _ := p.expected(time.Second, steady.Reading())
 		if !(seconds >= 0) || math.IsInf(seconds, 0) {
-			t.Fatalf("%v s by %q", seconds, text)
+			t.Fatalf("estimated duration %v s for load report %q", seconds, text)
 		}
 	})
 }
 
-// Whatever a peer's or a back end's fields hold, reading them gives a known word, a number
-// in its range, or nothing.
+// Decoding any header fields of a peer or a back end yields a known reason, a number in its
+// range, or nothing.
 func FuzzFields(f *testing.F) {
 	f.Add("answered", "no-room", "2500", "7")
 	f.Add("not-run", "", "-1", "65536")
 	f.Add("x", "y", "99999999999999999999", "NaN")
-	f.Fuzz(func(t *testing.T, told, why, wait, key string) {
-		response := &http.Response{StatusCode: http.StatusOK, Header: http.Header{fieldOutcome: {told}, fieldReason: {why}, fieldRetryAfter: {wait}}}
+	f.Fuzz(func(t *testing.T, outcomeText, reasonText, retryAfter, key string) {
+		response := &http.Response{StatusCode: http.StatusOK, Header: http.Header{fieldOutcome: {outcomeText}, fieldReason: {reasonText}, fieldRetryAfter: {retryAfter}}}
 		result := decodeResult(response, nil)
 		if !result.Reason.known() || result.RetryAfter < 0 || result.RetryAfter > 24*time.Hour {
 			t.Fatalf("%+v", result)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -19,24 +19,24 @@
 // Gateway is one running gateway.
 type Gateway struct {
 	config   Config
-	views    *views
+	views    *viewStore
 	registry *registry
 	keys     *keyKeeper
 	keyLoad  *keyLoad
 	slots    *slotGate
-	// firstTries are those of this gateway's own callers.
-	firstTries firstTries
-	peers      *peerSet
-	budgets    *retryBudgets
-	pacer      *linkPacer
-	held       heldBytes
-	egress     *egress
-	atWork     atWork
-	quarantine quarantineKeeper
-	endNews    *endNews
-	session    *sessionClient
-	tally      tally
-	metrics    *gatewayMetrics
+	// firstTries counts the first attempts of this gateway's own callers.
+	firstTries   firstTries
+	peers        *peerSet
+	budgets      *retryBudgets
+	pacer        *linkPacer
+	held         heldBytes
+	egress       *egress
+	atWork       runTracker
+	quarantine   quarantineTracker
+	crashNotices *crashNoticeQueue
+	session      *sessionClient
+	tally        tally
+	metrics      *gatewayMetrics
 
 	callers *httpserver.Server
 	inbound *httpserver.Server
@@ -44,9 +44,9 @@
 	ended   sync.WaitGroup
 	probing atomic.Bool
 
-	// admission says what may still begin during a planned stop. active counts
-	// requests of callers in progress, and peerActive those of other gateways.
-	// lastCaller is when the last caller's came.
+	// admission decides which requests may still start during a planned stop. active counts
+	// requests of callers in progress, and peerActive those of other gateways. lastCaller is
+	// when the latest request of a caller arrived.
 	admission  plannedstop.Admission
 	active     atomic.Int64
 	peerActive atomic.Int64
@@ -55,21 +55,21 @@
 
 const (
 	serverHeaderTimeout = 10 * time.Second
-	// serverIdle is longer than callers rest their connections.
-	serverIdle = 75 * time.Second
+	// serverIdleTimeout is longer than callers keep idle connections.
+	serverIdleTimeout = 75 * time.Second
 )
 
-// Start listens and serves until Stop.
+// Start opens the listeners and serves until Stop.
 func Start(config Config) (*Gateway, error) {
 	g := &Gateway{config: config.withDefaults()}
-	if err := g.config.check(); err != nil {
+	if err := g.config.validate(); err != nil {
 		return nil, fmt.Errorf("gateway: configuration: %w", err)
 	}
 	g.metrics = newGatewayMetrics(g.config.Registry)
 	g.views = newViews()
 	g.views.prepare = g.prepare
 	g.slots = newSlotGate()
-	g.endNews = newEndNews()
+	g.crashNotices = newCrashNoticeQueue()
 	g.keyLoad = newKeyLoad()
 	g.peers = newPeerSet()
 	g.budgets = newRetryBudgets(g.config.Budget)
@@ -82,9 +82,9 @@
 	g.keys = newKeyKeeper(g)
 	g.registry.lookAgain = g.probe
 	g.registry.yields = g.keys.yield
-	g.registry.replaced = g.noteEnd
+	g.registry.replaced = g.handleCrash
 	g.session = newSessionClient(g)
-	g.registry.leaderAnswered = g.session.answered
+	g.registry.leaderAnswered = g.session.heardFromLeader
 	var err error
 	if g.egress, err = newEgress(g); err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
@@ -95,7 +95,8 @@
 	if g.inbound, err = g.listenPeers(); err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
-	// From now on no earlier process of this gateway can run: it had these addresses.
+	// An earlier process of this gateway cannot run any more, since it used the same
+	// addresses.
 	g.keys.started = steady.Reading()
 	g.config.Registry.MustRegister(g.gauges()...)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -104,8 +105,8 @@
 	g.background(func() { g.keys.run(ctx) })
 	g.background(func() { g.watchSilence(ctx) })
 	g.background(func() { g.watchWarmth(ctx) })
-	g.background(func() { g.watchWord(ctx) })
-	g.background(func() { g.tellEnds(ctx) })
+	g.background(func() { g.refreshFromPeersLoop(ctx) })
+	g.background(func() { g.sendCrashNotices(ctx) })
 	g.background(func() { g.watchSuspensions(ctx) })
 	g.background(func() { g.summarize(ctx) })
 	g.background(func() { _ = g.callers.Serve() })
@@ -121,8 +122,8 @@
 	}()
 }
 
-// each calls a function at intervals until the context ends.
-func each(ctx context.Context, interval time.Duration, call func()) {
+// each calls a function at a fixed interval until the context is canceled.
+func each(ctx context.Context, interval time.Duration, function func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -130,12 +131,12 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			call()
+			function()
 		}
 	}
 }
 
-// listenCallers serves callers, which may send requests ahead.
+// listenCallers creates the server for callers, which may pipeline requests.
 func (g *Gateway) listenCallers() (*httpserver.Server, error) {
 	listener, err := net.Listen("tcp", g.config.CallerListen)
 	if err != nil {
@@ -146,7 +147,8 @@
 	return httpserver.NewPipelined(newHTTPServer(g.callerHandler), listener.(*net.TCPListener), 0, settings), nil
 }
 
-// listenPeers serves other gateways, which send one request at a time on a connection.
+// listenPeers creates the server for other gateways, which send one request at a time on a
+// connection.
 func (g *Gateway) listenPeers() (*httpserver.Server, error) {
 	listener, err := net.Listen("tcp", g.config.PeerListen)
 	if err != nil {
@@ -156,7 +158,7 @@
 }
 
 func newHTTPServer(handler http.HandlerFunc) *http.Server {
-	return &http.Server{Handler: handler, ReadHeaderTimeout: serverHeaderTimeout, IdleTimeout: serverIdle}
+	return &http.Server{Handler: handler, ReadHeaderTimeout: serverHeaderTimeout, IdleTimeout: serverIdleTimeout}
 }
 
 // Ready reports whether the gateway can serve callers.
@@ -165,35 +167,35 @@
 	return !g.admission.Stopping() && v.table != nil && len(v.byID) > 0 && g.session.vouched.holds(steady.Reading())
 }
 
-// Heartbeat takes the word of the back end beside the gateway. It is
-// acknowledged by its return, with the keys that the back end is to hold from the
-// moment it sent the heartbeat; nil tells nothing of keys. After an error nothing was
-// taken, and what was known before holds; the caller tells RefusedHeartbeat.
-func (g *Gateway) Heartbeat(told Registration) (*KeyOffer, error) {
-	if err := told.checkKeys(); err != nil {
+// Heartbeat handles a heartbeat of the back end beside the gateway. Its return acknowledges
+// the heartbeat, with the keys that the back end is to hold from the moment it sent the
+// heartbeat; a nil offer says nothing about keys. On an error the heartbeat is ignored and the
+// earlier state remains; the caller then calls RefusedHeartbeat.
+func (g *Gateway) Heartbeat(registration Registration) (*KeyOffer, error) {
+	if err := registration.checkKeys(); err != nil {
 		return nil, err
 	}
-	if own := g.config.Service; own != "" && told.Service != own {
-		return nil, fmt.Errorf("%.64q, not %q: %w", told.Service, own, ErrOtherService)
+	if service := g.config.Service; service != "" && registration.Service != service {
+		return nil, fmt.Errorf("%.64q, not %q: %w", registration.Service, service, ErrOtherService)
 	}
 	now := steady.Reading()
-	if !g.registry.heartbeat(told, g.drainWithin(), now) {
+	if !g.registry.heartbeat(registration, g.drainGrace(), now) {
 		return nil, nil
 	}
-	g.keys.stay(told.ID)
-	return g.keys.heartbeat(told, now), nil
+	g.keys.stay(registration.ID)
+	return g.keys.heartbeat(registration, now), nil
 }
 
-// Deregister takes the word of a back end, by the name of its life, that it leaves.
+// Deregister records that a back end is leaving. id names its incarnation.
 func (g *Gateway) Deregister(id string) {
-	g.registry.deregister(id, g.drainWithin(), steady.Reading())
+	g.registry.deregister(id, g.drainGrace(), steady.Reading())
 }
 
-// drainWithin is how long a leaving back end gets requests here: a part of the
-// bound, which counts from the acknowledgement.
-func (g *Gateway) drainWithin() time.Duration { return g.config.DrainWithin * 7 / 10 }
+// drainGrace returns how long a leaving back end gets requests from here. It is a part of
+// DrainWithin, which counts from the acknowledgement.
+func (g *Gateway) drainGrace() time.Duration { return g.config.DrainWithin * 7 / 10 }
 
-// instanceChanged follows what the back end has said.
+// instanceChanged propagates a change of the back end's registration.
 func (g *Gateway) instanceChanged() {
 	instance := g.registry.snapshot()
 	if instance.Slots > 0 {
@@ -204,7 +206,8 @@
 	g.keys.signal()
 }
 
-// suspect looks closer at a back end that failed by refusing a connection.
+// suspect examines an error of a request to the back end. If another instance answered, the
+// current one was replaced; if the connection was refused, the address is checked again.
 func (g *Gateway) suspect(instance string, err error) {
 	switch {
 	case errors.Is(err, ErrOtherInstance):
@@ -214,16 +217,16 @@
 	}
 }
 
-// probe tries to reach a back end. Where nothing listens at its address it gets nothing
-// new until something does; its process may live.
+// probe checks whether anything listens at the back end's address. If nothing does, the back
+// end gets no new requests until something listens again; its process may still be alive.
 func (g *Gateway) probe(instance string) {
 	if !g.probing.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
 		defer g.probing.Store(false)
-		const again = 50 * time.Millisecond
-		time.Sleep(again)
+		const probeDelay = 50 * time.Millisecond
+		time.Sleep(probeDelay)
 		conn, err := net.DialTimeout("tcp", g.config.BackendAddress, backendDial)
 		if err == nil {
 			_ = conn.Close()
--- a/internal/gateway/leaderless_test.go
+++ b/internal/gateway/leaderless_test.go
@@ -18,18 +18,19 @@
 	"github.com/quartzdock/quartzdock/internal/transport"
 )
 
-// leaderless are controllers that a gateway reaches and that do not lead, as those of a
-// group whose halves are cut off from each other.
-type leaderless struct {
+// leaderlessControllers are reachable controllers of which none leads, as in a group that a
+// network partition has split in halves.
+type leaderlessControllers struct {
 	addresses []string
-	// standings by controller; nil says nothing of it, and silent does not answer at all.
+	// standings are those that each controller reports; nil if it cannot tell. A silent
+	// controller does not answer at all.
 	standings []atomic.Pointer[fleetwire.Standing]
 	silent    []atomic.Bool
 }
 
-func startLeaderless(t *testing.T, count int) *leaderless {
+func startLeaderlessControllers(t *testing.T, count int) *leaderlessControllers {
 	t.Helper()
-	l := &leaderless{standings: make([]atomic.Pointer[fleetwire.Standing], count), silent: make([]atomic.Bool, count)}
+	l := &leaderlessControllers{standings: make([]atomic.Pointer[fleetwire.Standing], count), silent: make([]atomic.Bool, count)}
 	var voters []topology.ReplicaID
 	for i := range count {
 		voters = append(voters, topology.ReplicaID(i+1))
@@ -38,7 +39,7 @@
 		l.standings[i].Store(&fleetwire.Standing{
 			Member: voters[i], Voters: voters, Version: 1, For: configlease.DefaultApplyWithin,
 		})
-		listener, err := transport.Listen("127.0.0.1:0", endless)
+		listener, err := transport.Listen("127.0.0.1:0", noTimeouts)
 		assert.NilError(t, err)
 		t.Cleanup(func() { _ = listener.Close() })
 		l.addresses = append(l.addresses, listener.Address())
@@ -47,7 +48,7 @@
 	return l
 }
 
-func (l *leaderless) serve(listener *transport.Listener, i int) {
+func (l *leaderlessControllers) serve(listener *transport.Listener, i int) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -61,12 +62,12 @@
 	}
 }
 
-// startLeaderlessGateway starts one whose leader's last word was given just now.
-func startLeaderlessGateway(t *testing.T, controllers []string) *silentLeader {
+// startLeaderlessGateway starts a gateway whose lease has just been granted by a leader.
+func startLeaderlessGateway(t *testing.T, controllers []string) *leaderTest {
 	t.Helper()
 	backend := httptest.NewServer(http.HandlerFunc(answerWhole))
 	t.Cleanup(backend.Close)
-	s := &silentLeader{t: t, caller: freeAddress(t)}
+	s := &leaderTest{t: t, caller: freeAddress(t)}
 	peer := freeAddress(t)
 	var err error
 	s.gateway, err = Start(Config{
@@ -94,62 +95,62 @@
 	return s
 }
 
-// The controllers of eight were cut into halves for 6 s, so that nobody led and nothing
-// could be accepted. Every gateway reached all eight, and refused all requests from 2.6 s
-// after the last word of a leader until the next leader's, "configuration-may-be-old": 16,390
-// of them in 4.9 s.
-func TestAGatewayServesWhileAMajorityOfControllersHasNothingNewer(t *testing.T) {
+// A network partition split eight controllers in halves for 6 s, so that none of them led and
+// nothing could be accepted. Although every gateway reached all eight, all gateways refused
+// every request with "configuration-may-be-old" from 2.6 s after the last message of the old
+// leader until the first one of the next: 16,390 requests in 4.9 s.
+func TestMajorityWithoutNewerStateExtendsLease(t *testing.T) {
 	t.Parallel()
-	l := startLeaderless(t, 3)
+	l := startLeaderlessControllers(t, 3)
 	l.silent[2].Store(true)
 	s := startLeaderlessGateway(t, l.addresses)
 	for began := steady.Reading(); steady.Elapsed(began) < 2*(configlease.Terms{}).WithDefaults().Validity(); {
-		assert.Equal(t, s.status(), http.StatusOK)
+		assert.Equal(t, s.requestStatus(), http.StatusOK)
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// What vouches ends where so few controllers answer, or so many may have accepted something
-// newer, that another configuration may be in force.
-func TestAGatewayRefusesWhereAMajorityMayHaveAcceptedSomethingNewer(t *testing.T) {
+// The lease must not be extended if too few controllers answer, or if so many may have
+// accepted something newer that another configuration may be in force.
+func TestLeaseExpiresIfMajorityMayHaveNewerState(t *testing.T) {
 	t.Parallel()
-	for name, change := range map[string]func(l *leaderless){
-		"a minority answers": func(l *leaderless) { l.silent[0].Store(true); l.silent[1].Store(true) },
-		"two have a newer configuration": func(l *leaderless) {
-			l.alter(0, func(told *fleetwire.Standing) { told.Version = 2 })
-			l.alter(1, func(told *fleetwire.Standing) { told.Version = 2 })
+	for name, change := range map[string]func(l *leaderlessControllers){
+		"a minority answers": func(l *leaderlessControllers) { l.silent[0].Store(true); l.silent[1].Store(true) },
+		"two have a newer configuration": func(l *leaderlessControllers) {
+			l.alterStanding(0, func(standing *fleetwire.Standing) { standing.Version = 2 })
+			l.alterStanding(1, func(standing *fleetwire.Standing) { standing.Version = 2 })
 		},
-		"two have a newer order to evacuate": func(l *leaderless) {
-			l.alter(0, func(told *fleetwire.Standing) { told.EvacuationsIndex = 9 })
-			l.alter(1, func(told *fleetwire.Standing) { told.EvacuationsIndex = 9 })
+		"two have a newer evacuation order": func(l *leaderlessControllers) {
+			l.alterStanding(0, func(standing *fleetwire.Standing) { standing.EvacuationsIndex = 9 })
+			l.alterStanding(1, func(standing *fleetwire.Standing) { standing.EvacuationsIndex = 9 })
 		},
-		"two can't tell": func(l *leaderless) { l.standings[0].Store(nil); l.standings[1].Store(nil) },
-		"they differ on who votes": func(l *leaderless) {
-			l.alter(0, func(told *fleetwire.Standing) { told.Voters = append(slices.Clone(told.Voters), 4) })
-			l.alter(1, func(told *fleetwire.Standing) { told.Voters = told.Voters[:2] })
+		"two report no standing": func(l *leaderlessControllers) { l.standings[0].Store(nil); l.standings[1].Store(nil) },
+		"they disagree about the voters": func(l *leaderlessControllers) {
+			l.alterStanding(0, func(standing *fleetwire.Standing) { standing.Voters = append(slices.Clone(standing.Voters), 4) })
+			l.alterStanding(1, func(standing *fleetwire.Standing) { standing.Voters = standing.Voters[:2] })
 		},
-		"one answers for two": func(l *leaderless) {
-			l.alter(0, func(told *fleetwire.Standing) { told.Member = 3 })
-			l.alter(1, func(told *fleetwire.Standing) { told.Member = 3 })
+		"two report the same member": func(l *leaderlessControllers) {
+			l.alterStanding(0, func(standing *fleetwire.Standing) { standing.Member = 3 })
+			l.alterStanding(1, func(standing *fleetwire.Standing) { standing.Member = 3 })
 		},
-		"two do not vote": func(l *leaderless) {
-			l.alter(0, func(told *fleetwire.Standing) { told.Member = 8 })
-			l.alter(1, func(told *fleetwire.Standing) { told.Member = 9 })
+		"two are not voters": func(l *leaderlessControllers) {
+			l.alterStanding(0, func(standing *fleetwire.Standing) { standing.Member = 8 })
+			l.alterStanding(1, func(standing *fleetwire.Standing) { standing.Member = 9 })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			l := startLeaderless(t, 3)
+			l := startLeaderlessControllers(t, 3)
 			s := startLeaderlessGateway(t, l.addresses)
 			s.awaitStatus(http.StatusOK)
 			change(l)
 			time.Sleep((configlease.Terms{}).WithDefaults().Validity() + 200*time.Millisecond)
-			assert.Equal(t, s.status(), http.StatusServiceUnavailable)
+			assert.Equal(t, s.requestStatus(), http.StatusServiceUnavailable)
 		})
 	}
 }
 
-func (l *leaderless) alter(i int, change func(*fleetwire.Standing)) {
+func (l *leaderlessControllers) alterStanding(i int, change func(*fleetwire.Standing)) {
 	altered := *l.standings[i].Load()
 	change(&altered)
 	l.standings[i].Store(&altered)
--- a/internal/gateway/majority.go
+++ b/internal/gateway/majority.go
@@ -8,28 +8,29 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// A gateway that has no leader asks one controller after the other where it is. Where none
-// leads, for want of a majority that hear each other, nothing can be accepted, and their
-// answers prove it as long as the gateway reaches a majority (configlease.Standings).
+// A gateway without a leader asks the controllers one after the other. If none of them leads
+// because no majority is connected, nothing new can be accepted. The answers of a majority
+// prove this (configlease.Standings), so a gateway that reaches a majority may keep serving.
 
-// takeStanding takes what a controller that does not lead has said of itself when it was
-// asked at a time on the clock that reports carry; nil is nothing.
-func (s *sessionClient) takeStanding(told *fleetwire.Standing, asked time.Duration) {
+// recordStanding takes the standing that a controller which does not lead sent in answer to a
+// request. requestedAt is on the clock that timestamps in reports refer to. A nil standing is
+// ignored.
+func (s *sessionClient) recordStanding(standing *fleetwire.Standing, requestedAt time.Duration) {
 	v := s.gateway.views.load()
-	if told == nil || v.table == nil {
+	if standing == nil || v.table == nil {
 		return
 	}
 	s.standings.Take(configlease.Standing{
-		Asked: asked, Member: told.Member, Voters: told.Voters, Version: told.Version, EvacuationsIndex: told.EvacuationsIndex,
+		Asked: requestedAt, Member: standing.Member, Voters: standing.Voters, Version: standing.Version, EvacuationsIndex: standing.EvacuationsIndex,
 	})
-	since, ok := s.standings.NothingNewerSince(told.Member, v.version(), v.evacuationsIndex)
+	since, ok := s.standings.NothingNewerSince(standing.Member, v.version(), v.evacuationsIndex)
 	if !ok {
 		return
 	}
-	s.vouched.takeMajority(s.started.Add(since), told.For)
-	if !s.byMajority {
-		s.byMajority = true
+	s.vouched.extendByMajority(s.started.Add(since), standing.For)
+	if !s.extendedByMajority {
+		s.extendedByMajority = true
 		s.gateway.config.Log.Info("nobody leads, and a majority of controllers has nothing newer", "version", uint64(v.version()),
-			"silence_ms", s.silence(steady.Reading()).Milliseconds())
+			"silence_ms", s.leaderSilence(steady.Reading()).Milliseconds())
 	}
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -19,33 +19,33 @@
 
 const (
 	peerConnections = 256
-	peerIdle        = 20 * time.Second
-	peerDial        = 300 * time.Millisecond
-	// firstPenalty is how long a gateway that failed is avoided, doubled with
-	// each failure in a row up to longestPenalty.
-	firstPenalty   = 200 * time.Millisecond
-	longestPenalty = 3200 * time.Millisecond
-	// loadFresh is how long a reported load counts.
-	loadFresh = 2 * time.Second
+	peerIdleTimeout = 20 * time.Second
+	peerDialTimeout = 300 * time.Millisecond
+	// initialPenalty is how long a gateway is avoided after a failure. It doubles with each
+	// consecutive failure up to maxPenalty.
+	initialPenalty = 200 * time.Millisecond
+	maxPenalty     = 3200 * time.Millisecond
+	// loadMaxAge is how long a reported load is used.
+	loadMaxAge = 2 * time.Second
 )
 
-// peerLoad is what a gateway says of the back end beside it.
+// peerLoad is the load that a gateway reports of the back end beside it.
 type peerLoad struct {
 	running, waiting, slots int
-	// serviceTime is how long a request uses a slot, on average, and
-	// shortService a short one.
+	// serviceTime is the average time that a request occupies a slot, and shortService that of
+	// short requests.
 	serviceTime  time.Duration
 	shortService time.Duration
-	// shortUpTo is the longest target of a short request.
+	// shortUpTo is the largest latency target of a request that counts as short.
 	shortUpTo time.Duration
-	// linkBacklog is how long the link of its machine takes for what waits there.
+	// linkBacklog is the time that the link of its machine needs for the data queued there.
 	linkBacklog time.Duration
-	// bears is how many requests a second the back end bears while it is cold; zero
-	// is unbounded.
+	// bears is the number of requests a second that the back end can take while it is cold;
+	// zero means no limit.
 	bears float64
 }
 
-// service returns the service time of requests with a target.
+// service returns the average time that a request with this latency target occupies a slot.
 func (l *peerLoad) service(target time.Duration) time.Duration {
 	if target <= l.shortUpTo {
 		return l.shortService
@@ -53,102 +53,103 @@
 	return l.serviceTime
 }
 
-// expected estimates how long a request takes, in seconds, where a number of
-// requests are there.
+// expected estimates the duration of a request, in seconds, if busy requests are already
+// there.
 func (l *peerLoad) expected(busy int, target time.Duration) float64 {
 	slots := l.slots
 	if slots == 0 {
-		slots = unknownSlots
+		slots = assumedSlots
 	}
 	utilization := float64(busy+1) / float64(slots)
-	seconds := l.service(target).Seconds() * (1 + crowding*max(0, utilization-crowdedFrom))
+	seconds := l.service(target).Seconds() * (1 + congestionFactor*max(0, utilization-congestionThreshold))
 	if l.bears > 0 {
 		seconds += float64(l.waiting) / l.bears
 	}
 	return seconds
 }
 
-// peer is another gateway as this one sees it.
+// peer is another gateway as seen by this one.
 type peer struct {
 	pool *upstream.Pool
 
 	mutex sync.Mutex
-	// pending requests were sent there and have no answer yet; pendingThen is
-	// how many there were when load was reported.
-	pending     int
-	pendingThen int
-	load        peerLoad
-	loadAt      time.Time
-	failures    int
-	avoidUntil  time.Time
-	// share is what this gateway sends it of what it bears while it is cold.
+	// pending is the number of requests that were sent there and are not answered yet.
+	// pendingAtReport is its value when load was reported.
+	pending         int
+	pendingAtReport int
+	load            peerLoad
+	loadAt          time.Time
+	failures        int
+	avoidUntil      time.Time
+	// share limits what this gateway sends to the back end while it is cold, as its part of
+	// the rate that the back end can take.
 	share warmup.Share
 }
 
 // peerSet holds the gateways that this one has sent requests to, by address.
 type peerSet struct {
-	mutex sync.Mutex
-	byURL map[string]*peer
+	mutex     sync.Mutex
+	byAddress map[string]*peer
 }
 
-func newPeerSet() *peerSet { return &peerSet{byURL: map[string]*peer{}} }
+func newPeerSet() *peerSet { return &peerSet{byAddress: map[string]*peer{}} }
 
 // get returns the peer at an address.
 func (s *peerSet) get(address string) *peer {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	found, ok := s.byURL[address]
+	entry, ok := s.byAddress[address]
 	if ok {
-		return found
+		return entry
 	}
 	pool, err := upstream.New(upstream.Config{
 		Address: address, MaxConnections: peerConnections, MinWarm: -1,
-		DialTimeout: peerDial, IdleTimeout: peerIdle,
+		DialTimeout: peerDialTimeout, IdleTimeout: peerIdleTimeout,
 	})
 	if err != nil {
 		pool = nil
 	}
-	found = &peer{pool: pool}
-	s.byURL[address] = found
-	return found
+	entry = &peer{pool: pool}
+	s.byAddress[address] = entry
+	return entry
 }
 
-// follow closes the connections to addresses that a view does not name, and the
-// idle ones to gateways that are being stopped: a request on one of them could
-// cross its close and end without an answer.
+// follow closes the connections to addresses that a view does not list, and the idle
+// connections to gateways that are stopping: a request sent while such a gateway closes the
+// connection would fail without a response.
 func (s *peerSet) follow(v *view) {
-	named := make(map[string]bool, len(v.byID))
-	leaving := make(map[string]bool)
+	listed := make(map[string]bool, len(v.byID))
+	stopping := make(map[string]bool)
 	for _, instance := range v.byID {
-		named[instance.Address] = true
-		leaving[instance.Address] = leaving[instance.Address] || instance.Leaving
+		listed[instance.Address] = true
+		stopping[instance.Address] = stopping[instance.Address] || instance.Leaving
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for address, known := range s.byURL {
+	for address, entry := range s.byAddress {
 		switch {
-		case !named[address]:
-			if known.pool != nil {
-				known.pool.Close()
+		case !listed[address]:
+			if entry.pool != nil {
+				entry.pool.Close()
 			}
-			delete(s.byURL, address)
-		case leaving[address] && known.pool != nil:
-			known.pool.CloseIdle()
+			delete(s.byAddress, address)
+		case stopping[address] && entry.pool != nil:
+			entry.pool.CloseIdle()
 		}
 	}
 }
 
-// linkBacklog is how long a large answer of the peer waits for its link, by what it
-// told last.
+// linkBacklog returns how long a large response of the peer waits for the link, by its last
+// report.
 func (p *peer) linkBacklog(now time.Time) time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return max(p.load.linkBacklog-now.Sub(p.loadAt), 0)
 }
 
-// expected estimates how long a request takes at the peer, in seconds; avoided
-// says that it failed a moment ago. What was heard long ago counts less and
-// less, so that a back end that was slow is tried again.
+// expected estimates the duration of a request at the peer, in seconds. avoided is set if the
+// peer failed recently. The estimate decreases with the age of the last report, so that a back
+// end that was slow is tried again.
 func (p *peer) expected(target time.Duration, now time.Time) (seconds float64, avoided bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -158,23 +159,23 @@
 	}
 	busy := p.pending
 	age := now.Sub(p.loadAt)
-	if age < loadFresh {
-		busy = max(load.running+load.waiting+p.pending-p.pendingThen, p.pending)
+	if age < loadMaxAge {
+		busy = max(load.running+load.waiting+p.pending-p.pendingAtReport, p.pending)
 	}
 	seconds = load.expected(busy, target)
-	if age > loadFresh/2 {
-		seconds *= float64(loadFresh) / (float64(loadFresh) + float64(age)) // of one that was never heard, age is the longest there is
+	if age > loadMaxAge/2 {
+		seconds *= float64(loadMaxAge) / (float64(loadMaxAge) + float64(age)) // the age is at its maximum if nothing was ever reported
 	}
 	return seconds, now.Before(p.avoidUntil)
 }
 
 const (
-	// unknownSlots stands for the slots of a back end that has told none.
-	unknownSlots = 16
-	// crowdedFrom is the utilization from which a back end is expected to be
-	// slower, and crowding by how much for each whole utilization more.
-	crowdedFrom = 0.5
-	crowding    = 6
+	// assumedSlots is used for a back end that has not reported its slots.
+	assumedSlots = 16
+	// congestionThreshold is the utilization above which a back end is assumed to slow down,
+	// and congestionFactor the relative slowdown per unit of utilization above it.
+	congestionThreshold = 0.5
+	congestionFactor    = 6
 )
 
 func (p *peer) begin() {
@@ -183,25 +184,25 @@
 	p.mutex.Unlock()
 }
 
-// end takes the result of a try.
+// end records the result of a finished attempt.
 func (p *peer) end(result *forwardResult, now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.pending--
 	if result.Load.slots > 0 {
-		p.load, p.loadAt, p.pendingThen = result.Load, now, p.pending
+		p.load, p.loadAt, p.pendingAtReport = result.Load, now, p.pending
 	}
 	switch {
 	case result.Outcome == outcomeAnswered && result.Status < http.StatusInternalServerError:
 		p.failures = 0
 	case result.Reason == reasonUnreachable || result.Reason == reasonBroken || result.Reason == reasonEnded || result.Reason == reasonTimeout:
-		penalty := min(firstPenalty<<min(p.failures, 8), longestPenalty)
+		penalty := min(initialPenalty<<min(p.failures, 8), maxPenalty)
 		p.failures++
 		p.avoidUntil = now.Add(penalty)
 	}
 }
 
-// send tries a request at the back end beside a peer.
+// send forwards an attempt to a peer, for the back end beside it.
 func (p *peer) send(ctx context.Context, request *forwardRequest) *forwardResult {
 	if p.pool == nil {
 		return notRun(reasonUnreachable)
@@ -220,7 +221,7 @@
 	return readResult(response)
 }
 
-// readResult takes a peer's word and the whole answer.
+// readResult reads the complete response of a peer.
 func readResult(response *http.Response) *forwardResult {
 	defer response.Body.Close()
 	body, err := readAnswer(response)
@@ -230,8 +231,8 @@
 	return decodeResult(response, body)
 }
 
-// peerFailed classifies a try without a result. The back end may have been sent
-// the request.
+// peerFailed classifies an attempt without a result. The request may have reached the back
+// end.
 func peerFailed(err error) *forwardResult {
 	switch {
 	case errors.Is(err, upstream.ErrNotSent):
@@ -242,7 +243,7 @@
 	return &forwardResult{Outcome: outcomeUnknown, Reason: reasonBroken, Sent: true}
 }
 
-// encodeForward writes a try as a request to a peer.
+// encodeForward encodes an attempt as a request to a peer.
 func encodeForward(request *forwardRequest) (*http.Request, error) {
 	target, err := url.ParseRequestURI(request.URI)
 	if err != nil {
@@ -270,7 +271,7 @@
 	return outgoing, nil
 }
 
-// decodeResult reads a peer's word.
+// decodeResult decodes the response of a peer.
 func decodeResult(response *http.Response, body []byte) *forwardResult {
 	header := response.Header
 	result := &forwardResult{
@@ -281,18 +282,18 @@
 	if !result.Reason.known() {
 		result.Reason = reasonBroken
 	}
-	if told := header.Values(fieldLoad); len(told) == 1 {
-		result.Load, result.loadRead = parseLoad(told[0])
+	if reported := header.Values(fieldLoad); len(reported) == 1 {
+		result.Load, result.loadRead = parseLoad(reported[0])
 	}
 	result.RetryAfter, _ = parseMilliseconds(header.Get(fieldRetryAfter))
-	if atWork, err := strconv.Atoi(header.Get(fieldAtWork)); err == nil {
-		result.AtWork = atWork
+	if inProgress, err := strconv.Atoi(header.Get(fieldAtWork)); err == nil {
+		result.AtWork = inProgress
 	}
 	switch result.Outcome {
 	case outcomeAnswered:
 		result.Status, result.Body, result.Header = response.StatusCode, body, forwardable(header)
 	case outcomeNotRun, outcomeUnknown:
-	default: // no gateway's answer
+	default: // not a response of a gateway
 		return &forwardResult{Outcome: outcomeUnknown, Reason: reasonBroken, Sent: true}
 	}
 	return result
--- a/internal/gateway/peerserver.go
+++ b/internal/gateway/peerserver.go
@@ -10,18 +10,18 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// peerHandler takes requests of other gateways for the back end beside this
+// peerHandler handles the requests that other gateways forward to the back end beside this
 // one.
 func (g *Gateway) peerHandler(w http.ResponseWriter, r *http.Request) {
 	g.peerActive.Add(1)
 	defer g.peerActive.Add(-1)
 	g.closeWhileStopping(w, r)
 	if r.Header.Get(fieldAsksWord) != "" {
-		g.tellWord(w, r)
+		g.serveRelayedState(w, r)
 		return
 	}
 	if r.Header.Get(fieldTellsEnds) != "" {
-		g.takeEnds(w, r)
+		g.receiveCrashes(w, r)
 		return
 	}
 	request, ok := g.decodeForward(r)
@@ -60,7 +60,7 @@
 	}
 }
 
-// servePeer tries a request of another gateway, if there is memory for its answer.
+// servePeer runs an attempt for another gateway if there is memory for the response.
 func (g *Gateway) servePeer(ctx context.Context, request *forwardRequest) *forwardResult {
 	if g.held.full() {
 		return notRun(reasonNoMemory)
@@ -68,33 +68,33 @@
 	return g.egress.serve(ctx, request)
 }
 
-// writeAnswer writes a whole answer with its length, and reports whether all of it was
-// handed over. The reader of a part sees by the length that it is one.
+// writeAnswer writes a complete response with its length and reports whether all of it was
+// written. The length lets the reader detect a truncated body.
 func (g *Gateway) writeAnswer(ctx context.Context, w http.ResponseWriter, status int, body []byte) (whole bool) {
 	beginAnswer(ctx, w, status, len(body))
 	return g.pacer.write(ctx, w, body)
 }
 
-// beginAnswer writes the header of an answer with a body of a length. Before a large body
-// it waits for the answer's turn on its connection.
+// beginAnswer writes the header of a response whose body has the given length. Before a large
+// body it waits until the earlier responses on the connection have been written.
 func beginAnswer(ctx context.Context, w http.ResponseWriter, status, length int) {
 	header := w.Header()
 	if _, ok := header["Content-Type"]; !ok {
-		header["Content-Type"] = nil // no guessing
+		header["Content-Type"] = nil // prevent content sniffing
 	}
 	if status != http.StatusNoContent && status != http.StatusNotModified {
 		header["Content-Length"] = []string{strconv.Itoa(length)}
 	}
 	w.WriteHeader(status)
 	if length >= bulkFrom {
-		httpserver.AwaitTurn(ctx) // not while others wait for the link behind it
+		httpserver.AwaitTurn(ctx) // here, so that it does not occupy the link while it waits
 	}
 }
 
-// decodeForward reads what encodeForward wrote.
+// decodeForward decodes what encodeForward wrote.
 func (g *Gateway) decodeForward(r *http.Request) (*forwardRequest, bool) {
 	names := &g.config.Headers
-	left, ok := parseMilliseconds(r.Header.Get(names.Deadline))
+	remaining, ok := parseMilliseconds(r.Header.Get(names.Deadline))
 	due, okDue := parseMilliseconds(r.Header.Get(fieldDue))
 	target, okTarget := parseMilliseconds(r.Header.Get(fieldTarget))
 	priority, err := strconv.Atoi(r.Header.Get(fieldPriority))
@@ -119,7 +119,7 @@
 		Transfer: r.Header.Get(fieldTransfer) != "",
 		Target:   target,
 		Due:      now.Add(due),
-		Deadline: now.Add(left),
+		Deadline: now.Add(remaining),
 	}
 	if text := r.Header.Get(fieldTrial); text != "" {
 		if request.Trial, err = strconv.ParseUint(text, 10, 64); err != nil {
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -11,206 +11,213 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// A request under which a back end has ended runs again only by a trial that the leader has
-// granted to this gateway. Who has ended under what is known from the leader's view and,
-// before that has it, from the gateway that saw it.
+// A request that was in progress when a back end crashed may run again only by a trial that
+// the leader has granted to this gateway. Such requests are known from the leader's view and,
+// before they are in it, from the gateway that detected the crash.
 
 const (
-	// trialWaitShare is the part of a request's time that it may wait for a trial, and
-	// longestTrialWait bounds it.
-	trialWaitShare   = 0.5
-	longestTrialWait = time.Second
-	// retryHeld is when to come back with a request that is held back.
-	retryHeld = 20 * time.Second
-	// endExpected is for how long a request counts as suspected whose caller's gateway has
-	// learnt first that a back end ended under it: the word of the end is on its way.
-	endExpected = 500 * time.Millisecond
-	// mostUnconfirmed bounds the ends that the leader has not confirmed; the oldest go first.
-	mostUnconfirmed = 256
+	// trialWaitShare is the part of a request's remaining time that it may wait for a trial,
+	// and maxTrialWait the upper bound.
+	trialWaitShare = 0.5
+	maxTrialWait   = time.Second
+	// heldBackRetryAfter is the retry time sent with the refusal of a request that has no
+	// trial left.
+	heldBackRetryAfter = 20 * time.Second
+	// expectedCrashLifetime is how long a request stays suspected if its caller's gateway is
+	// the first to learn that a back end crashed during it. The notice of the crash arrives
+	// within that time.
+	expectedCrashLifetime = 500 * time.Millisecond
+	// maxUnconfirmed bounds the crashes that the leader has not confirmed; the oldest are
+	// dropped.
+	maxUnconfirmed = 256
 )
 
-// trial is a granted send.
+// trial identifies a trial that the leader has granted.
 type trial struct {
-	request quarantine.Digest
-	number  uint64
+	digest quarantine.Digest
+	number uint64
 }
 
-// suspicion is what a gateway knows of a request.
+// suspicion is what a gateway knows about a request.
 type suspicion int
 
 const (
-	unsuspected suspicion = iota
-	// onTrial: it may run by a trial.
-	onTrial
-	// heldBack: no trial is left.
+	notSuspected suspicion = iota
+	// trialOnly means that the request may run only by a trial.
+	trialOnly
+	// heldBack means that no trial is left.
 	heldBack
 )
 
-// quarantineKeeper is a gateway's part of the quarantine. The zero value is ready.
-type quarantineKeeper struct {
+// quarantineTracker is the gateway's part of the quarantine. The zero value is ready to use.
+type quarantineTracker struct {
 	mutex sync.Mutex
-	// unconfirmed are ends that the leader's set may lack, the oldest first.
-	unconfirmed []quarantine.Ended
-	// expected are requests of which the word of an end is on its way, with its latest time.
-	expected map[quarantine.Digest]steady.Instant
-	// waiting is how many requests wait for a trial.
-	waiting map[quarantine.Digest]int
-	// used are the granted trials that were used or given back.
-	used map[trial]bool
-	// over and answered are told the leader until its view has them. What was answered is
-	// cleared here at once, unless further lives have ended under it than the number that is
-	// kept.
-	over     map[trial]quarantine.Over
-	answered map[quarantine.Digest]int
+	// unconfirmedCrashes are the crashes that the leader's set may not contain yet, the oldest
+	// first.
+	unconfirmedCrashes []quarantine.Ended
+	// expectedCrashes are the requests for which the notice of a crash is on its way, with the
+	// latest time of its arrival.
+	expectedCrashes map[quarantine.Digest]steady.Instant
+	// waiters counts the callers that wait for a trial, by request.
+	waiters map[quarantine.Digest]int
+	// usedTrials are the granted trials that were used or returned.
+	usedTrials map[trial]bool
+	// endedTrials and answeredSuspects are reported to the leader until its view reflects
+	// them. A request that was answered is cleared here immediately, unless more back ends
+	// have crashed during it than the number kept here.
+	endedTrials      map[trial]quarantine.Over
+	answeredSuspects map[quarantine.Digest]int
 }
 
-// suspects reports whether anything is suspected here at all.
-func (k *quarantineKeeper) suspects(v *view) bool {
+// suspects reports whether any request is suspected at all.
+func (k *quarantineTracker) suspects(v *view) bool {
 	if len(v.suspects) > 0 {
 		return true
 	}
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	return len(k.unconfirmed)+len(k.expected) > 0
+	return len(k.unconfirmedCrashes)+len(k.expectedCrashes) > 0
 }
 
-// of returns what is known of a request.
-func (k *quarantineKeeper) of(request quarantine.Digest, v *view) suspicion {
+// suspicionOf returns what is known about a request.
+func (k *quarantineTracker) suspicionOf(digest quarantine.Digest, v *view) suspicion {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	suspect, told := v.suspects[request]
-	if ends, cleared := k.answered[request]; cleared && suspect.Ends <= ends {
-		return unsuspected
+	suspect, known := v.suspects[digest]
+	if crashes, cleared := k.answeredSuspects[digest]; cleared && suspect.Ends <= crashes {
+		return notSuspected
 	}
 	switch {
-	case told && suspect.Held():
+	case known && suspect.Held():
 		return heldBack
-	case told || k.unconfirmedHas(request):
-		return onTrial
+	case known || k.hasUnconfirmed(digest):
+		return trialOnly
 	}
-	if until, ok := k.expected[request]; ok && steady.Now().Before(until) {
-		return onTrial
+	if until, ok := k.expectedCrashes[digest]; ok && steady.Now().Before(until) {
+		return trialOnly
 	}
-	return unsuspected
+	return notSuspected
 }
 
-// expect notes that a back end has ended under a request of a caller here.
-func (k *quarantineKeeper) expect(request quarantine.Digest, now steady.Instant) {
+// expect records that a back end crashed during a request of a caller of this gateway.
+func (k *quarantineTracker) expect(digest quarantine.Digest, now steady.Instant) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if k.expected == nil {
-		k.expected = map[quarantine.Digest]steady.Instant{}
+	if k.expectedCrashes == nil {
+		k.expectedCrashes = map[quarantine.Digest]steady.Instant{}
 	}
-	k.forgetExpected(now)
-	k.expected[request] = now.Add(endExpected)
-	delete(k.answered, request)
+	k.pruneExpected(now)
+	k.expectedCrashes[digest] = now.Add(expectedCrashLifetime)
+	delete(k.answeredSuspects, digest)
 }
 
-// hear takes ends of back ends that were seen here or that another gateway tells.
-func (k *quarantineKeeper) hear(ended []quarantine.Ended) {
+// addCrashes records crashes that were detected here or that another gateway reported.
+func (k *quarantineTracker) addCrashes(crashes []quarantine.Ended) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	for i := range ended {
-		known := slices.ContainsFunc(k.unconfirmed, func(each quarantine.Ended) bool { return each.Life == ended[i].Life })
-		if known || ended[i].Check() != nil {
+	for i := range crashes {
+		duplicate := slices.ContainsFunc(k.unconfirmedCrashes, func(each quarantine.Ended) bool { return each.Life == crashes[i].Life })
+		if duplicate || crashes[i].Check() != nil {
 			continue
 		}
-		k.unconfirmed = append(k.unconfirmed, ended[i])
-		for _, request := range ended[i].Requests {
-			delete(k.answered, request)
+		k.unconfirmedCrashes = append(k.unconfirmedCrashes, crashes[i])
+		for _, digest := range crashes[i].Requests {
+			delete(k.answeredSuspects, digest)
 		}
 	}
-	k.unconfirmed = k.unconfirmed[max(0, len(k.unconfirmed)-mostUnconfirmed):]
+	k.unconfirmedCrashes = k.unconfirmedCrashes[max(0, len(k.unconfirmedCrashes)-maxUnconfirmed):]
 }
 
-// confirm notes that the leader's set has counted the ends of some lives.
-func (k *quarantineKeeper) confirm(lives []string) {
-	if len(lives) == 0 {
+// confirm records that the leader's set contains the crashes of some incarnations.
+func (k *quarantineTracker) confirm(incarnations []string) {
+	if len(incarnations) == 0 {
 		return
 	}
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	k.unconfirmed = slices.DeleteFunc(k.unconfirmed, func(ended quarantine.Ended) bool { return slices.Contains(lives, ended.Life) })
+	k.unconfirmedCrashes = slices.DeleteFunc(k.unconfirmedCrashes, func(crash quarantine.Ended) bool { return slices.Contains(incarnations, crash.Life) })
 }
 
-// await counts a request that waits for a trial. The caller calls leave once it waits no more.
-func (k *quarantineKeeper) await(request quarantine.Digest) (leave func()) {
+// await registers a caller that waits for a trial. The caller must call done when it stops
+// waiting.
+func (k *quarantineTracker) await(digest quarantine.Digest) (done func()) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if k.waiting == nil {
-		k.waiting = map[quarantine.Digest]int{}
+	if k.waiters == nil {
+		k.waiters = map[quarantine.Digest]int{}
 	}
-	k.waiting[request]++
+	k.waiters[digest]++
 	return func() {
 		k.mutex.Lock()
 		defer k.mutex.Unlock()
-		if k.waiting[request]--; k.waiting[request] <= 0 {
-			delete(k.waiting, request)
+		if k.waiters[digest]--; k.waiters[digest] <= 0 {
+			delete(k.waiters, digest)
 		}
 	}
 }
 
-// take uses a trial that was granted to this process, once.
-func (k *quarantineKeeper) take(request quarantine.Digest, v *view, node string, boot uint64) (number uint64, ok bool) {
-	granted := v.suspects[request].Trial
+// claimTrial uses a trial that was granted to this process. Each trial can be used once.
+func (k *quarantineTracker) claimTrial(digest quarantine.Digest, v *view, node string, boot uint64) (number uint64, ok bool) {
+	granted := v.suspects[digest].Trial
 	if granted == nil || granted.Node != node || granted.Boot != boot {
 		return 0, false
 	}
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	of := trial{request, granted.Number}
-	if k.used[of] {
+	key := trial{digest, granted.Number}
+	if k.usedTrials[key] {
 		return 0, false
 	}
-	k.use(of)
+	k.markUsed(key)
 	return granted.Number, true
 }
 
-// use notes that a trial must not be used again. The caller has the mutex.
-func (k *quarantineKeeper) use(of trial) {
-	if k.used == nil {
-		k.used = map[trial]bool{}
+// markUsed prevents a trial from being used again. The caller must hold the mutex.
+func (k *quarantineTracker) markUsed(key trial) {
+	if k.usedTrials == nil {
+		k.usedTrials = map[trial]bool{}
 	}
-	k.used[of] = true
+	k.usedTrials[key] = true
 }
 
-// ends notes what became of a trial without an answer.
-func (k *quarantineKeeper) ends(of trial, result *forwardResult) {
+// recordTrialEnd records the result of a trial that got no complete response.
+func (k *quarantineTracker) recordTrialEnd(ended trial, result *forwardResult) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	k.tellOver(quarantine.Over{Request: of.request, Number: of.number, Sent: result.Sent, Failed: result.Reason == reasonEnded})
+	k.queueTrialEnd(quarantine.Over{Request: ended.digest, Number: ended.number, Sent: result.Sent, Failed: result.Reason == reasonEnded})
 }
 
-// tellOver tells the leader of the end of a trial. The caller has the mutex.
-func (k *quarantineKeeper) tellOver(over quarantine.Over) {
-	if k.over == nil {
-		k.over = map[trial]quarantine.Over{}
+// queueTrialEnd queues the end of a trial for the next report to the leader. The caller must
+// hold the mutex.
+func (k *quarantineTracker) queueTrialEnd(end quarantine.Over) {
+	if k.endedTrials == nil {
+		k.endedTrials = map[trial]quarantine.Over{}
 	}
-	k.over[trial{over.Request, over.Number}] = over
+	k.endedTrials[trial{end.Request, end.Number}] = end
 }
 
-// answers notes a whole answer to a suspect.
-func (k *quarantineKeeper) answers(request quarantine.Digest, v *view) {
+// recordAnswer records a complete response to a suspected request.
+func (k *quarantineTracker) recordAnswer(digest quarantine.Digest, v *view) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if k.answered == nil {
-		k.answered = map[quarantine.Digest]int{}
+	if k.answeredSuspects == nil {
+		k.answeredSuspects = map[quarantine.Digest]int{}
 	}
-	k.answered[request] = v.suspects[request].Ends
+	k.answeredSuspects[digest] = v.suspects[digest].Ends
 }
 
-// report returns what the leader is to be told, nil where that is nothing.
-func (k *quarantineKeeper) report(v *view, node string, boot uint64) *quarantine.Change {
+// report returns the changes to send to the leader; nil if there are none.
+func (k *quarantineTracker) report(v *view, node string, boot uint64) *quarantine.Change {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	k.giveBack(v, node, boot)
-	k.forget(v)
-	change := &quarantine.Change{Ended: slices.Clone(k.unconfirmed)}
-	change.Answered = slices.Collect(maps.Keys(k.answered))
-	change.Over = slices.Collect(maps.Values(k.over))
-	for request := range k.waiting {
-		if _, cleared := k.answered[request]; !cleared {
-			change.Asked = append(change.Asked, quarantine.Asked{Request: request, Node: node, Boot: boot})
+	k.returnUnusedTrials(v, node, boot)
+	k.prune(v)
+	change := &quarantine.Change{Ended: slices.Clone(k.unconfirmedCrashes)}
+	change.Answered = slices.Collect(maps.Keys(k.answeredSuspects))
+	change.Over = slices.Collect(maps.Values(k.endedTrials))
+	for digest := range k.waiters {
+		if _, cleared := k.answeredSuspects[digest]; !cleared {
+			change.Asked = append(change.Asked, quarantine.Asked{Request: digest, Node: node, Boot: boot})
 		}
 	}
 	if change.Empty() {
@@ -219,121 +226,125 @@
 	return change
 }
 
-// giveBack returns the trials that nobody here waits for any more. The caller has the mutex.
-func (k *quarantineKeeper) giveBack(v *view, node string, boot uint64) {
-	for request, suspect := range v.suspects {
+// returnUnusedTrials returns the trials that no caller here waits for any more. The caller
+// must hold the mutex.
+func (k *quarantineTracker) returnUnusedTrials(v *view, node string, boot uint64) {
+	for digest, suspect := range v.suspects {
 		granted := suspect.Trial
-		if granted == nil || granted.Node != node || granted.Boot != boot || k.waiting[request] > 0 {
+		if granted == nil || granted.Node != node || granted.Boot != boot || k.waiters[digest] > 0 {
 			continue
 		}
-		if of := (trial{request, granted.Number}); !k.used[of] {
-			k.use(of)
-			k.tellOver(quarantine.Over{Request: request, Number: granted.Number})
+		if key := (trial{digest, granted.Number}); !k.usedTrials[key] {
+			k.markUsed(key)
+			k.queueTrialEnd(quarantine.Over{Request: digest, Number: granted.Number})
 		}
 	}
 }
 
-// forget drops what the leader's view has taken. The caller has the mutex.
-func (k *quarantineKeeper) forget(v *view) {
-	present := func(of trial) bool {
-		suspect := v.suspects[of.request]
-		return suspect.Trial != nil && suspect.Trial.Number == of.number || slices.Contains(suspect.Untold, of.number)
+// prune drops the entries that the leader's view already reflects. The caller must hold the
+// mutex.
+func (k *quarantineTracker) prune(v *view) {
+	listed := func(key trial) bool {
+		suspect := v.suspects[key.digest]
+		return suspect.Trial != nil && suspect.Trial.Number == key.number || slices.Contains(suspect.Untold, key.number)
 	}
-	maps.DeleteFunc(k.over, func(of trial, _ quarantine.Over) bool { return !present(of) })
-	maps.DeleteFunc(k.used, func(of trial, _ bool) bool { return !present(of) })
-	k.forgetExpected(steady.Now())
-	maps.DeleteFunc(k.answered, func(request quarantine.Digest, _ int) bool {
-		_, suspected := v.suspects[request]
-		return !suspected && !k.unconfirmedHas(request)
+	maps.DeleteFunc(k.endedTrials, func(key trial, _ quarantine.Over) bool { return !listed(key) })
+	maps.DeleteFunc(k.usedTrials, func(key trial, _ bool) bool { return !listed(key) })
+	k.pruneExpected(steady.Now())
+	maps.DeleteFunc(k.answeredSuspects, func(digest quarantine.Digest, _ int) bool {
+		_, suspected := v.suspects[digest]
+		return !suspected && !k.hasUnconfirmed(digest)
 	})
 }
 
-// forgetExpected drops the requests whose word has had its time. The caller has the mutex.
-func (k *quarantineKeeper) forgetExpected(now steady.Instant) {
-	maps.DeleteFunc(k.expected, func(_ quarantine.Digest, until steady.Instant) bool { return !now.Before(until) })
+// pruneExpected drops the requests for which no notice has arrived in time. The caller must
+// hold the mutex.
+func (k *quarantineTracker) pruneExpected(now steady.Instant) {
+	maps.DeleteFunc(k.expectedCrashes, func(_ quarantine.Digest, until steady.Instant) bool { return !now.Before(until) })
 }
 
-// unconfirmedHas reports whether an end that the leader's set may lack concerns a request. The
-// caller has the mutex.
-func (k *quarantineKeeper) unconfirmedHas(request quarantine.Digest) bool {
-	return slices.ContainsFunc(k.unconfirmed, func(ended quarantine.Ended) bool { return slices.Contains(ended.Requests, request) })
+// hasUnconfirmed reports whether a request was in progress during a crash that the leader's
+// set may not contain yet. The caller must hold the mutex.
+func (k *quarantineTracker) hasUnconfirmed(digest quarantine.Digest) bool {
+	return slices.ContainsFunc(k.unconfirmedCrashes, func(crash quarantine.Ended) bool { return slices.Contains(crash.Requests, digest) })
 }
 
-// admitSuspect lets a request pass that is not suspected, or waits for a trial of one that is.
-// It returns the trial's number, zero for none, or a refusal.
+// admitSuspect admits a request that is not suspected, and waits for a trial of one that is.
+// It returns the number of the trial, zero if none was needed, or a refusal.
 func (g *Gateway) admitSuspect(ctx context.Context, c *call) (number uint64, refusal *forwardResult) {
 	v := g.views.load()
 	if !g.quarantine.suspects(v) {
 		return 0, nil
 	}
-	request := c.digest()
-	if g.quarantine.of(request, v) == unsuspected {
+	suspect := c.digest()
+	if g.quarantine.suspicionOf(suspect, v) == notSuspected {
 		return 0, nil
 	}
-	until := steady.Reading().Add(min(longestTrialWait, time.Duration(trialWaitShare*float64(steady.Until(c.deadline)))))
-	leave := g.quarantine.await(request)
-	defer leave()
+	until := steady.Reading().Add(min(maxTrialWait, time.Duration(trialWaitShare*float64(steady.Until(c.deadline)))))
+	done := g.quarantine.await(suspect)
+	defer done()
 	for {
-		switch g.quarantine.of(request, v) {
-		case unsuspected:
+		switch g.quarantine.suspicionOf(suspect, v) {
+		case notSuspected:
 			return 0, nil
 		case heldBack:
 			refusal = notRun(reasonHeldBack)
-			refusal.RetryAfter = retryHeld
+			refusal.RetryAfter = heldBackRetryAfter
 			return 0, refusal
-		case onTrial:
+		case trialOnly:
 		}
-		if number, ok := g.quarantine.take(request, v, g.config.Name, g.session.boot); ok {
+		if number, ok := g.quarantine.claimTrial(suspect, v, g.config.Name, g.session.boot); ok {
 			return number, nil
 		}
-		left := steady.Until(until)
-		if left <= 0 || ctx.Err() != nil {
+		remaining := steady.Until(until)
+		if remaining <= 0 || ctx.Err() != nil {
 			return 0, notRun(reasonAwaitsTrial)
 		}
 		g.session.report()
-		v.await(ctx.Done(), left)
+		v.await(ctx.Done(), remaining)
 		v = g.views.load()
 	}
 }
 
-// trialEnds tells the leader what became of a trial; number zero is none.
+// trialEnds reports the result of a trial to the leader. Number zero means that there was no
+// trial.
 func (g *Gateway) trialEnds(c *call, number uint64, result *forwardResult) {
 	if number == 0 || result.Outcome == outcomeAnswered {
 		return
 	}
-	g.quarantine.ends(trial{c.digest(), number}, result)
+	g.quarantine.recordTrialEnd(trial{c.digest(), number}, result)
 	g.session.report()
 }
 
-// refusesSuspect reports whether the back end beside this gateway must not get a request: it
-// is suspected, and its gateway did not know.
+// refusesSuspect reports whether a request must not go to the back end beside this gateway
+// because it is suspected and the gateway of its caller did not know.
 func (g *Gateway) refusesSuspect(request *forwardRequest) bool {
 	if request.Trial != 0 {
 		return false
 	}
 	v := g.views.load()
-	return g.quarantine.suspects(v) && g.quarantine.of(request.digest(), v) != unsuspected
+	return g.quarantine.suspects(v) && g.quarantine.suspicionOf(request.digest(), v) != notSuspected
 }
 
-// noteAnswered clears a suspect that got a whole answer. The digest is worked out only where
-// anything is suspected.
+// noteAnswered clears a suspected request that got a complete response. The digest is computed
+// only if any request is suspected.
 func (g *Gateway) noteAnswered(digest func() quarantine.Digest) {
 	v := g.views.load()
-	if !g.quarantine.suspects(v) || g.quarantine.of(digest(), v) == unsuspected {
+	if !g.quarantine.suspects(v) || g.quarantine.suspicionOf(digest(), v) == notSuspected {
 		return
 	}
-	g.quarantine.answers(digest(), v)
+	g.quarantine.recordAnswer(digest(), v)
 	g.session.report()
 }
 
-// tellEnd tells the leader and all other gateways of the requests that a back end was at work
-// on when it ended.
-func (g *Gateway) tellEnd(life string, cut []cutRun) {
-	ended := quarantine.Ended{Life: life, Service: g.registry.snapshot().Service}
-	for _, run := range cut[:min(len(cut), quarantine.MostEnded)] {
-		ended.Requests = append(ended.Requests, run.request)
+// reportCrash reports a crash of the back end to the leader and to all other gateways, with
+// the requests that were in progress.
+func (g *Gateway) reportCrash(incarnation string, interrupted []interruptedRun) {
+	crash := quarantine.Ended{Life: incarnation, Service: g.registry.snapshot().Service}
+	for _, run := range interrupted[:min(len(interrupted), quarantine.MostEnded)] {
+		crash.Requests = append(crash.Requests, run.digest)
 	}
-	g.quarantine.hear([]quarantine.Ended{ended})
+	g.quarantine.addCrashes([]quarantine.Ended{crash})
 	g.session.report()
-	g.endNews.add(ended)
+	g.crashNotices.add(crash)
 }
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -19,23 +19,24 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// digestOfHops is the name of the request that twoHops.request makes.
-func digestOfHops() quarantine.Digest {
+// hopsDigest is the digest of the request that twoHops.request makes.
+func hopsDigest() quarantine.Digest {
 	return (&quarantine.Request{Service: "s", Method: http.MethodPost, Host: "h", Target: "/a/b", Body: []byte("body")}).Digest()
 }
 
-// suspectView is a leader's view with one suspect.
+// suspectView is a view of the leader with one suspect.
 func suspectView(index uint64, suspect quarantine.Suspect) *fleetwire.View {
 	return &fleetwire.View{QuarantineIndex: index, Suspects: []quarantine.Suspect{suspect}}
 }
 
-// endOf is the end of a life with one request at work.
-func endOf(life string, request quarantine.Digest) quarantine.Ended {
-	return quarantine.Ended{Life: life, Service: "s", Requests: []quarantine.Digest{request}}
+// crashOf is the crash of an incarnation with one request in progress.
+func crashOf(incarnation string, digest quarantine.Digest) quarantine.Ended {
+	return quarantine.Ended{Life: incarnation, Service: "s", Requests: []quarantine.Digest{digest}}
 }
 
-// visit sends the request of twoHops and returns the status and the runs that it caused.
-func (h *twoHops) visit(t *testing.T, id string) (status int, body string) {
+// sendRequest sends the request of twoHops and returns the status and the body of the
+// response.
+func (h *twoHops) sendRequest(t *testing.T, id string) (status int, body string) {
 	t.Helper()
 	response, err := http.DefaultClient.Do(h.request(t.Context(), t, id))
 	assert.NilError(t, err)
@@ -46,7 +47,7 @@
 	return response.StatusCode, strings.TrimSpace(content.String())
 }
 
-func startCountedHops(t *testing.T) (*twoHops, *atomic.Int32) {
+func startCountingHops(t *testing.T) (*twoHops, *atomic.Int32) {
 	t.Helper()
 	var runs atomic.Int32
 	hops := startTwoHops(t, twoHopsConfig{repetition: routeconfig.Repeatable, timeout: 2 * time.Second}, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -56,17 +57,17 @@
 	return hops, &runs
 }
 
-// What the gateway beside the caller does not know of, the one beside the back end does: a
-// suspect without a trial is not sent, at either.
-func TestASuspectRunsAtNoGatewayWithoutATrial(t *testing.T) {
-	for name, knows := range map[string]func(*twoHops) *Gateway{
+// A suspect without a trial must be stopped by either gateway: the one beside its caller or,
+// if that one does not know of the suspicion, the one beside the back end.
+func TestSuspectWithoutTrialIsStoppedByEitherGateway(t *testing.T) {
+	for name, informed := range map[string]func(*twoHops) *Gateway{
 		"beside the caller":   func(h *twoHops) *Gateway { return h.near },
 		"beside the back end": func(h *twoHops) *Gateway { return h.far },
 	} {
 		t.Run(name, func(t *testing.T) {
-			hops, runs := startCountedHops(t)
-			knows(hops).quarantine.hear([]quarantine.Ended{endOf("j", digestOfHops())})
-			status, body := hops.visit(t, "r1")
+			hops, runs := startCountingHops(t)
+			informed(hops).quarantine.addCrashes([]quarantine.Ended{crashOf("j", hopsDigest())})
+			status, body := hops.sendRequest(t, "r1")
 			assert.Equal(t, status, http.StatusServiceUnavailable)
 			assert.Equal(t, body, string(reasonAwaitsTrial))
 			assert.Equal(t, runs.Load(), int32(0))
@@ -74,172 +75,172 @@
 	}
 }
 
-// A held request is refused at once, with a time to come back far away.
-func TestAHeldRequestIsRefusedAtOnce(t *testing.T) {
-	hops, runs := startCountedHops(t)
-	advance(t, hops.near.views, suspectView(7, quarantine.Suspect{Request: digestOfHops(), Ends: quarantine.ManyEnds, FailedTrials: 2}))
+// A request that is held back is refused immediately, with a long retry time.
+func TestHeldBackRequestIsRefusedImmediately(t *testing.T) {
+	hops, runs := startCountingHops(t)
+	advance(t, hops.near.views, suspectView(7, quarantine.Suspect{Request: hopsDigest(), Ends: quarantine.ManyEnds, FailedTrials: 2}))
 	began := steady.Reading()
-	status, body := hops.visit(t, "r1")
+	status, body := hops.sendRequest(t, "r1")
 	assert.Equal(t, status, http.StatusServiceUnavailable)
 	assert.Equal(t, body, string(reasonHeldBack))
-	assert.Assert(t, steady.Elapsed(began) < longestTrialWait)
+	assert.Assert(t, steady.Elapsed(began) < maxTrialWait)
 	assert.Equal(t, runs.Load(), int32(0))
 }
 
-// A trial that the leader grants lets a waiting request pass both gateways, and the leader is
-// told that it was answered. Until its view says so, the gateways on its way know; another end
-// under it, told by the leader or by a gateway, counts anew.
-func TestATrialLetsOneRequestPass(t *testing.T) {
-	hops, runs := startCountedHops(t)
-	suspect := quarantine.Suspect{Request: digestOfHops(), Ends: 1}
+// A trial granted by the leader admits a waiting request at both gateways, and both report its
+// response to the leader. They clear the suspect before the leader's view does. Another crash
+// during the request, reported by the leader or by a gateway, makes it a suspect again.
+func TestTrialAdmitsSuspect(t *testing.T) {
+	hops, runs := startCountingHops(t)
+	suspect := quarantine.Suspect{Request: hopsDigest(), Ends: 1}
 	for _, g := range []*Gateway{hops.near, hops.far} {
 		advance(t, g.views, suspectView(7, suspect))
 	}
 	suspect.Trial = &quarantine.Trial{Node: "near", Boot: hops.near.session.boot, Number: 8}
 	advance(t, hops.near.views, suspectView(8, suspect))
-	status, _ := hops.visit(t, "r1")
+	status, _ := hops.sendRequest(t, "r1")
 	assert.Equal(t, status, http.StatusOK)
-	status, _ = hops.visit(t, "r2")
-	assert.Equal(t, status, http.StatusOK, "cleared here by its answer")
+	status, _ = hops.sendRequest(t, "r2")
+	assert.Equal(t, status, http.StatusOK, "cleared locally by its response")
 	assert.Equal(t, runs.Load(), int32(2))
 	for _, g := range []*Gateway{hops.near, hops.far} {
-		told := g.quarantine.report(g.views.load(), g.config.Name, g.session.boot)
-		assert.DeepEqual(t, told.Answered, []quarantine.Digest{digestOfHops()})
+		change := g.quarantine.report(g.views.load(), g.config.Name, g.session.boot)
+		assert.DeepEqual(t, change.Answered, []quarantine.Digest{hopsDigest()})
 	}
 	suspect.Ends, suspect.Trial = 2, nil
 	advance(t, hops.near.views, suspectView(9, suspect))
-	status, _ = hops.visit(t, "r3")
-	assert.Equal(t, status, http.StatusServiceUnavailable, "another end, by the leader's word")
+	status, _ = hops.sendRequest(t, "r3")
+	assert.Equal(t, status, http.StatusServiceUnavailable, "another crash, reported by the leader")
 	for _, g := range []*Gateway{hops.near, hops.far} {
 		advance(t, g.views, &fleetwire.View{QuarantineIndex: 10})
 	}
-	status, _ = hops.visit(t, "r4")
+	status, _ = hops.sendRequest(t, "r4")
 	assert.Equal(t, status, http.StatusOK, "cleared by the leader")
-	hops.far.quarantine.hear([]quarantine.Ended{endOf("k", digestOfHops())})
-	status, _ = hops.visit(t, "r5")
-	assert.Equal(t, status, http.StatusServiceUnavailable, "another end, by a gateway's word")
+	hops.far.quarantine.addCrashes([]quarantine.Ended{crashOf("k", hopsDigest())})
+	status, _ = hops.sendRequest(t, "r5")
+	assert.Equal(t, status, http.StatusServiceUnavailable, "another crash, reported by a gateway")
 	assert.Equal(t, runs.Load(), int32(3))
 }
 
-// Trials of other gateways, and of an earlier process of this one, are not used; one that
-// nobody waits for is given back, and not used any more.
-func TestOnlyThisProcessesTrialsAreUsed(t *testing.T) {
-	request := digestOfHops()
+// Trials of other gateways and of an earlier process of this one must not be used. A trial
+// that no caller waits for is returned and not used afterwards.
+func TestOnlyTrialsOfThisProcessAreUsed(t *testing.T) {
+	digest := hopsDigest()
 	v := newViews()
-	var k quarantineKeeper
+	var k quarantineTracker
 	for i, granted := range []quarantine.Trial{{Node: "other", Boot: 1}, {Node: "n", Boot: 2}, {Node: "n", Boot: 1}} {
 		granted.Number = uint64(10 + i)
-		advance(t, v, suspectView(granted.Number, quarantine.Suspect{Request: request, Ends: 1, Trial: &granted}))
-		_, ok := k.take(request, v.load(), "n", 1)
+		advance(t, v, suspectView(granted.Number, quarantine.Suspect{Request: digest, Ends: 1, Trial: &granted}))
+		_, ok := k.claimTrial(digest, v.load(), "n", 1)
 		assert.Equal(t, ok, i == 2, "%+v", granted)
 	}
 	granted := quarantine.Trial{Node: "n", Boot: 1, Number: 20}
-	advance(t, v, suspectView(20, quarantine.Suspect{Request: request, Ends: 1, Trial: &granted}))
-	told := k.report(v.load(), "n", 1)
-	assert.DeepEqual(t, told.Over, []quarantine.Over{{Request: request, Number: 20}})
-	_, ok := k.take(request, v.load(), "n", 1)
+	advance(t, v, suspectView(20, quarantine.Suspect{Request: digest, Ends: 1, Trial: &granted}))
+	change := k.report(v.load(), "n", 1)
+	assert.DeepEqual(t, change.Over, []quarantine.Over{{Request: digest, Number: 20}})
+	_, ok := k.claimTrial(digest, v.load(), "n", 1)
 	assert.Assert(t, !ok)
 }
 
-// An end is told until the leader's set has counted it, and then suspects by the leader's word
-// alone: one that was cleared meanwhile runs again.
-func TestAnEndIsToldUntilTheLeaderKnowsIt(t *testing.T) {
-	request := digestOfHops()
+// A crash is reported until the leader's set contains it. From then on only the leader's view
+// decides, so that a request cleared in the meantime may run.
+func TestCrashIsReportedUntilLeaderConfirms(t *testing.T) {
+	digest := hopsDigest()
 	v := newViews()
-	var k quarantineKeeper
-	k.hear([]quarantine.Ended{endOf("i", request), endOf("i", request)})
+	var k quarantineTracker
+	k.addCrashes([]quarantine.Ended{crashOf("i", digest), crashOf("i", digest)})
 	for range 2 {
 		assert.Equal(t, len(k.report(v.load(), "n", 1).Ended), 1)
 	}
-	assert.Equal(t, k.of(request, v.load()), onTrial)
+	assert.Equal(t, k.suspicionOf(digest, v.load()), trialOnly)
 	k.confirm([]string{"i"})
-	assert.Equal(t, k.of(request, v.load()), unsuspected)
+	assert.Equal(t, k.suspicionOf(digest, v.load()), notSuspected)
 	assert.Assert(t, k.report(v.load(), "n", 1) == nil)
 }
 
-// The requests of a visit whose back end ended come again in the same visit only where they
-// are likelier innocent than not, and may have an owner at once.
-func TestAVisitEndsWithItsBackEndWhereTheRequestIsTheLikelyCause(t *testing.T) {
+// A request whose back end crashed is retried for the same caller only if it is probably not
+// the cause of the crash and an owner may be found in time.
+func TestProbableCauseOfCrashIsNotRetried(t *testing.T) {
 	for name, test := range map[string]struct {
 		result forwardResult
 		trial  uint64
 		keyed  bool
 		want   bool
 	}{
-		"alone":         {result: forwardResult{Reason: reasonEnded, AtWork: 1}, want: true},
-		"one of many":   {result: forwardResult{Reason: reasonEnded, AtWork: 2}},
-		"on trial":      {result: forwardResult{Reason: reasonEnded, AtWork: 2}, trial: 4, want: true},
-		"with a key":    {result: forwardResult{Reason: reasonEnded, AtWork: 9}, keyed: true, want: true},
-		"only cut off":  {result: forwardResult{Reason: reasonBroken}, keyed: true},
-		"nobody counts": {result: forwardResult{Reason: reasonEnded}, want: true},
+		"alone":            {result: forwardResult{Reason: reasonEnded, AtWork: 1}, want: true},
+		"one of many":      {result: forwardResult{Reason: reasonEnded, AtWork: 2}},
+		"on trial":         {result: forwardResult{Reason: reasonEnded, AtWork: 2}, trial: 4, want: true},
+		"with a key":       {result: forwardResult{Reason: reasonEnded, AtWork: 9}, keyed: true, want: true},
+		"connection broke": {result: forwardResult{Reason: reasonBroken}, keyed: true},
+		"number unknown":   {result: forwardResult{Reason: reasonEnded}, want: true},
 	} {
 		c := &call{service: &routeconfig.Service{Keyed: test.keyed}}
 		assert.Equal(t, endedUnder(c, &test.result, test.trial), test.want, name)
 	}
 }
 
-// A gateway tells all others of an end, without a leader.
-func TestAnEndIsToldToOtherGatewaysWithoutALeader(t *testing.T) {
-	hops, _ := startCountedHops(t)
-	request := digestOfHops()
-	hops.near.tellEnd("j", []cutRun{{id: "r", request: request}})
+// A gateway notifies all others of a crash even if there is no leader.
+func TestCrashNoticeReachesPeersWithoutLeader(t *testing.T) {
+	hops, _ := startCountingHops(t)
+	digest := hopsDigest()
+	hops.near.reportCrash("j", []interruptedRun{{id: "r", digest: digest}})
 	for range 500 {
-		if hops.far.quarantine.of(request, hops.far.views.load()) == onTrial {
+		if hops.far.quarantine.suspicionOf(digest, hops.far.views.load()) == trialOnly {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("the other gateway was not told")
+	t.Fatal("the other gateway did not get the notice")
 }
 
-// What no gateway sends as an end is refused, and suspects nothing.
-func TestEndsThatCannotBeReadAreRefused(t *testing.T) {
-	hops, _ := startCountedHops(t)
-	encode := func(ended []quarantine.Ended) []byte {
+// A malformed notice is rejected and makes no request a suspect.
+func TestMalformedCrashNoticeIsRejected(t *testing.T) {
+	hops, _ := startCountingHops(t)
+	encode := func(crashes []quarantine.Ended) []byte {
 		var body bytes.Buffer
-		assert.NilError(t, gob.NewEncoder(&body).Encode(ended))
+		assert.NilError(t, gob.NewEncoder(&body).Encode(crashes))
 		return body.Bytes()
 	}
-	request := digestOfHops()
-	many := make([]quarantine.Ended, mostNewsEnds+1)
-	for i := range many {
-		many[i] = endOf("j", request)
+	digest := hopsDigest()
+	tooMany := make([]quarantine.Ended, maxNoticeCrashes+1)
+	for i := range tooMany {
+		tooMany[i] = crashOf("j", digest)
 	}
-	whole := encode([]quarantine.Ended{endOf("j", request)})
+	valid := encode([]quarantine.Ended{crashOf("j", digest)})
 	for name, test := range map[string]struct {
 		body   []byte
 		status int
 	}{
-		"cut short":      {whole[:len(whole)-3], http.StatusBadRequest},
-		"no gob":         {[]byte("{}"), http.StatusBadRequest},
-		"too many":       {encode(many), http.StatusBadRequest},
-		"too long":       {make([]byte, mostNews+1), http.StatusBadRequest},
-		"without a life": {encode([]quarantine.Ended{endOf("", request)}), http.StatusNoContent},
+		"truncated":              {valid[:len(valid)-3], http.StatusBadRequest},
+		"not gob":                {[]byte("{}"), http.StatusBadRequest},
+		"too many crashes":       {encode(tooMany), http.StatusBadRequest},
+		"too large":              {make([]byte, maxNoticeBytes+1), http.StatusBadRequest},
+		"without an incarnation": {encode([]quarantine.Ended{crashOf("", digest)}), http.StatusNoContent},
 	} {
 		recorder := httptest.NewRecorder()
-		hops.far.takeEnds(recorder, httptest.NewRequest(http.MethodPost, "/", bytes.NewReader(test.body)))
+		hops.far.receiveCrashes(recorder, httptest.NewRequest(http.MethodPost, "/", bytes.NewReader(test.body)))
 		assert.Equal(t, recorder.Code, test.status, name)
-		assert.Equal(t, hops.far.quarantine.of(request, hops.far.views.load()), unsuspected, name)
+		assert.Equal(t, hops.far.quarantine.suspicionOf(digest, hops.far.views.load()), notSuspected, name)
 	}
 }
 
-// The gateway of the caller learns from the try's result that the back end has ended, before
-// it is told so: the request is suspected from then on, and by what it is told later on.
-func TestARequestIsSuspectedBeforeTheWordOfItsEnd(t *testing.T) {
+// The caller's gateway learns of the crash from the result of the attempt, before the notice
+// arrives. The request must be suspected from then on, and continue to be after the notice.
+func TestRequestIsSuspectedBeforeCrashNotice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		request := digestOfHops()
+		digest := hopsDigest()
 		v := newViews()
-		var k quarantineKeeper
-		k.expect(request, steady.Now())
+		var k quarantineTracker
+		k.expect(digest, steady.Now())
 		assert.Assert(t, k.suspects(v.load()))
-		assert.Equal(t, k.of(request, v.load()), onTrial)
-		time.Sleep(endExpected)
-		assert.Equal(t, k.of(request, v.load()), unsuspected)
-		k.expect(request, steady.Now())
-		k.hear([]quarantine.Ended{endOf("i", request)})
-		time.Sleep(endExpected)
-		assert.Equal(t, k.of(request, v.load()), onTrial)
+		assert.Equal(t, k.suspicionOf(digest, v.load()), trialOnly)
+		time.Sleep(expectedCrashLifetime)
+		assert.Equal(t, k.suspicionOf(digest, v.load()), notSuspected)
+		k.expect(digest, steady.Now())
+		k.addCrashes([]quarantine.Ended{crashOf("i", digest)})
+		time.Sleep(expectedCrashLifetime)
+		assert.Equal(t, k.suspicionOf(digest, v.load()), trialOnly)
 		k.report(v.load(), "n", 1)
-		assert.Equal(t, len(k.expected), 0)
+		assert.Equal(t, len(k.expectedCrashes), 0)
 	})
 }
--- a/internal/gateway/promises_test.go
+++ b/internal/gateway/releasereport_test.go
@@ -12,45 +12,45 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// leaseAskedAt gives the rig a lease that answers the report of a moment.
-func (r *keyRig) leaseAskedAt(at time.Duration, held, release []fleetwire.Held) {
-	r.g.keys.take(&fleetwire.Lease{SentAt: at, Duration: 8 * time.Second, Instance: "i-1", Held: held, Release: release}, r.epoch)
+// leaseRequestedAt applies a lease that answers a report sent at the given time.
+func (r *keyRig) leaseRequestedAt(requestedAt time.Duration, held, release []fleetwire.Held) {
+	r.g.keys.take(&fleetwire.Lease{SentAt: requestedAt, Duration: 8 * time.Second, Instance: "i-1", Held: held, Release: release}, r.epoch)
 	time.Sleep(keysInterval)
 	synctest.Wait()
 }
 
-// promise has a range given up and told, and returns when it was told last.
-func (r *keyRig) promise(t *testing.T) (told time.Duration) {
+// reportRelease has a range released and reported, and returns when it was last reported.
+func (r *keyRig) reportRelease(t *testing.T) (reportedAt time.Duration) {
 	t.Helper()
 	time.Sleep(2 * answerVoid)
 	r.lease(held(0, 99), nil)
 	r.lease(held(0, 39), asked(40, 99))
-	told = steady.Elapsed(r.epoch)
-	assert.Equal(t, len(r.g.keys.promises(told)), 1)
-	return told
+	reportedAt = steady.Elapsed(r.epoch)
+	assert.Equal(t, len(r.g.keys.promises(reportedAt)), 1)
+	return reportedAt
 }
 
-// The next leader knew no move and listed the range as held, while a report with the promise
-// of its release was on its way. The gateway granted the range again; the leader began the same
-// move, and took the promise for it.
-func TestALeaseThatWasAskedForBeforeAPromiseWasToldGivesNothingOfIt(t *testing.T) {
+// A new leader did not know of a move and listed the range as held while a report of its
+// release was in transit. The gateway granted the range again; the leader then started the
+// same move and accepted the earlier report of the release for it.
+func TestLeaseRequestedBeforeReleaseReportDoesNotRegrant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newKeyRig(t)
-		told := rig.promise(t)
+		reportedAt := rig.reportRelease(t)
 		granted := len(rig.holder.granted())
-		rig.leaseAskedAt(told-time.Millisecond, held(0, 99), nil)
+		rig.leaseRequestedAt(reportedAt-time.Millisecond, held(0, 99), nil)
 		assert.Assert(t, !rig.g.keys.holds("i-1", 45, steady.Reading()))
 		for _, order := range rig.holder.granted()[granted:] {
-			assert.Assert(t, order.Keys.Last < 40, "%v is granted", order.Keys)
+			assert.Assert(t, order.Keys.Last < 40, "range %v is granted again", order.Keys)
 		}
-		rig.leaseAskedAt(told+time.Millisecond, held(0, 99), nil)
-		assert.Assert(t, rig.g.keys.holds("i-1", 45, steady.Reading()), "the leader has taken the promise, and still gives it")
+		rig.leaseRequestedAt(reportedAt+time.Millisecond, held(0, 99), nil)
+		assert.Assert(t, rig.g.keys.holds("i-1", 45, steady.Reading()), "the leader has processed the release and lists the range again")
 	})
 }
 
-// A grant without an answer may be carried out up to a second after it was sent, and holds
-// from then.
-func TestAGrantWithoutAnswerHoldsFromItsLatestArrival(t *testing.T) {
+// A grant without a response may take effect up to a second after it was sent, and holds from
+// then on.
+func TestUnansweredGrantHoldsFromLatestArrival(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newKeyRig(t)
 		time.Sleep(5 * time.Second)
@@ -70,8 +70,8 @@
 	})
 }
 
-// What the process of the gateway before this one sent last may arrive a second later.
-func TestWhatAnEarlierProcessSentMayStillArrive(t *testing.T) {
+// A message that an earlier process of the gateway sent last may arrive up to a second later.
+func TestMessagesOfEarlierProcessMayStillArrive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newKeyRig(t)
 		assert.Assert(t, !rig.g.keys.earlierProcessUntil().Before(rig.g.keys.started.Add(keyhold.Longest(DefaultKeyHold+transit))))
--- /dev/null
+++ b/internal/gateway/runtracker.go
@@ -0,0 +1,169 @@
+package gateway
+
+import (
+	"net"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/quartzdock/quartzdock/internal/quarantine"
+	"github.com/quartzdock/quartzdock/internal/steady"
+)
+
+// This file tracks the requests that the back end beside the gateway is processing, and which
+// of them were interrupted when it crashed. A refused connection is taken as the sign of a
+// crash. If that is wrong, each of these requests needs a trial before it may run again.
+
+const (
+	// brokenRunWindow is how long before the detection of a crash a connection may have broken
+	// because of it.
+	brokenRunWindow = 2 * time.Second
+	// maxBrokenRuns bounds the runs with broken connections that are remembered; the oldest
+	// are dropped.
+	maxBrokenRuns = 256
+	// maxCrashes bounds the crashes that are remembered; the oldest are dropped.
+	maxCrashes = 16
+	// crashProbeTimeout bounds how long a run with a broken connection waits to learn whether
+	// the back end has crashed.
+	crashProbeTimeout = 200 * time.Millisecond
+	// maxRequestsLogged bounds the requests listed in one log line.
+	maxRequestsLogged = 32
+)
+
+// interruptedRun is a run that was in progress when its back end crashed.
+type interruptedRun struct {
+	id     string
+	digest quarantine.Digest
+}
+
+// brokenRun is a run whose connection broke.
+type brokenRun struct {
+	interruptedRun
+	incarnation string
+	at          steady.Instant
+}
+
+// crash records an incarnation of the back end that crashed, and how many requests were in
+// progress.
+type crash struct {
+	incarnation string
+	inProgress  int
+}
+
+// runTracker tracks the requests in progress at the back end beside the gateway. The zero
+// value is ready to use.
+type runTracker struct {
+	mutex  sync.Mutex
+	runs   map[*forwardRequest]struct{}
+	broken []brokenRun
+	// crashes are the incarnations that have crashed, the latest last.
+	crashes []crash
+	// probing serializes checks whether anything listens at the back end's address.
+	// lastListening is when such a check last succeeded.
+	probing       sync.Mutex
+	lastListening steady.Atomic
+}
+
+func (w *runTracker) begin(request *forwardRequest) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	if w.runs == nil {
+		w.runs = map[*forwardRequest]struct{}{}
+	}
+	w.runs[request] = struct{}{}
+}
+
+func (w *runTracker) end(request *forwardRequest) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	delete(w.runs, request)
+}
+
+// connectionBroke records that the connection of a run closed before its response was
+// complete.
+func (w *runTracker) connectionBroke(request *forwardRequest, now steady.Instant) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	delete(w.runs, request)
+	w.broken = append(w.broken, brokenRun{interruptedRun{request.ID, request.digest()}, request.Instance, now})
+	w.broken = w.broken[max(0, len(w.broken)-maxBrokenRuns):]
+}
+
+// crashed reports whether an incarnation is known to have crashed, and how many requests were
+// in progress.
+func (w *runTracker) crashed(incarnation string) (inProgress int, crashed bool) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	for _, known := range w.crashes {
+		if known.incarnation == incarnation {
+			return known.inProgress, true
+		}
+	}
+	return 0, false
+}
+
+// recordCrash records the crash of an incarnation and returns the runs it interrupted. first
+// is false if the crash was already recorded.
+func (w *runTracker) recordCrash(incarnation string, now steady.Instant) (interrupted []interruptedRun, first bool) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	if slices.ContainsFunc(w.crashes, func(known crash) bool { return known.incarnation == incarnation }) {
+		return nil, false
+	}
+	for _, run := range w.broken {
+		if run.incarnation == incarnation && now.Sub(run.at) <= brokenRunWindow {
+			interrupted = append(interrupted, run.interruptedRun)
+		}
+	}
+	for request := range w.runs {
+		if request.Instance == incarnation {
+			interrupted = append(interrupted, interruptedRun{request.ID, request.digest()})
+		}
+	}
+	w.crashes = append(w.crashes[max(0, len(w.crashes)+1-maxCrashes):], crash{incarnation, len(interrupted)})
+	return interrupted, true
+}
+
+// endedUnder reports whether the back end crashed during a run whose connection broke, and how
+// many requests were in progress. It blocks until a connection to the back end's address is
+// accepted or refused.
+func (g *Gateway) endedUnder(request *forwardRequest) (inProgress int, crashed bool) {
+	brokeAt := steady.Now()
+	g.atWork.connectionBroke(request, brokeAt)
+	g.atWork.probing.Lock()
+	defer g.atWork.probing.Unlock()
+	if inProgress, crashed = g.atWork.crashed(request.Instance); crashed {
+		return inProgress, true
+	}
+	if lastListening, ok := g.atWork.lastListening.Load(); ok && brokeAt.Before(lastListening) {
+		return 0, false
+	}
+	conn, err := net.DialTimeout("tcp", g.config.BackendAddress, crashProbeTimeout)
+	if err == nil {
+		_ = conn.Close()
+		g.atWork.lastListening.Store(steady.Now())
+		return 0, false
+	}
+	if !refusedConnection(err) || !g.registry.serves(request.Instance) {
+		return 0, false
+	}
+	g.handleCrash(request.Instance)
+	return g.atWork.crashed(request.Instance)
+}
+
+// handleCrash records and reports the requests that were in progress when an incarnation of
+// the back end crashed.
+func (g *Gateway) handleCrash(incarnation string) {
+	interrupted, first := g.atWork.recordCrash(incarnation, steady.Now())
+	if !first || len(interrupted) == 0 {
+		return
+	}
+	g.reportCrash(incarnation, interrupted)
+	g.metrics.backendCrashed(len(interrupted))
+	logged := interrupted[:min(len(interrupted), maxRequestsLogged)]
+	ids, digests := make([]string, len(logged)), make([]string, len(logged))
+	for i, run := range logged {
+		ids[i], digests[i] = run.id, run.digest.String()
+	}
+	g.config.Log.Warn("back end ended while at work", "instance", incarnation, "at_work", len(interrupted), "requests", ids, "digests", digests)
+}
--- a/internal/gateway/atwork_test.go
+++ b/internal/gateway/runtracker_test.go
@@ -15,20 +15,20 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// endingBackend is a back end whose process a test can end.
-type endingBackend struct {
+// crashableBackend is a back end whose process a test can crash.
+type crashableBackend struct {
 	*httptest.Server
-	began chan string
-	hold  chan struct{}
+	started chan string
+	release chan struct{}
 }
 
-func startEndingBackend(t *testing.T) *endingBackend {
+func startCrashableBackend(t *testing.T) *crashableBackend {
 	t.Helper()
-	b := &endingBackend{began: make(chan string, 16), hold: make(chan struct{})}
+	b := &crashableBackend{started: make(chan string, 16), release: make(chan struct{})}
 	b.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		b.began <- r.RequestURI
+		b.started <- r.RequestURI
 		select {
-		case <-b.hold:
+		case <-b.release:
 			answerWhole(w, r)
 		case <-r.Context().Done():
 		}
@@ -37,14 +37,14 @@
 	return b
 }
 
-// end ends the process: nothing listens, and all connections are gone.
-func (b *endingBackend) end() {
+// crash ends the process: its listener and all of its connections are closed.
+func (b *crashableBackend) crash() {
 	_ = b.Listener.Close()
 	b.CloseClientConnections()
 }
 
-// egressBeside returns the egress of a gateway beside a back end that serves as life "i".
-func egressBeside(t *testing.T, address string) *egress {
+// startEgress returns the egress of a gateway beside a back end with incarnation "i".
+func startEgress(t *testing.T, address string) *egress {
 	t.Helper()
 	g, err := Start(Config{Name: "n", Zone: "a", Service: "s", CallerListen: freeAddress(t), PeerListen: freeAddress(t), BackendAddress: address, Headers: testHeaders()})
 	assert.NilError(t, err)
@@ -55,7 +55,8 @@
 	return g.egress
 }
 
-// serveAll sends requests to the back end at once and returns where their results come.
+// serveAll sends requests to the back end concurrently and returns a channel for their
+// results.
 func serveAll(ctx context.Context, e *egress, targets ...string) chan *forwardResult {
 	results := make(chan *forwardResult, len(targets))
 	for _, target := range targets {
@@ -68,57 +69,58 @@
 	return results
 }
 
-// All that a back end was at work on when its process ended is told, by the digests that
-// their next copies will have.
-func TestTheEndOfABackEndIsToldOfAllThatItWorkedOn(t *testing.T) {
-	backend := startEndingBackend(t)
-	e := egressBeside(t, backend.Listener.Addr().String())
+// All requests that were in progress when the back end crashed must be reported, with the same
+// digests as their retries.
+func TestCrashReportsAllRequestsInProgress(t *testing.T) {
+	backend := startCrashableBackend(t)
+	e := startEgress(t, backend.Listener.Addr().String())
 	results := serveAll(t.Context(), e, "/a", "/b")
-	<-backend.began
-	<-backend.began
-	backend.end()
+	<-backend.started
+	<-backend.started
+	backend.crash()
 	for range 2 {
 		result := <-results
 		assert.Equal(t, result.Outcome, outcomeUnknown)
 		assert.Equal(t, result.Reason, reasonEnded)
 	}
-	atWork, ended := e.gateway.atWork.hasEnded("i")
-	assert.Assert(t, ended)
-	assert.Equal(t, atWork, 2)
+	inProgress, crashed := e.gateway.atWork.crashed("i")
+	assert.Assert(t, crashed)
+	assert.Equal(t, inProgress, 2)
 }
 
-// A connection that ends, a caller that leaves and a deadline are no end of the back end.
-func TestABrokenConnectionIsNoEndOfTheBackEnd(t *testing.T) {
-	backend := startEndingBackend(t)
-	e := egressBeside(t, backend.Listener.Addr().String())
+// A closed connection, a caller that leaves and an expired deadline do not count as a crash.
+func TestBrokenConnectionIsNotACrash(t *testing.T) {
+	backend := startCrashableBackend(t)
+	e := startEgress(t, backend.Listener.Addr().String())
 	results := serveAll(t.Context(), e, "/a")
-	<-backend.began
+	<-backend.started
 	backend.CloseClientConnections()
 	assert.Equal(t, (<-results).Reason, reasonBroken)
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	results = serveAll(ctx, e, "/b")
-	<-backend.began
-	leave()
+	<-backend.started
+	cancel()
 	assert.Assert(t, (<-results).Reason != reasonEnded)
-	_, ended := e.gateway.atWork.hasEnded("i")
-	assert.Assert(t, !ended)
+	_, crashed := e.gateway.atWork.crashed("i")
+	assert.Assert(t, !crashed)
 }
 
-// One that was leaving ends as it was to.
-func TestAPlannedEndIsNoneUnderItsRequests(t *testing.T) {
-	backend := startEndingBackend(t)
-	e := egressBeside(t, backend.Listener.Addr().String())
+// A back end that deregistered before it exited has not crashed.
+func TestPlannedExitIsNotACrash(t *testing.T) {
+	backend := startCrashableBackend(t)
+	e := startEgress(t, backend.Listener.Addr().String())
 	results := serveAll(t.Context(), e, "/a")
-	<-backend.began
+	<-backend.started
 	e.gateway.Deregister("i")
-	backend.end()
+	backend.crash()
 	assert.Equal(t, (<-results).Reason, reasonBroken)
 }
 
-// A life that is back at its address before anything was refused is known by its heartbeat.
-// Of the connections that broke off, those of long ago have nothing to do with it.
-func TestTheNextLifeTellsOfTheEndOfTheFormer(t *testing.T) {
-	w := &atWork{}
+// If a back end restarts before a connection was refused, the crash is detected by the
+// heartbeat of the next incarnation. Connections that broke long before are not attributed to
+// the crash.
+func TestNextIncarnationRevealsCrashOfPrevious(t *testing.T) {
+	w := &runTracker{}
 	now := steady.Now()
 	for _, run := range []struct {
 		target string
@@ -127,17 +129,17 @@
 	}{{"/recent", "i", time.Second}, {"/old", "i", 5 * time.Second}, {"/other", "j", 0}} {
 		request := &forwardRequest{ID: run.target, URI: run.target, Instance: run.life}
 		w.begin(request)
-		w.breaks(request, now-steady.Instant(run.ago))
+		w.connectionBroke(request, now-steady.Instant(run.ago))
 	}
 	w.begin(&forwardRequest{ID: "/running", URI: "/running", Instance: "i"})
-	cut, first := w.ends("i", now)
+	interrupted, first := w.recordCrash("i", now)
 	assert.Assert(t, first)
 	var ids []string
-	for _, run := range cut {
+	for _, run := range interrupted {
 		ids = append(ids, run.id)
 	}
 	slices.Sort(ids)
 	assert.Equal(t, strings.Join(ids, " "), "/recent /running")
-	_, first = w.ends("i", now)
-	assert.Assert(t, !first, "told once")
+	_, first = w.recordCrash("i", now)
+	assert.Assert(t, !first, "a crash is reported once")
 }
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -15,135 +15,138 @@
 )
 
 const (
-	// reportInterval is how often a gateway reports when nothing changes, and
-	// keyedInterval where its back end holds keys, whose load may shift.
-	reportInterval = 500 * time.Millisecond
-	keyedInterval  = 200 * time.Millisecond
-	// sessionSilence is when a session that hears nothing is given up.
-	sessionSilence = 1600 * time.Millisecond
-	sessionDial    = 500 * time.Millisecond
-	// sessionRetry is the pause after all known controllers were tried.
-	sessionRetry = 100 * time.Millisecond
-	// spreadPerGateway is for each gateway of the fleet the time over which all open
-	// their sessions after a leader's end: a session costs the next leader about 0.5
-	// ms of a whole core, of which the users' machines have a quarter. longestSpread
-	// bounds it well within a lease (keylease.DefaultLeaseDuration).
-	spreadPerGateway = 3 * time.Millisecond
-	longestSpread    = 1500 * time.Millisecond
-	// greetingBase is how long a controller may take to answer the opening of a session,
-	// beside spreadPerGateway for each gateway that may come at the same time. It is
-	// several round trips between zones; one that stands still says nothing at all.
-	greetingBase = 400 * time.Millisecond
-	// maxRedirects bounds how often one search follows a redirect.
+	// reportInterval is how often a gateway reports if nothing changes. keyedReportInterval
+	// applies while its back end holds keys, since their load may shift.
+	reportInterval      = 500 * time.Millisecond
+	keyedReportInterval = 200 * time.Millisecond
+	// sessionIdleTimeout is how long a session may receive nothing before it is closed.
+	sessionIdleTimeout = 1600 * time.Millisecond
+	sessionDialTimeout = 500 * time.Millisecond
+	// sessionRetryDelay is the pause after all known controllers have been tried.
+	sessionRetryDelay = 100 * time.Millisecond
+	// After a leader fails, the gateways reopen their sessions spread over spreadPerGateway
+	// for each gateway of the fleet: a session costs the next leader about 0.5 ms of a full
+	// core, and the users' machines have a quarter of one. maxReconnectDelay keeps the spread
+	// well within a lease (keylease.DefaultLeaseDuration).
+	spreadPerGateway  = 3 * time.Millisecond
+	maxReconnectDelay = 1500 * time.Millisecond
+	// firstMessageBase is how long a controller may take to answer when a session is opened,
+	// plus spreadPerGateway for each gateway that may connect at the same time. It covers
+	// several round trips between zones. A controller that hangs does not answer at all.
+	firstMessageBase = 400 * time.Millisecond
+	// maxRedirects bounds the redirects followed from one address of the list.
 	maxRedirects = 4
 )
 
-// sessionClient keeps a session with the leading controller.
+// sessionClient maintains the session with the leading controller.
 type sessionClient struct {
 	gateway *Gateway
 	boot    uint64
 	started time.Time
-	// controllers belong to the goroutine that keeps the session.
-	controllers controllerList
-	wake        chan struct{}
-	// confirm asks for a word of the configuration that is in force.
-	confirm chan struct{}
-	// served says that the last session brought a view.
+	// controllers is used only by the goroutine that maintains the session.
+	controllers    controllerList
+	reportRequests chan struct{}
+	// confirmRequests requests a confirmation of the configuration in force.
+	confirmRequests chan struct{}
+	// served reports whether the last session delivered a view.
 	served bool
-	// heardAt is when the leader was last heard, in nanoseconds since started.
-	heardAt atomic.Int64
-	vouched vouched
-	// standings belong to the goroutine that keeps the session, and so does byMajority: a
-	// majority of them has vouched since a leader last served.
-	standings  configlease.Standings
-	byMajority bool
+	// leaderHeardAt is when the last message of the leader arrived, in nanoseconds since
+	// started.
+	leaderHeardAt atomic.Int64
+	vouched       configurationLease
+	// standings and extendedByMajority are used only by the goroutine that maintains the
+	// session. extendedByMajority is set once a majority of the controllers has extended the
+	// configuration lease since a leader last delivered a view.
+	standings          configlease.Standings
+	extendedByMajority bool
 }
 
 func newSessionClient(g *Gateway) *sessionClient {
 	return &sessionClient{
-		gateway:     g,
-		boot:        rand.Uint64(),
-		started:     steady.Reading(),
-		controllers: newControllerList(g.config.Controllers),
-		wake:        make(chan struct{}, 1),
-		confirm:     make(chan struct{}, 1),
+		gateway:         g,
+		boot:            rand.Uint64(),
+		started:         steady.Reading(),
+		controllers:     newControllerList(g.config.Controllers),
+		reportRequests:  make(chan struct{}, 1),
+		confirmRequests: make(chan struct{}, 1),
 	}
 }
 
-// answered reports whether the leader has answered a report of this process.
-func (s *sessionClient) answered() bool { return s.vouched.heardLeader() }
+// heardFromLeader reports whether the leader has answered a report of this process.
+func (s *sessionClient) heardFromLeader() bool { return s.vouched.heardLeader() }
 
-// now is the clock that reports carry.
+// now reads the clock that timestamps in reports refer to.
 func (s *sessionClient) now() time.Duration { return steady.Elapsed(s.started) }
 
-// silence is how long the leader has not been heard.
-func (s *sessionClient) silence(now time.Time) time.Duration {
-	return now.Sub(s.started) - time.Duration(s.heardAt.Load())
+// leaderSilence returns the time since the last message of the leader.
+func (s *sessionClient) leaderSilence(now time.Time) time.Duration {
+	return now.Sub(s.started) - time.Duration(s.leaderHeardAt.Load())
 }
 
-// report asks for a report at once.
-func (s *sessionClient) report() { wakeUp(s.wake) }
+// report asks the session to send the state of this process immediately.
+func (s *sessionClient) report() { wakeUp(s.reportRequests) }
 
-// wakeUp wakes who waits at a channel with room for one.
-func wakeUp(waiting chan<- struct{}) {
+// wakeUp signals on a channel with a buffer of one. It does nothing if a signal is already
+// pending.
+func wakeUp(signal chan<- struct{}) {
 	select {
-	case waiting <- struct{}{}:
+	case signal <- struct{}{}:
 	default:
 	}
 }
 
-// run keeps a session until the context ends.
+// run maintains a session until the context is canceled.
 func (s *sessionClient) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		for _, address := range s.controllers.order() {
-			s.follow(ctx, address)
+		for _, address := range s.controllers.dialOrder() {
+			s.followRedirects(ctx, address)
 			if ctx.Err() != nil {
 				return
 			}
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(sessionRetry):
+		case <-time.After(sessionRetryDelay):
 		}
 	}
 }
 
-// follow opens a session at an address and goes on where it is redirected.
-func (s *sessionClient) follow(ctx context.Context, address string) {
+// followRedirects opens a session at an address and follows redirects from there.
+func (s *sessionClient) followRedirects(ctx context.Context, address string) {
 	for range maxRedirects {
 		if !s.spread(ctx) {
 			return
 		}
-		redirect := s.hold(ctx, address)
+		redirect := s.runSession(ctx, address)
 		if redirect == nil {
 			return
 		}
-		s.controllers.learn(redirect.Controllers)
-		if redirect.Leader == address || !s.controllers.follows(redirect.Leader) {
+		s.controllers.update(redirect.Controllers)
+		if redirect.Leader == address || !s.controllers.mayFollow(redirect.Leader) {
 			return
 		}
 		address = redirect.Leader
 	}
 }
 
-// spread waits before the next session after one that served: when a leader ends,
-// all gateways come to the next one, which must not be late with its heartbeats for
-// their sake. It reports whether the context still runs.
+// spread waits for a random time if the previous session delivered a view. When a leader
+// fails, all gateways connect to the next one, and the load must not delay its heartbeats. It
+// reports whether the context is still active.
 func (s *sessionClient) spread(ctx context.Context) bool {
 	if !s.served {
 		return ctx.Err() == nil
 	}
 	s.served = false
-	longest := min(longestSpread, time.Duration(len(s.gateway.views.load().byID))*spreadPerGateway)
-	return pauseFor(ctx, time.Duration(rand.Float64()*float64(longest)))
+	maxDelay := min(maxReconnectDelay, time.Duration(len(s.gateway.views.load().byID))*spreadPerGateway)
+	return pauseFor(ctx, time.Duration(rand.Float64()*float64(maxDelay)))
 }
 
-// hold runs one session to its end and returns where the controller sent the
-// gateway, if it did.
-func (s *sessionClient) hold(ctx context.Context, address string) *fleetwire.Redirect {
-	redirect, err := s.converse(ctx, address)
+// runSession runs one session until it ends. It returns the redirect that the controller sent,
+// if any.
+func (s *sessionClient) runSession(ctx context.Context, address string) *fleetwire.Redirect {
+	redirect, err := s.exchangeMessages(ctx, address)
 	if failure := (net.Error)(nil); errors.As(err, &failure) && failure.Timeout() {
-		s.controllers.fellSilent(address)
+		s.controllers.markSilent(address)
 	}
 	if s.served || err != nil && ctx.Err() == nil {
 		s.gateway.config.Log.Info("session ended", "controller", address, "served", s.served, "redirected", redirect != nil, "error", err)
@@ -151,22 +154,22 @@
 	return redirect
 }
 
-// converse runs one session. It returns where the controller sent the gateway, or
-// why it ended.
-func (s *sessionClient) converse(ctx context.Context, address string) (*fleetwire.Redirect, error) {
-	dialing, dialed := context.WithTimeout(ctx, sessionDial)
-	conn, err := transport.Dial(dialing, address, transport.Options{WriteTimeout: time.Second, IdleTimeout: s.greetingLimit()})
-	dialed()
+// exchangeMessages runs one session. It returns the redirect that the controller sent, or the
+// error that ended the session.
+func (s *sessionClient) exchangeMessages(ctx context.Context, address string) (*fleetwire.Redirect, error) {
+	dialContext, cancelDial := context.WithTimeout(ctx, sessionDialTimeout)
+	conn, err := transport.Dial(dialContext, address, transport.Options{WriteTimeout: time.Second, IdleTimeout: s.firstMessageTimeout()})
+	cancelDial()
 	if err != nil {
 		return nil, err
 	}
 	defer conn.Close()
-	has := s.gateway.views.load()
+	known := s.gateway.views.load()
 	hello := &fleetwire.Hello{
 		Node: s.gateway.config.Name, Boot: s.boot,
-		Version: has.version(), OwnersIndex: has.ownersIndex, OwnersDigest: has.owners.Digest(),
+		Version: known.version(), OwnersIndex: known.ownersIndex, OwnersDigest: known.owners.Digest(),
 	}
-	asked := s.now()
+	requestedAt := s.now()
 	if err := conn.Send(fleetwire.ToController{Hello: hello}); err != nil {
 		return nil, err
 	}
@@ -180,43 +183,44 @@
 		if err := conn.Receive(&message); err != nil {
 			return nil, err
 		}
-		s.controllers.heard(address)
-		conn.SetIdleTimeout(sessionSilence)
+		s.controllers.markHeard(address)
+		conn.SetIdleTimeout(sessionIdleTimeout)
 		if message.Redirect != nil {
-			s.takeStanding(message.Redirect.Standing, asked)
+			s.recordStanding(message.Redirect.Standing, requestedAt)
 			return message.Redirect, nil
 		}
-		silence := s.silence(steady.Reading())
-		s.heardAt.Store(int64(s.now()))
-		servedBefore := s.served
+		silence := s.leaderSilence(steady.Reading())
+		s.leaderHeardAt.Store(int64(s.now()))
+		hadView := s.served
 		if err := s.take(&message); err != nil {
 			return nil, err
 		}
-		if s.served && !servedBefore {
+		if s.served && !hadView {
 			s.gateway.config.Log.Info("session serves", "controller", address, "silence_ms", silence.Milliseconds())
 		}
 	}
 }
 
-// greetingLimit is how long this gateway waits for a controller's first word.
-func (s *sessionClient) greetingLimit() time.Duration {
-	return greetingLimit(len(s.gateway.views.load().byID))
+// firstMessageTimeout returns how long this gateway waits for the first message of a
+// controller.
+func (s *sessionClient) firstMessageTimeout() time.Duration {
+	return firstMessageTimeout(len(s.gateway.views.load().byID))
 }
 
-// greetingLimit is how long one of a number of gateways waits for a controller's first
-// word.
-func greetingLimit(gateways int) time.Duration {
-	return min(sessionSilence, greetingBase+time.Duration(gateways)*spreadPerGateway)
+// firstMessageTimeout returns how long a gateway waits for the first message of a controller
+// in a fleet with this many gateways.
+func firstMessageTimeout(gateways int) time.Duration {
+	return min(sessionIdleTimeout, firstMessageBase+time.Duration(gateways)*spreadPerGateway)
 }
 
-// take puts a controller's message in force.
+// take applies a message from a controller.
 func (s *sessionClient) take(message *fleetwire.FromController) error {
 	g := s.gateway
 	if message.Known != nil {
 		g.registry.restore(*message.Known, g.config.DrainWithin, steady.Reading())
 	}
 	if message.View != nil {
-		if err := s.takeView(message.View); err != nil {
+		if err := s.applyView(message.View); err != nil {
 			return err
 		}
 	}
@@ -224,40 +228,40 @@
 		s.report()
 	}
 	if message.Lease != nil {
-		first := !s.answered()
-		// Only now: the view above is what it vouches for.
+		firstLease := !s.heardFromLeader()
+		// The lease must be extended last, since it covers the view that was applied above.
 		s.vouched.take(message.Lease, s.started)
 		g.keys.take(message.Lease, s.started)
 		g.quarantine.confirm(message.Lease.EndsKnown)
-		if first {
+		if firstLease {
 			g.registry.retry(steady.Reading())
 		}
 	}
 	return nil
 }
 
-func (s *sessionClient) takeView(news *fleetwire.View) error {
+func (s *sessionClient) applyView(update *fleetwire.View) error {
 	g := s.gateway
-	if err := news.Unpack(); err != nil {
+	if err := update.Unpack(); err != nil {
 		return err
 	}
-	before := g.views.load().version()
-	if err := g.views.advance(news, s.vouched.since()); err != nil {
+	oldVersion := g.views.load().version()
+	if err := g.views.advance(update, s.vouched.currentAsOf()); err != nil {
 		return err
 	}
-	s.served, s.byMajority = true, false
-	s.controllers.learn(news.Controllers)
-	if after := g.views.load().version(); after != before {
-		g.config.Log.Info("configuration in force", "version", uint64(after))
-		wakeUp(s.confirm)
+	s.served, s.extendedByMajority = true, false
+	s.controllers.update(update.Controllers)
+	if newVersion := g.views.load().version(); newVersion != oldVersion {
+		g.config.Log.Info("configuration in force", "version", uint64(newVersion))
+		wakeUp(s.confirmRequests)
 	}
-	if news.HasInstances {
+	if update.HasInstances {
 		g.peers.follow(g.views.load())
 	}
 	return nil
 }
 
-// sendReports reports at intervals and on changes.
+// sendReports sends reports at intervals and when something changes.
 func (s *sessionClient) sendReports(ctx context.Context, conn *transport.Conn) {
 	timer := time.NewTimer(reportInterval)
 	defer timer.Stop()
@@ -269,28 +273,29 @@
 		}
 		interval := reportInterval
 		if len(report.Load) > 0 {
-			interval = keyedInterval
+			interval = keyedReportInterval
 		}
 		timer.Reset(interval)
-		if !s.awaitReport(ctx, conn, timer.C) {
+		if !s.awaitNextReport(ctx, conn, timer.C) {
 			return
 		}
 	}
 }
 
-// awaitReport returns when the next report is due, and whether the session goes on. What
-// an operator waits for is confirmed meanwhile: a word of its own costs the leader, which
-// hears all gateways at the same moment then, a fraction of a report and its answer.
-func (s *sessionClient) awaitReport(ctx context.Context, conn *transport.Conn, due <-chan time.Time) (goesOn bool) {
+// awaitNextReport blocks until the next report is due. It returns false if the session is
+// over. While it waits it sends the confirmations that a pending operator request needs. All
+// gateways confirm at the same moment, and a separate confirmation costs the leader a fraction
+// of a report and its answer.
+func (s *sessionClient) awaitNextReport(ctx context.Context, conn *transport.Conn, due <-chan time.Time) (ok bool) {
 	for {
 		select {
 		case <-ctx.Done():
 			return false
 		case <-due:
 			return true
-		case <-s.wake:
+		case <-s.reportRequests:
 			return true
-		case <-s.confirm:
+		case <-s.confirmRequests:
 		}
 		confirmed := &fleetwire.Confirmed{Boot: s.boot, Version: s.gateway.views.load().version()}
 		if conn.Send(fleetwire.ToController{Confirmed: confirmed}) != nil {
--- a/internal/gateway/silentleader_test.go
+++ b/internal/gateway/silentleader_test.go
@@ -24,35 +24,36 @@
 )
 
 const (
-	// inForceWithin is what operators are promised: from then on after its
-	// acknowledgement nobody is served by what a configuration has replaced.
-	inForceWithin = 2 * time.Second
-	// scenarioPatience bounds each wait for a condition.
-	scenarioPatience = 30 * time.Second
+	// applyWithin is promised to operators: this long after a configuration was acknowledged,
+	// no request is routed by the one that it replaced.
+	applyWithin = 2 * time.Second
+	// waitTimeout bounds each wait for a condition.
+	waitTimeout = 30 * time.Second
 )
 
-// standStill passes messages between a gateway and a controller until it is told to stand
-// still: then it goes on accepting connections, as the kernel of a machine does whose
-// process doesn't run, and passes nothing on. It leaves out where else the controller is.
-type standStill struct {
+// pausableProxy relays messages between a gateway and a controller. While it is paused it
+// still accepts connections but relays nothing, like the kernel of a machine whose process
+// hangs. It removes the addresses of controllers from messages, so that the gateway cannot
+// bypass it.
+type pausableProxy struct {
 	listener *transport.Listener
 	target   string
 
 	mutex   sync.Mutex
-	running chan struct{}
-	still   bool
+	resumed chan struct{}
+	paused  bool
 }
 
-// endless bounds nothing: what ends a connection is the gateway or the controller.
-var endless = transport.Options{WriteTimeout: -1, IdleTimeout: -1}
+// noTimeouts leaves closing a connection to the gateway or the controller.
+var noTimeouts = transport.Options{WriteTimeout: -1, IdleTimeout: -1}
 
-func startStandStill(t *testing.T, listen, target string) *standStill {
+func startPausableProxy(t *testing.T, listen, target string) *pausableProxy {
 	t.Helper()
-	listener, err := transport.Listen(listen, endless)
+	listener, err := transport.Listen(listen, noTimeouts)
 	assert.NilError(t, err)
-	s := &standStill{listener: listener, target: target, running: make(chan struct{})}
-	close(s.running)
-	t.Cleanup(func() { _ = listener.Close(); s.goOn() })
+	s := &pausableProxy{listener: listener, target: target, resumed: make(chan struct{})}
+	close(s.resumed)
+	t.Cleanup(func() { _ = listener.Close(); s.resume() })
 	go func() {
 		for {
 			near, err := listener.Accept()
@@ -65,16 +66,16 @@
 	return s
 }
 
-func (s *standStill) connect(near *transport.Conn) {
+func (s *pausableProxy) connect(near *transport.Conn) {
 	defer near.Close()
-	s.await()
-	far, err := transport.Dial(context.Background(), s.target, endless)
+	s.awaitResumed()
+	far, err := transport.Dial(context.Background(), s.target, noTimeouts)
 	if err != nil {
 		return
 	}
 	defer far.Close()
-	go pass(s, far, near, func(*fleetwire.ToController) {})
-	pass(s, near, far, func(message *fleetwire.FromController) {
+	go relayMessages(s, far, near, func(*fleetwire.ToController) {})
+	relayMessages(s, near, far, func(message *fleetwire.FromController) {
 		if message.View != nil {
 			message.View.Controllers = nil
 		}
@@ -84,15 +85,15 @@
 	})
 }
 
-// pass hands the messages of one direction on.
-func pass[Message any](s *standStill, to, from *transport.Conn, change func(*Message)) {
+// relayMessages relays the messages of one direction.
+func relayMessages[Message any](s *pausableProxy, to, from *transport.Conn, change func(*Message)) {
 	defer to.Close()
 	for {
 		var message Message
 		if from.Receive(&message) != nil {
 			return
 		}
-		s.await()
+		s.awaitResumed()
 		change(&message)
 		if to.Send(message) != nil {
 			return
@@ -100,60 +101,61 @@
 	}
 }
 
-func (s *standStill) await() {
+func (s *pausableProxy) awaitResumed() {
 	s.mutex.Lock()
-	running := s.running
+	resumed := s.resumed
 	s.mutex.Unlock()
-	<-running
+	<-resumed
 }
 
-func (s *standStill) stand() {
+func (s *pausableProxy) pause() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.still, s.running = true, make(chan struct{})
+	s.paused, s.resumed = true, make(chan struct{})
 }
 
-func (s *standStill) goOn() {
+func (s *pausableProxy) resume() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.still {
-		s.still = false
-		close(s.running)
+	if s.paused {
+		s.paused = false
+		close(s.resumed)
 	}
 }
 
-// silentLeader is a gateway whose only way to its controller may stand still.
-type silentLeader struct {
+// leaderTest has a controller and a gateway that is connected to it only through a pausable
+// proxy.
+type leaderTest struct {
 	t          *testing.T
 	controller *fleetcontroller.Controller
-	// session is the controller's address for gateways.
-	session string
-	way     *standStill
-	caller  string
-	gateway *Gateway
+	// sessionAddress is the controller's address for gateways.
+	sessionAddress string
+	proxy          *pausableProxy
+	caller         string
+	gateway        *Gateway
 }
 
-func startSilentLeader(t *testing.T) *silentLeader {
+func startLeaderTest(t *testing.T) *leaderTest {
 	t.Helper()
-	session := freeAddress(t)
+	sessionAddress := freeAddress(t)
 	controller, err := fleetcontroller.Start(fleetcontroller.Config{
 		Group: 1, Name: "c", DataDir: filepath.Join(t.TempDir(), "data"), Founding: true,
-		PeerListen: freeAddress(t), SessionListen: session, Seeds: []string{session},
+		PeerListen: freeAddress(t), SessionListen: sessionAddress, Seeds: []string{sessionAddress},
 	})
 	assert.NilError(t, err)
 	t.Cleanup(func() { assert.Check(t, controller.Stop()) })
-	way := startStandStill(t, freeAddress(t), session)
-	s := &silentLeader{t: t, controller: controller, session: session, way: way, caller: freeAddress(t)}
-	s.gateway = s.startGateway("g", s.caller, way.listener.Address())
-	s.change(1, 0, []routeconfig.Route{{
+	proxy := startPausableProxy(t, freeAddress(t), sessionAddress)
+	s := &leaderTest{t: t, controller: controller, sessionAddress: sessionAddress, proxy: proxy, caller: freeAddress(t)}
+	s.gateway = s.startGateway("g", s.caller, proxy.listener.Address())
+	s.changeConfiguration(1, 0, []routeconfig.Route{{
 		Name: "r", Host: "h", PathPrefix: "/", Timeout: time.Second, TargetLatency: time.Second, Attempts: 2,
 		Destinations: []routeconfig.Destination{{Service: "s", Weight: 1}},
 	}})
 	return s
 }
 
-// startGateway starts a gateway and a back end beside it.
-func (s *silentLeader) startGateway(name, caller, controller string) *Gateway {
+// startGateway starts a gateway with a back end beside it.
+func (s *leaderTest) startGateway(name, caller, controller string) *Gateway {
 	s.t.Helper()
 	backend := httptest.NewServer(http.HandlerFunc(answerWhole))
 	s.t.Cleanup(backend.Close)
@@ -169,19 +171,19 @@
 	return g
 }
 
-// awaitPeers returns once the gateway knows the one beside it.
-func (s *silentLeader) awaitPeers() {
+// awaitPeers blocks until the gateway knows another one.
+func (s *leaderTest) awaitPeers() {
 	s.t.Helper()
 	poll.WaitOn(s.t, func(poll.LogT) poll.Result {
-		if len(s.gateway.peersToAsk()) == 0 {
+		if len(s.gateway.samplePeers()) == 0 {
 			return poll.Continue("no other gateway is known")
 		}
 		return poll.Success()
-	}, poll.WithTimeout(scenarioPatience), poll.WithDelay(10*time.Millisecond))
+	}, poll.WithTimeout(waitTimeout), poll.WithDelay(10*time.Millisecond))
 }
 
-// change returns once a configuration is acknowledged.
-func (s *silentLeader) change(version, base routeconfig.Version, routes []routeconfig.Route) {
+// changeConfiguration blocks until the configuration is acknowledged.
+func (s *leaderTest) changeConfiguration(version, base routeconfig.Version, routes []routeconfig.Route) {
 	s.t.Helper()
 	document := &routeconfig.Document{Version: version, Services: []routeconfig.Service{{Name: "s"}}, Routes: routes}
 	order := &fleetstate.ChangeConfiguration{Digest: sha256.Sum256([]byte{byte(version)}), Base: base, Document: document}
@@ -192,11 +194,11 @@
 			return poll.Continue("%v", err)
 		}
 		return poll.Success()
-	}, poll.WithTimeout(scenarioPatience), poll.WithDelay(10*time.Millisecond))
+	}, poll.WithTimeout(waitTimeout), poll.WithDelay(10*time.Millisecond))
 }
 
-// status is that of the answer to a request.
-func (s *silentLeader) status() int {
+// requestStatus returns the status code of the response to a request.
+func (s *leaderTest) requestStatus() int {
 	s.t.Helper()
 	request, err := http.NewRequestWithContext(s.t.Context(), http.MethodGet, "http://"+s.caller+"/", nil)
 	assert.NilError(s.t, err)
@@ -214,64 +216,63 @@
 	return response.StatusCode
 }
 
-func (s *silentLeader) awaitStatus(wanted int) {
+func (s *leaderTest) awaitStatus(wanted int) {
 	s.t.Helper()
 	poll.WaitOn(s.t, func(poll.LogT) poll.Result {
-		if got := s.status(); got != wanted {
+		if got := s.requestStatus(); got != wanted {
 			return poll.Continue("status %d", got)
 		}
 		return poll.Success()
-	}, poll.WithTimeout(scenarioPatience), poll.WithDelay(10*time.Millisecond))
+	}, poll.WithTimeout(waitTimeout), poll.WithDelay(10*time.Millisecond))
 }
 
-// Operators were told that a configuration is accepted, and over 2 s later two gateways
-// still sent requests by the one before it: "handled by version 72 or older; version 74
-// was acked more than 2000 ms before". The controller that led when the one before was
-// accepted stood still; the next one accepted the change at 65.046 s, and gateways that
-// had waited 1.6 s for the silent one waited as long again, until 67.06 s. Nothing but the
-// sum of such waits bounded for how long a gateway serves by what it last heard, so that
-// any process that stands still for longer breaks the promise. Here a gateway hears
-// nothing of a route's end.
-func TestAReplacedConfigurationServesNobodyBehindALeaderThatStandsStill(t *testing.T) {
+// A configuration was acknowledged to the operator, but more than 2 s later two gateways still
+// routed by the one before it: "handled by version 72 or older; version 74 was acked more than
+// 2000 ms before". The leader that had accepted the earlier one hung. The next leader accepted
+// the change at 65.046 s, and gateways that had waited 1.6 s for the hung leader waited as
+// long again, until 67.06 s. Only the sum of such timeouts bounded the time for which a
+// gateway routes by its last configuration, so any process that hangs for longer broke the
+// promise. In this test the gateway does not receive the removal of a route.
+func TestReplacedConfigurationIsNotUsedWhileLeaderHangs(t *testing.T) {
 	t.Parallel()
-	s := startSilentLeader(t)
+	s := startLeaderTest(t)
 	s.awaitStatus(http.StatusOK)
-	s.way.stand()
-	s.change(2, 1, nil)
-	time.Sleep(inForceWithin)
+	s.proxy.pause()
+	s.changeConfiguration(2, 1, nil)
+	time.Sleep(applyWithin)
 	for range 5 {
-		assert.Equal(t, s.status(), http.StatusServiceUnavailable)
+		assert.Equal(t, s.requestStatus(), http.StatusServiceUnavailable)
 	}
-	s.way.goOn()
+	s.proxy.resume()
 	s.awaitStatus(http.StatusNotFound)
 }
 
-// A gateway that hears nothing for long serves nobody by what may have been replaced,
-// also where nothing was: it can't know.
-func TestAGatewayThatHearsNothingForLongRefusesUntilItHears(t *testing.T) {
+// A gateway without updates cannot know whether its configuration was replaced, so after a
+// while it must refuse requests even if it was not.
+func TestGatewayWithoutUpdatesRefusesUntilReconnected(t *testing.T) {
 	t.Parallel()
-	s := startSilentLeader(t)
+	s := startLeaderTest(t)
 	s.awaitStatus(http.StatusOK)
-	s.way.stand()
+	s.proxy.pause()
 	s.awaitStatus(http.StatusServiceUnavailable)
-	s.way.goOn()
+	s.proxy.resume()
 	s.awaitStatus(http.StatusOK)
 }
 
-// A gateway that is cut off from the controllers alone goes on serving, and by the present
-// configuration: other gateways pass the leader's word on.
-func TestAGatewayThatIsCutOffFromTheControllersServesByTheWordOfOthers(t *testing.T) {
+// A gateway that has lost only its connection to the controllers keeps serving by the current
+// configuration, which other gateways relay.
+func TestGatewayWithoutControllersServesByRelayedState(t *testing.T) {
 	t.Parallel()
-	s := startSilentLeader(t)
-	s.startGateway("h", freeAddress(t), s.session)
+	s := startLeaderTest(t)
+	s.startGateway("h", freeAddress(t), s.sessionAddress)
 	s.awaitStatus(http.StatusOK)
 	s.awaitPeers()
-	s.way.stand()
+	s.proxy.pause()
 	terms := configlease.Terms{}.WithDefaults()
 	for began := steady.Reading(); steady.Elapsed(began) < 2*terms.Validity(); {
-		assert.Equal(t, s.status(), http.StatusOK)
+		assert.Equal(t, s.requestStatus(), http.StatusOK)
 		time.Sleep(20 * time.Millisecond)
 	}
-	s.change(2, 1, nil)
+	s.changeConfiguration(2, 1, nil)
 	s.awaitStatus(http.StatusNotFound)
 }
--- a/internal/gateway/state_test.go
+++ b/internal/gateway/state_test.go
@@ -15,32 +15,31 @@
 	return &routeconfig.Document{Version: version}
 }
 
-// A leader that was elected with less, or a late message, must not bring an
-// older state back.
-func TestAViewNeverGoesBack(t *testing.T) {
+// Neither a leader elected with an older state nor a late message may revert the view.
+func TestViewNeverReverts(t *testing.T) {
 	v := newViews()
 	advance(t, v, &fleetwire.View{Document: documentOf(7)})
 	advance(t, v, &fleetwire.View{Document: documentOf(5)})
 	assert.Equal(t, v.load().version(), routeconfig.Version(7))
 	advance(t, v, viewOfOwners(9, owned("new")))
-	assert.ErrorIs(t, v.advance(viewOfOwners(8, owned("old")), time.Time{}), errOtherView)
+	assert.ErrorIs(t, v.advance(viewOfOwners(8, owned("old")), time.Time{}), errViewMismatch)
 	assert.Equal(t, v.load().owners["s"].Find(1).Owner, "new")
 }
 
-// A new leader has not heard all gateways yet; what is known stays in use.
-func TestAnIncompleteViewKeepsTheOtherInstances(t *testing.T) {
+// A new leader has not heard from all gateways yet, so the known instances stay in use.
+func TestIncompleteViewKeepsOtherInstances(t *testing.T) {
 	v := newViews()
-	told := func(complete bool, ids ...string) *fleetwire.View {
+	listing := func(complete bool, ids ...string) *fleetwire.View {
 		var instances []fleetwire.Instance
 		for _, id := range ids {
 			instances = append(instances, fleetwire.Instance{ID: id, Node: "node-" + id, Service: "s"})
 		}
 		return viewOf(complete, instances...)
 	}
-	advance(t, v, told(true, "a", "b"))
-	advance(t, v, told(false, "b"))
+	advance(t, v, listing(true, "a", "b"))
+	advance(t, v, listing(false, "b"))
 	assert.Equal(t, len(v.load().instances["s"]), 2)
-	advance(t, v, told(true, "b"))
+	advance(t, v, listing(true, "b"))
 	assert.Equal(t, len(v.load().instances["s"]), 1)
 }
 
@@ -48,7 +47,7 @@
 	return Registration{ID: id, Service: "s", Slots: 4, State: state, Sequence: sequence}
 }
 
-func TestALateHeartbeatChangesNothing(t *testing.T) {
+func TestLateHeartbeatIsIgnored(t *testing.T) {
 	now := steady.Reading()
 	r := newRegistry(func() {})
 	r.heartbeat(registration("a", 1, fleetwire.InstanceReady), time.Second, now)
@@ -56,14 +55,14 @@
 	r.heartbeat(registration("a", 2, fleetwire.InstanceReady), time.Second, now)
 	assert.Equal(t, r.snapshot().State, fleetwire.InstanceDraining)
 	assert.Assert(t, r.admits("a", now))
-	assert.Assert(t, !r.admits("a", now.Add(time.Second)), "nothing new after the drain")
+	assert.Assert(t, !r.admits("a", now.Add(time.Second)), "refused after the drain")
 	r.heartbeat(registration("b", 1, fleetwire.InstanceReady), time.Second, now)
 	r.heartbeat(registration("a", 9, fleetwire.InstanceReady), time.Second, now)
-	assert.Equal(t, r.snapshot().ID, "b", "the earlier life is over")
+	assert.Equal(t, r.snapshot().ID, "b", "the earlier incarnation has ended")
 	assert.Assert(t, r.admits("b", now.Add(time.Hour)))
 }
 
-func TestADeregisteredBackEndIsNotTakenBack(t *testing.T) {
+func TestDeregisteredBackEndStaysDraining(t *testing.T) {
 	now := steady.Reading()
 	r := newRegistry(func() {})
 	r.heartbeat(registration("a", 1, fleetwire.InstanceReady), time.Second, now)
@@ -73,8 +72,8 @@
 	assert.Assert(t, !r.admits("a", now.Add(time.Second)))
 }
 
-// A gateway that was restarted may have acknowledged a drain before.
-func TestARestartedGatewayKeepsTheDrainThatTheLeaderKnows(t *testing.T) {
+// The gateway may have acknowledged a drain before it was restarted.
+func TestRestartedGatewayRestoresDrain(t *testing.T) {
 	now := steady.Reading()
 	r := newRegistry(func() {})
 	r.restore(fleetwire.Instance{ID: "a", Service: "s", Slots: 4, State: fleetwire.InstanceDraining, Sequence: 4}, time.Second, now)
@@ -83,37 +82,37 @@
 	assert.Assert(t, !r.admits("a", now.Add(time.Millisecond)))
 }
 
-func TestRepeatsStayWithinTheBudgetOfEachWindow(t *testing.T) {
+func TestRetriesStayWithinBudgetOfEachWindow(t *testing.T) {
 	b := newRetryBudgets(RetryBudget{Ratio: 0.2, Slack: 58, Window: 10 * time.Second})
 	now := steady.Now()
 	for range 1000 {
 		b.request("s", now)
 	}
-	granted := 0
+	allowed := 0
 	for b.repeat("s", 12, now) {
-		granted++
+		allowed++
 	}
-	assert.Assert(t, granted > 0 && float64(granted) <= 0.2*1000*ownShare+ownSlack, "%d", granted)
+	assert.Assert(t, allowed > 0 && float64(allowed) <= 0.2*1000*ownShare+ownSlack, "%d", allowed)
 	assert.Assert(t, !b.repeat("s", 12, now.Add(9*time.Second)))
 	assert.Assert(t, b.repeat("s", 12, now.Add(11*time.Second)), "the slack of a new window")
-	assert.Assert(t, !b.repeat("s", 12, now.Add(12*time.Second)), "without requests there is no more")
+	assert.Assert(t, !b.repeat("s", 12, now.Add(12*time.Second)), "no further retries without requests")
 }
 
-// The budget is the fleet's: however many gateways there are, their slacks stay
-// within it.
-func TestTheSlackIsSharedByAllGateways(t *testing.T) {
+// The budget applies to the whole fleet: the slacks of all gateways together must stay within
+// it, whatever their number.
+func TestRetrySlackIsSharedByAllGateways(t *testing.T) {
 	const slack = 602
 	for _, gateways := range []int{1, 12, 280, 1100} {
 		b := newRetryBudgets(RetryBudget{Ratio: 0.2, Slack: slack, Window: 10 * time.Second})
-		own := 0
+		perGateway := 0
 		for b.repeat("s", gateways, steady.Now()) {
-			own++
+			perGateway++
 		}
-		assert.Assert(t, own*gateways <= slack, "%d gateways make %d each", gateways, own)
+		assert.Assert(t, perGateway*gateways <= slack, "%d gateways with %d retries each", gateways, perGateway)
 	}
 }
 
-func TestOnlyEndToEndFieldsGoOn(t *testing.T) {
+func TestOnlyEndToEndHeadersAreForwarded(t *testing.T) {
 	header := http.Header{
 		"Connection": {"keep-alive, X-Hop"}, "X-Hop": {"1"}, "Keep-Alive": {"5"}, "Transfer-Encoding": {"chunked"},
 		"Content-Length": {"3"}, "Try-Name": {"r"}, "Quartzdock-Instance": {"forged"},
@@ -121,7 +120,7 @@
 	assert.DeepEqual(t, forwardable(header), http.Header{"Try-Name": {"r"}})
 }
 
-func TestLoadsSurviveTheWay(t *testing.T) {
+func TestLoadRoundTrip(t *testing.T) {
 	load := peerLoad{running: 3, waiting: 1, slots: 18, serviceTime: 90 * time.Millisecond, shortService: 20 * time.Millisecond, shortUpTo: 150 * time.Millisecond, linkBacklog: time.Second}
 	read, ok := parseLoad(formatLoad(load))
 	assert.Assert(t, ok)
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -11,29 +11,30 @@
 )
 
 const (
-	// quietBeforeStop is how long no caller must have come, and leastStop how
-	// long callers are given to go elsewhere.
-	quietBeforeStop = 400 * time.Millisecond
-	leastStop       = 2200 * time.Millisecond
-	stopStep        = 25 * time.Millisecond
-	// drainReserve is kept of a planned stop, where callers keep coming, for the
-	// requests that are still running: the usual timeout of a route (1.2 to 1.5 s).
+	// callersQuietFor is how long no request of a caller must have arrived before the
+	// listeners are closed, and minStopDuration how long callers are given at least to go
+	// elsewhere.
+	callersQuietFor  = 400 * time.Millisecond
+	minStopDuration  = 2200 * time.Millisecond
+	stopPollInterval = 25 * time.Millisecond
+	// drainReserve is the part of a planned stop that is reserved for running requests if
+	// callers do not go away. It is the usual timeout of a route (1.2 to 1.5 s).
 	drainReserve = 1500 * time.Millisecond
-	// callersReserve is kept of a planned stop for the callers' listener alone:
-	// httpserver bounds its backlog by 200 ms, and the wait for requests that are
-	// on their way by 250 ms. No run at the back end lasts into it.
+	// callersReserve is the part of a planned stop that is reserved for closing the callers'
+	// listener: httpserver bounds the backlog by 200 ms, and the wait for requests in transit
+	// by 250 ms. No run at the back end lasts into it.
 	callersReserve = 450 * time.Millisecond
-	// restartTime is from the end of a gateway's process until the next one serves:
-	// 0.51 s were seen twice in incident inc1.
-	restartTime = 500 * time.Millisecond
+	// restartDuration is the time from the exit of a gateway's process until the next one
+	// serves. 0.51 s were measured twice in incident inc1.
+	restartDuration = 500 * time.Millisecond
 )
 
-// Stop lets callers go elsewhere, finishes what runs, and ends. From its begin
-// on, only requests are admitted whose time is over before the stop's end, so
-// that the end cuts off none of them.
+// Stop lets callers go elsewhere, finishes running requests, and shuts down. From the start of
+// the stop on, it admits only requests whose deadline is before the end of the stop, so that
+// none of them is cut off.
 //
-// The listener of other gateways is stopped first, and that of callers once the
-// back end runs nothing: until then it makes calls of its own there.
+// The listener for other gateways is closed first. The listener for callers is closed only
+// when the back end is idle, since requests that run there may make calls through it.
 func (g *Gateway) Stop() error {
 	began := steady.Reading()
 	end := began.Add(g.config.StopWithin)
@@ -59,62 +60,61 @@
 	return err
 }
 
-// awaitQuietCallers returns once callers have gone elsewhere, or when only the
-// time for what is running is left.
+// awaitQuietCallers returns when callers have gone elsewhere, or when only drainReserve is
+// left.
 func (g *Gateway) awaitQuietCallers(began time.Time) {
 	for steady.Elapsed(began) < g.config.StopWithin-drainReserve {
-		last, came := g.lastCaller.Load()
-		quiet := (!came || steady.Since(last) > quietBeforeStop) && g.active.Load() == 0
-		if quiet && steady.Elapsed(began) > leastStop {
+		latest, seen := g.lastCaller.Load()
+		quiet := (!seen || steady.Since(latest) > callersQuietFor) && g.active.Load() == 0
+		if quiet && steady.Elapsed(began) > minStopDuration {
 			return
 		}
-		time.Sleep(stopStep)
+		time.Sleep(stopPollInterval)
 	}
 }
 
-// awaitIdleBackend returns once the requests of other gateways have ended and the
-// back end runs nothing that it was sent from here, or at the latest moment.
+// awaitIdleBackend returns when the requests of other gateways have ended and the back end
+// runs nothing that this gateway sent, at the latest at the given time.
 func (g *Gateway) awaitIdleBackend(drained <-chan struct{}, latest time.Time) {
 	select {
 	case <-drained:
 	case <-time.After(steady.Until(latest)):
 	}
 	for load := g.slots.load(); load.running+load.waiting > 0 && steady.Reading().Before(latest); load = g.slots.load() {
-		time.Sleep(stopStep)
+		time.Sleep(stopPollInterval)
 	}
 }
 
-// refuseStopping refuses a request that would outlast the stop: it may come back
-// when the gateway has started again.
+// refuseStopping refuses a request that would outlast the stop. Its retry time is after the
+// expected restart of the gateway.
 func (g *Gateway) refuseStopping() *forwardResult {
 	result := notRun(reasonStopping)
-	result.RetryAfter = g.admission.Left(steady.Reading()) + restartTime
+	result.RetryAfter = g.admission.Left(steady.Reading()) + restartDuration
 	return result
 }
 
-// stopListener stops a listener and tells of its beginning, its end and how many
-// requests it cut off.
+// stopListener stops a listener, and logs the start, the end and the number of requests that
+// were cut off.
 func (g *Gateway) stopListener(ctx context.Context, name string, server *httpserver.Server, began time.Time) error {
 	g.logStop("listener stops", began, "listener", name)
 	err := server.Stop(ctx)
-	cut := 0
+	cutOffRequests := 0
 	if cutOff := (*httpserver.CutOffError)(nil); errors.As(err, &cutOff) {
-		cut = cutOff.Requests
+		cutOffRequests = cutOff.Requests
 	}
-	g.logStop("listener stopped", began, "listener", name, "cut_off", cut)
+	g.logStop("listener stopped", began, "listener", name, "cut_off", cutOffRequests)
 	return err
 }
 
-// closeWhileStopping makes callers and other gateways leave a connection with its
-// answer during a planned stop, so that no request is on its way when the
-// connection is closed.
+// closeWhileStopping closes the connection after the response during a planned stop, so that
+// callers and other gateways do not send a request while the connection is being closed.
 func (g *Gateway) closeWhileStopping(w http.ResponseWriter, r *http.Request) {
 	if g.admission.Stopping() {
 		httpserver.EndConnection(w, r)
 	}
 }
 
-// logStop tells how far a planned stop has come and what is in progress.
+// logStop logs the progress of a planned stop and the requests that are in progress.
 func (g *Gateway) logStop(message string, began time.Time, fields ...any) {
 	fields = append(fields, "after_ms", steady.Elapsed(began).Milliseconds(),
 		"callers_in_flight", g.active.Load(), "peers_in_flight", g.peerActive.Load(), "slots_used", g.slots.load().running)
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -20,8 +20,8 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// beginStop begins a planned stop and returns once the gateway knows of it. The
-// channel has the result of Stop.
+// beginStop starts a planned stop and returns once it is in progress. The channel delivers the
+// result of Stop.
 func beginStop(g *Gateway) <-chan error {
 	stopped := make(chan error, 1)
 	go func() { stopped <- g.Stop() }()
@@ -41,12 +41,12 @@
 	return false
 }
 
-// A gateway that is being stopped admits nothing that could outlast the stop: it
-// would have to be cut off with the back end at work. That holds for requests of
-// callers and for those that other gateways pass on.
-func TestAStoppingGatewayAdmitsNothingThatItsEndWouldCutOff(t *testing.T) {
+// A stopping gateway must not admit a request that could outlast the stop, since it would be
+// cut off while the back end works on it. This applies to requests of callers and to those of
+// other gateways.
+func TestStoppingGatewayRefusesRequestsThatOutlastTheStop(t *testing.T) {
 	t.Parallel()
-	for name, stops := range map[string]func(*twoHops) *Gateway{
+	for name, stopping := range map[string]func(*twoHops) *Gateway{
 		"of callers":        func(h *twoHops) *Gateway { return h.near },
 		"of other gateways": func(h *twoHops) *Gateway { return h.far },
 	} {
@@ -58,7 +58,7 @@
 				_, _ = io.Copy(io.Discard, r.Body)
 				<-r.Context().Done()
 			}))
-			stopped := beginStop(stops(hops))
+			stopped := beginStop(stopping(hops))
 			response, err := http.DefaultClient.Do(hops.request(t.Context(), t, "r1"))
 			assert.NilError(t, err)
 			defer response.Body.Close()
@@ -70,8 +70,8 @@
 	}
 }
 
-// A gateway that is being stopped goes on serving what ends before the stop does.
-func TestAStoppingGatewayServesWhatEndsBeforeTheStopDoes(t *testing.T) {
+// A stopping gateway continues to serve requests that end before the stop does.
+func TestStoppingGatewayServesShortRequests(t *testing.T) {
 	t.Parallel()
 	setup := twoHopsConfig{timeout: time.Second, stop: 10 * time.Second}
 	hops := startTwoHops(t, setup, http.HandlerFunc(answerWhole))
@@ -84,9 +84,9 @@
 	assert.NilError(t, <-far)
 }
 
-// The connections that a gateway keeps to one that is being stopped are closed
-// before that one closes them, so that no request crosses a close.
-func TestIdleConnectionsToAStoppingGatewayAreClosed(t *testing.T) {
+// Gateways must close their idle connections to a stopping gateway before it closes them, so
+// that no request is sent on a connection that is being closed.
+func TestIdleConnectionsToStoppingGatewayAreClosed(t *testing.T) {
 	t.Parallel()
 	hops := startTwoHops(t, twoHopsConfig{timeout: time.Second}, http.HandlerFunc(answerWhole))
 	response, err := http.DefaultClient.Do(hops.request(t.Context(), t, "r1"))
@@ -103,10 +103,10 @@
 	assert.Equal(t, pool.Stats().Open, 0)
 }
 
-// While a request that another gateway passed on is running, the back end makes
-// calls of its own at the gateway beside it. A planned stop closes the callers'
-// listener after the one of other gateways, so that those calls are served.
-func TestAStoppingGatewayServesTheCallsOfRunningRequests(t *testing.T) {
+// While a back end runs a request of another gateway, it makes calls of its own through the
+// gateway beside it. A planned stop must close the listener for callers after the one for
+// other gateways, so that those calls are served.
+func TestStoppingGatewayServesCallsOfRunningRequests(t *testing.T) {
 	t.Parallel()
 	var hops *twoHops
 	calls := make(chan string, 1)
@@ -157,11 +157,10 @@
 	assert.NilError(t, <-stopped)
 }
 
-// A request that a caller of the stopping gateway itself brought runs at the back
-// end beside it, and that back end may still make calls at the callers' listener.
-// So the listener stays open until no such request is in progress. The request
-// ends, by its deadline, well before the stop does.
-func TestAStoppingGatewayServesTheCallsOfItsOwnCallersRequests(t *testing.T) {
+// A request of a caller of the stopping gateway itself runs at the back end beside it, which
+// may still make calls through the listener for callers. The listener must stay open until no
+// such request is in progress. The request ends by its deadline, well before the stop does.
+func TestCallerListenerStaysOpenForOwnCallersRequests(t *testing.T) {
 	t.Parallel()
 	running := make(chan struct{})
 	setup := twoHopsConfig{timeout: 4 * time.Second, stop: 5 * time.Second}
@@ -170,7 +169,7 @@
 		close(running)
 		<-r.Context().Done()
 	}))
-	hops.caller = hops.farCaller // taken by the gateway beside the back end
+	hops.caller = hops.farCaller // received by the gateway beside the back end
 	request := hops.request(t.Context(), t, "r1")
 	answered := make(chan error, 1)
 	go func() {
@@ -191,9 +190,9 @@
 	assert.Equal(t, inProgress, int64(0), "requests in progress when the callers' listener refused connections")
 }
 
-// A caller can reach no gateway but that of its own machine. One that is refused
-// because this is being stopped is not told to come back while it still is.
-func TestARefusedCallerIsNotToldToComeBackDuringTheStop(t *testing.T) {
+// A caller can reach only the gateway of its own machine. If that one refuses a request
+// because it is stopping, the retry time must be after the stop.
+func TestRetryAfterIsBeyondTheStop(t *testing.T) {
 	t.Parallel()
 	setup := twoHopsConfig{timeout: 20 * time.Second, stop: 5 * time.Second}
 	hops := startTwoHops(t, setup, http.HandlerFunc(answerWhole))
@@ -202,11 +201,11 @@
 	response, err := http.DefaultClient.Do(hops.request(t.Context(), t, "r1"))
 	assert.NilError(t, err)
 	defer response.Body.Close()
-	left := setup.stop - steady.Elapsed(latestBegin) // at most what is left of the stop
+	left := setup.stop - steady.Elapsed(latestBegin) // at most the remaining time of the stop
 	assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
 	seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
 	assert.NilError(t, err)
-	after := time.Duration(seconds * float64(time.Second))
-	assert.Check(t, after >= left, "told to come back in %v, the stop lasts %v more", after, left)
+	retryAfter := time.Duration(seconds * float64(time.Second))
+	assert.Check(t, retryAfter >= left, "retry time is %v, but the stop lasts %v more", retryAfter, left)
 	assert.NilError(t, <-stopped)
 }
--- a/internal/gateway/suspension.go
+++ b/internal/gateway/suspension.go
@@ -7,21 +7,21 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// suspensionLook is how often it is looked for the end of a suspension.
-const suspensionLook = 200 * time.Millisecond
+// suspensionCheckInterval is how often the gateway checks whether the machine was suspended.
+const suspensionCheckInterval = 200 * time.Millisecond
 
-// watchSuspensions tells of suspensions of the machine once it runs again, and asks for the
-// leader's word at once: what it vouched for before may be over.
+// watchSuspensions logs suspensions of the machine after it resumes, and requests a report
+// immediately: the leases from before the suspension may have expired.
 func (g *Gateway) watchSuspensions(ctx context.Context) {
-	known := steady.Suspended()
-	each(ctx, suspensionLook, func() {
-		lasted := steady.Suspended() - known
-		if lasted <= 0 {
+	counted := steady.Suspended()
+	each(ctx, suspensionCheckInterval, func() {
+		duration := steady.Suspended() - counted
+		if duration <= 0 {
 			return
 		}
-		known += lasted
-		g.metrics.suspended(lasted)
-		g.config.Log.Warn("machine was suspended", "lasted_ms", lasted.Milliseconds(), "serves", g.Ready())
+		counted += duration
+		g.metrics.suspended(duration)
+		g.config.Log.Warn("machine was suspended", "lasted_ms", duration.Milliseconds(), "serves", g.Ready())
 		g.session.report()
 	})
 }
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspension_test.go
@@ -13,34 +13,34 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// A machine was suspended for seconds. Its monotonic clock, by which Go compares times, stood
-// still, while the leases that others had given its gateway ran out by theirs. The gateway
-// found them as fresh as before: it served by a configuration that may have been replaced, and
-// went on granting keys that the leader had given to another back end. Seen in these tests
-// before the clock counted such time: 200 in place of 503, and 8 s left of a lease that had
-// ended.
+// While a machine is suspended its monotonic clock, which Go uses to compare times, stops, but
+// leases granted by other processes expire by their clocks. After such a suspension a gateway
+// took its leases for valid: it routed by a configuration that might have been replaced, and
+// kept granting keys that the leader had assigned to another back end. Before the clock
+// counted suspensions, these tests got 200 instead of 503, and a lease with 8 s left that had
+// expired.
 
 const (
-	// shortWord and longSuspension: what was vouched for is over after the suspension.
-	shortWord      = 2 * time.Second
+	// The suspension is longer than the lease, so that the lease has expired when it ends.
+	shortLease     = 2 * time.Second
 	longSuspension = 5 * time.Second
 )
 
-func TestAGatewayThatWasSuspendedServesNothingByAnOldConfiguration(t *testing.T) {
-	hops, runs := startCountedHops(t)
-	hops.near.session.vouched.present.Store(nil)
-	hops.near.vouch(shortWord)
-	status, _ := hops.visit(t, "r1")
+func TestSuspensionExpiresConfigurationLease(t *testing.T) {
+	hops, runs := startCountingHops(t)
+	hops.near.session.vouched.current.Store(nil)
+	hops.near.vouch(shortLease)
+	status, _ := hops.sendRequest(t, "r1")
 	assert.Equal(t, status, http.StatusOK)
 	steady.RehearseSuspension(longSuspension)
-	status, body := hops.visit(t, "r2")
+	status, body := hops.sendRequest(t, "r2")
 	assert.Equal(t, status, http.StatusServiceUnavailable)
 	assert.Equal(t, body, string(reasonOutdated))
 	assert.Equal(t, runs.Load(), int32(1))
 	assert.Assert(t, !hops.near.Ready())
 }
 
-func TestAGatewayThatWasSuspendedGrantsNothingByAnOldLease(t *testing.T) {
+func TestSuspensionExpiresKeyLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newKeyRig(t)
 		const lease = 8 * time.Second
@@ -53,6 +53,6 @@
 		assert.Assert(t, granted > 0)
 		steady.RehearseSuspension(2 * lease)
 		time.Sleep(time.Second)
-		assert.Equal(t, len(rig.holder.granted()), granted, "granted again after the lease had ended")
+		assert.Equal(t, len(rig.holder.granted()), granted, "granted again after the lease had expired")
 	})
 }
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -18,144 +18,146 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// view is what requests are routed by. It is immutable.
+// view is the immutable state that requests are routed by.
 type view struct {
-	// table is nil before the first configuration.
+	// table is nil until the first configuration arrives.
 	table *routeconfig.Table
-	// tableAt is when table was taken.
-	tableAt     time.Time
+	// tableSince is when table came into force.
+	tableSince  time.Time
 	ownersIndex uint64
 	owners      fleetview.Owners
-	// told are the instances as the leader has them.
-	told fleetview.Instances
-	// instances of the fleet by service, and by ID. By ID there are also owners of
-	// keys that the leader does not know.
+	// leaderInstances are the instances that the leader lists.
+	leaderInstances fleetview.Instances
+	// instances and byID index the instances of the fleet by service and by ID. byID also
+	// contains owners of keys that the leader does not list.
 	instances map[string][]fleetwire.Instance
 	byID      map[string]fleetwire.Instance
-	// evacuatedAt has since when a zone may have been evacuated, by zone, and
-	// evacuationsIndex orders the sets.
+	// evacuatedAt maps each evacuated zone to the earliest time at which its evacuation may
+	// have been ordered. evacuationsIndex orders the versions of this set.
 	evacuatedAt      map[string]time.Time
 	evacuationsIndex uint64
-	// suspects are requests under which back ends have ended, and quarantineIndex orders
-	// their sets.
+	// suspects are the requests that were in progress when back ends crashed. quarantineIndex
+	// orders the versions of this set.
 	suspects        map[quarantine.Digest]quarantine.Suspect
 	quarantineIndex uint64
-	// next is closed when there is a newer view.
-	next chan struct{}
+	// superseded is closed when a newer view replaces this one.
+	superseded chan struct{}
 }
 
-// views holds the present view. What the leader's session and other gateways bring is
-// taken one after the other.
-type views struct {
-	advancing sync.Mutex
-	present   atomic.Pointer[view]
-	// prepare is called before a view comes into force.
+// viewStore holds the current view. It applies updates from the leader's session and from
+// other gateways one at a time.
+type viewStore struct {
+	updating sync.Mutex
+	current  atomic.Pointer[view]
+	// prepare is called before a new view replaces the current one.
 	prepare func(before, after *view)
 }
 
-func newViews() *views {
-	v := &views{prepare: func(_, _ *view) {}}
-	v.present.Store(&view{next: make(chan struct{})})
+func newViews() *viewStore {
+	v := &viewStore{prepare: func(_, _ *view) {}}
+	v.current.Store(&view{superseded: make(chan struct{})})
 	return v
 }
 
-func (v *views) load() *view { return v.present.Load() }
+func (v *viewStore) load() *view { return v.current.Load() }
 
-// errOtherView: the changes of a session don't make what the leader has.
-var errOtherView = errors.New("view differs from the leader's")
+// errViewMismatch is returned when applying the changes received in a session does not yield
+// the leader's state.
+var errViewMismatch = errors.New("view differs from the leader's")
 
-// advance takes what a controller sent, which had told everything until vouchedAt before;
-// zero where it had not told anything. Configurations and owners never go back; instances of an incomplete view are added to the known ones. After an
-// error nothing has changed, and the session must begin anew.
-func (v *views) advance(news *fleetwire.View, vouchedAt time.Time) error {
-	v.advancing.Lock()
-	defer v.advancing.Unlock()
-	before := v.load()
-	after := *before
-	after.next = make(chan struct{})
-	if news.Document != nil && news.Document.Version > before.version() {
-		after.table = routeconfig.NewTable(news.Document)
-		after.tableAt = steady.Reading()
+// advance applies an update from a controller. The gateway had received everything sent before
+// currentAsOf; zero if it had received nothing. Configurations and owners never go back to an
+// older version, and the instances of an incomplete view are added to the known ones. On an
+// error the view is unchanged, and the session must be reopened.
+func (v *viewStore) advance(update *fleetwire.View, currentAsOf time.Time) error {
+	v.updating.Lock()
+	defer v.updating.Unlock()
+	old := v.load()
+	next := *old
+	next.superseded = make(chan struct{})
+	if update.Document != nil && update.Document.Version > old.version() {
+		next.table = routeconfig.NewTable(update.Document)
+		next.tableSince = steady.Reading()
 	}
-	if len(news.Owners) > 0 {
-		if err := after.setOwners(news); err != nil {
+	if len(update.Owners) > 0 {
+		if err := next.setOwners(update); err != nil {
 			return err
 		}
 	}
-	if news.HasInstances {
-		if err := after.setInstances(news); err != nil {
+	if update.HasInstances {
+		if err := next.setInstances(update); err != nil {
 			return err
 		}
 	}
-	after.setEvacuated(news, vouchedAt)
-	after.setSuspects(news)
-	v.prepare(before, &after)
-	v.present.Store(&after)
-	close(before.next)
+	next.setEvacuated(update, currentAsOf)
+	next.setSuspects(update)
+	v.prepare(old, &next)
+	v.current.Store(&next)
+	close(old.superseded)
 	return nil
 }
 
-// setOwners applies a view's changes of owners.
-func (v *view) setOwners(news *fleetwire.View) error {
-	if news.OwnersIndex < v.ownersIndex {
-		return fmt.Errorf("owners of index %d after %d: %w", news.OwnersIndex, v.ownersIndex, errOtherView)
+// setOwners applies an update's changes of owners.
+func (v *view) setOwners(update *fleetwire.View) error {
+	if update.OwnersIndex < v.ownersIndex {
+		return fmt.Errorf("owners at index %d after index %d: %w", update.OwnersIndex, v.ownersIndex, errViewMismatch)
 	}
-	v.ownersIndex = news.OwnersIndex
-	for _, changes := range news.Owners {
+	v.ownersIndex = update.OwnersIndex
+	for _, changes := range update.Owners {
 		v.owners = v.owners.Apply(changes)
 	}
-	if digest := v.owners.Digest(); digest != news.OwnersDigest {
-		return fmt.Errorf("owners of index %d: %w", news.OwnersIndex, errOtherView)
+	if digest := v.owners.Digest(); digest != update.OwnersDigest {
+		return fmt.Errorf("owners at index %d: %w", update.OwnersIndex, errViewMismatch)
 	}
 	return nil
 }
 
-// setEvacuated takes a view's evacuated zones. Orders of new ones were acknowledged after
-// the moment until which all had been told.
-func (v *view) setEvacuated(news *fleetwire.View, vouchedAt time.Time) {
-	if news.EvacuationsIndex <= v.evacuationsIndex {
+// setEvacuated applies an update's evacuated zones. A zone that is new in it was ordered
+// evacuated at currentAsOf or later.
+func (v *view) setEvacuated(update *fleetwire.View, currentAsOf time.Time) {
+	if update.EvacuationsIndex <= v.evacuationsIndex {
 		return
 	}
-	evacuated := make(map[string]time.Time, len(news.Evacuated))
-	for _, zone := range news.Evacuated {
-		evacuated[zone] = vouchedAt
-		if known, ok := v.evacuatedAt[zone]; ok {
-			evacuated[zone] = known
+	evacuated := make(map[string]time.Time, len(update.Evacuated))
+	for _, zone := range update.Evacuated {
+		evacuated[zone] = currentAsOf
+		if earlier, ok := v.evacuatedAt[zone]; ok {
+			evacuated[zone] = earlier
 		}
 	}
-	v.evacuatedAt, v.evacuationsIndex = evacuated, news.EvacuationsIndex
+	v.evacuatedAt, v.evacuationsIndex = evacuated, update.EvacuationsIndex
 }
 
-// setSuspects takes a view's requests under which back ends have ended.
-func (v *view) setSuspects(news *fleetwire.View) {
-	if news.QuarantineIndex <= v.quarantineIndex {
+// setSuspects applies an update's requests that were in progress when back ends crashed.
+func (v *view) setSuspects(update *fleetwire.View) {
+	if update.QuarantineIndex <= v.quarantineIndex {
 		return
 	}
-	v.suspects = make(map[quarantine.Digest]quarantine.Suspect, len(news.Suspects))
-	for _, suspect := range news.Suspects {
+	v.suspects = make(map[quarantine.Digest]quarantine.Suspect, len(update.Suspects))
+	for _, suspect := range update.Suspects {
 		v.suspects[suspect.Request] = suspect
 	}
-	v.quarantineIndex = news.QuarantineIndex
+	v.quarantineIndex = update.QuarantineIndex
 }
 
-// evacuated reports whether the back ends of a zone are to get nothing new.
+// evacuated reports whether the back ends of a zone must not get new requests.
 func (v *view) evacuated(zone string) bool {
 	_, ok := v.evacuatedAt[zone]
 	return ok
 }
 
-// evacuatedZones are the zones whose back ends are to get nothing new.
+// evacuatedZones returns the zones whose back ends must not get new requests.
 func (v *view) evacuatedZones() []string { return slices.Sorted(maps.Keys(v.evacuatedAt)) }
 
-// evacuatedWholly reports whether all instances of a service are in evacuated zones.
-// Nobody can serve its requests until an evacuation ends, so that none is held.
+// evacuatedWholly reports whether all instances of a service are in evacuated zones. Nothing
+// can serve its requests until an evacuation ends, so they are refused instead of queued.
 func (v *view) evacuatedWholly(service string) bool {
 	instances := v.instances[service]
 	outside := func(instance fleetwire.Instance) bool { return !v.evacuated(instance.Zone) }
 	return len(instances) > 0 && !slices.ContainsFunc(instances, outside)
 }
 
-// find returns the route of a request, nil where there is none.
+// find returns the route that matches a request, or nil.
 func (v *view) find(r *http.Request) *routeconfig.Route {
 	if v.table == nil {
 		return nil
@@ -163,7 +165,7 @@
 	return v.table.Find(r.Host, r.URL.Path)
 }
 
-// service returns the service of a name, nil where the configuration has none.
+// service looks up a service by name; nil if the configuration does not have it.
 func (v *view) service(name string) *routeconfig.Service {
 	if v.table == nil {
 		return nil
@@ -178,16 +180,16 @@
 	return v.table.Document().Version
 }
 
-// age is how long the configuration has been in force, zero before the first.
+// age returns how long the configuration has been in force; zero before the first one.
 func (v *view) age(now time.Time) time.Duration {
 	if v.table == nil {
 		return 0
 	}
-	return now.Sub(v.tableAt)
+	return now.Sub(v.tableSince)
 }
 
-// count returns how many instances are in a state.
-func (v *view) count(state fleetwire.InstanceState) int {
+// countInState returns the number of instances in a state.
+func (v *view) countInState(state fleetwire.InstanceState) int {
 	count := 0
 	for _, instance := range v.byID {
 		if instance.State == state {
@@ -197,26 +199,26 @@
 	return count
 }
 
-// setInstances applies a view's changes of instances.
-func (v *view) setInstances(news *fleetwire.View) error {
-	for _, changes := range news.Instances {
-		v.told = v.told.Apply(changes)
+// setInstances applies an update's changes of instances.
+func (v *view) setInstances(update *fleetwire.View) error {
+	for _, changes := range update.Instances {
+		v.leaderInstances = v.leaderInstances.Apply(changes)
 	}
-	if digest := v.told.Digest(); digest != news.InstancesDigest {
-		return fmt.Errorf("instances: %w", errOtherView)
+	if digest := v.leaderInstances.Digest(); digest != update.InstancesDigest {
+		return fmt.Errorf("instances: %w", errViewMismatch)
 	}
-	others := v.others(v.told)
-	v.byID = make(map[string]fleetwire.Instance, len(v.told))
-	maps.Copy(v.byID, v.told)
-	if !news.Complete {
-		addInstances(v.byID, others)
+	unlisted := v.unlistedInstances(v.leaderInstances)
+	v.byID = make(map[string]fleetwire.Instance, len(v.leaderInstances))
+	maps.Copy(v.byID, v.leaderInstances)
+	if !update.Complete {
+		addInstances(v.byID, unlisted)
 	}
 	v.instances = map[string][]fleetwire.Instance{}
 	for _, instance := range v.byID {
 		v.instances[instance.Service] = append(v.instances[instance.Service], instance)
 	}
-	if news.Complete {
-		addInstances(v.byID, v.owning(others))
+	if update.Complete {
+		addInstances(v.byID, v.keyOwners(unlisted))
 	}
 	return nil
 }
@@ -227,10 +229,10 @@
 	}
 }
 
-// owning returns those of some instances that still own keys. A gateway that can't
-// reach a new leader serves on under its last lease; until the leader gives its
-// keys to others, it alone can.
-func (v *view) owning(instances []fleetwire.Instance) []fleetwire.Instance {
+// keyOwners returns the given instances that still own keys. A gateway that cannot reach a new
+// leader keeps serving under its last lease. Until the leader assigns its keys to other back
+// ends, only its own back end can serve them.
+func (v *view) keyOwners(instances []fleetwire.Instance) []fleetwire.Instance {
 	if len(instances) == 0 {
 		return nil
 	}
@@ -243,19 +245,19 @@
 	return slices.DeleteFunc(instances, func(instance fleetwire.Instance) bool { return !owners[instance.ID] })
 }
 
-// others returns the known instances beside gateways that are not named.
-func (v *view) others(told fleetview.Instances) []fleetwire.Instance {
-	named := make(map[string]bool, len(told))
-	for _, instance := range told {
-		named[instance.Node] = true
+// unlistedInstances returns the known instances on nodes that are not listed.
+func (v *view) unlistedInstances(listed fleetview.Instances) []fleetwire.Instance {
+	listedNodes := make(map[string]bool, len(listed))
+	for _, instance := range listed {
+		listedNodes[instance.Node] = true
 	}
-	var rest []fleetwire.Instance
+	var unlisted []fleetwire.Instance
 	for _, instance := range v.byID {
-		if !named[instance.Node] {
-			rest = append(rest, instance)
+		if !listedNodes[instance.Node] {
+			unlisted = append(unlisted, instance)
 		}
 	}
-	return rest
+	return unlisted
 }
 
 // owner returns the instance that owns a key of a service.
@@ -268,12 +270,12 @@
 	return instance, ok
 }
 
-// await returns when there is a newer view, or after a time.
+// await blocks until a newer view replaces this one, the limit has passed, or done is closed.
 func (v *view) await(done <-chan struct{}, limit time.Duration) {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
-	case <-v.next:
+	case <-v.superseded:
 	case <-timer.C:
 	case <-done:
 	}
--- a/internal/gateway/view_test.go
+++ b/internal/gateway/view_test.go
@@ -11,7 +11,7 @@
 	"github.com/quartzdock/quartzdock/internal/keyspace"
 )
 
-// viewOf is a whole view of instances.
+// viewOf is a full view of instances.
 func viewOf(complete bool, instances ...fleetwire.Instance) *fleetwire.View {
 	set := fleetview.NewInstances(instances)
 	return &fleetwire.View{
@@ -19,43 +19,43 @@
 	}
 }
 
-// viewOfOwners is a whole view of the owners of service s.
+// viewOfOwners is a full view of the owners of service s.
 func viewOfOwners(index uint64, assignments ...keyspace.Assignment) *fleetwire.View {
 	set := fleetview.NewOwners(map[string]*keyspace.Map{"s": {Assignments: assignments}})
 	return &fleetwire.View{OwnersIndex: index, Owners: []*fleetwire.OwnerChanges{set.Snapshot()}, OwnersDigest: set.Digest()}
 }
 
-// owned is all keys under one owner.
+// owned assigns all keys to one owner.
 func owned(owner string) keyspace.Assignment {
 	return keyspace.Assignment{Range: keyspace.Range{First: 0, Last: keyspace.LastKey}, Owner: owner}
 }
 
-// advance takes a view that must fit.
-func advance(t testing.TB, v *views, news *fleetwire.View) {
+// advance applies an update that must be accepted.
+func advance(t testing.TB, v *viewStore, update *fleetwire.View) {
 	t.Helper()
-	assert.NilError(t, v.advance(news, time.Time{}))
+	assert.NilError(t, v.advance(update, time.Time{}))
 }
 
-// Where changes do not make what the leader has, nothing is changed and the
-// session begins anew.
-func TestChangesThatDoNotFitAreRefused(t *testing.T) {
+// If the changes do not yield the leader's state, the view must stay unchanged and the session
+// is reopened.
+func TestMismatchedChangesAreRejected(t *testing.T) {
 	v := newViews()
 	advance(t, v, viewOf(true, fleetwire.Instance{ID: "a", Service: "s"}, fleetwire.Instance{ID: "b", Service: "s"}))
 	advance(t, v, viewOfOwners(4, owned("a")))
 	before := v.load()
-	lost := viewOf(true, fleetwire.Instance{ID: "a", Service: "s"})
-	lost.Instances = []*fleetwire.InstanceChanges{{Gone: []string{"c"}}}
-	assert.ErrorIs(t, v.advance(lost, time.Time{}), errOtherView)
+	unknownRemoved := viewOf(true, fleetwire.Instance{ID: "a", Service: "s"})
+	unknownRemoved.Instances = []*fleetwire.InstanceChanges{{Gone: []string{"c"}}}
+	assert.ErrorIs(t, v.advance(unknownRemoved, time.Time{}), errViewMismatch)
 	moved := viewOfOwners(5, owned("b"))
 	moved.Owners = []*fleetwire.OwnerChanges{{}}
-	assert.ErrorIs(t, v.advance(moved, time.Time{}), errOtherView)
+	assert.ErrorIs(t, v.advance(moved, time.Time{}), errViewMismatch)
 	assert.Equal(t, v.load(), before)
 	assert.Equal(t, len(v.load().byID), 2)
 }
 
-// A new leader does not hear from a gateway that can't reach it, whose back end
-// owns keys under a lease that runs on.
-func TestAnOwnerThatANewLeaderDoesNotKnowIsAskedForItsKeys(t *testing.T) {
+// A new leader does not hear from a gateway that cannot reach it, although the back end of
+// that gateway still owns keys under a running lease.
+func TestOwnerUnknownToNewLeaderKeepsItsKeys(t *testing.T) {
 	v := newViews()
 	cutOff := fleetwire.Instance{ID: "a", Service: "s", Node: "node-a"}
 	known := fleetwire.Instance{ID: "b", Service: "s", Node: "node-b"}
@@ -66,9 +66,9 @@
 	owner, ok := v.load().owner("s", 7)
 	assert.Assert(t, ok)
 	assert.Equal(t, owner.ID, "a")
-	assert.Equal(t, len(v.load().instances["s"]), 1, "it gets nothing that others can serve")
-	assert.Equal(t, len(v.load().byID), 2, "who owns nothing is forgotten")
-	// Once its keys have moved, or its next life is known, it is forgotten as well.
+	assert.Equal(t, len(v.load().instances["s"]), 1, "requests without a key go to other instances")
+	assert.Equal(t, len(v.load().byID), 2, "an instance without keys is removed")
+	// The owner is removed once its keys have moved, or its next incarnation is known.
 	advance(t, v, viewOfOwners(5, owned("b")))
 	advance(t, v, viewOf(true, known, idle))
 	_, ok = v.load().byID["a"]
