--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -18,7 +18,7 @@
 // HeaderNames are the names of the header fields between callers, gateways and back ends, in
 // canonical form.
 type HeaderNames struct {
-	// RequestID identifies one request of a caller. Deadline is the time that the caller still
+	// RequestID identifies one attempt of a caller. Deadline is the time that the caller still
 	// waits, in milliseconds.
 	RequestID, Deadline string
 	// Seal is present on every complete response of a back end.
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -38,8 +38,8 @@
 type gatewayMetrics struct {
 	requests      *prometheus.CounterVec
 	latency       *prometheus.HistogramVec
-	tries         *prometheus.CounterVec
-	repeats       *prometheus.CounterVec
+	attempts      *prometheus.CounterVec
+	retries       *prometheus.CounterVec
 	callersLeft   *prometheus.CounterVec
 	queue         prometheus.Histogram
 	run           prometheus.Histogram
@@ -75,8 +75,8 @@
 	m := &gatewayMetrics{
 		requests:    counters("requests_total", "Requests of callers by what they were told; the reason is empty where a back end answered.", "service", "outcome", "reason"),
 		latency:     prometheus.NewHistogramVec(histogram("request_seconds", "Time from a caller's request to the back end's answer.", requestBuckets), []string{"service"}),
-		tries:       counters("tries_total", "Tries by the hop that made them and what became of them.", "hop", "outcome", "reason"),
-		repeats:     counters("repeats_total", "Requests that were to be sent again, by whether the retry budget allowed it.", "service", "result"),
+		attempts:    counters("tries_total", "Tries by the hop that made them and what became of them.", "hop", "outcome", "reason"),
+		retries:     counters("repeats_total", "Requests that were to be sent again, by whether the retry budget allowed it.", "service", "result"),
 		callersLeft: counters("callers_left_total", "Requests whose caller left before the answer.", "service"),
 		queue:       prometheus.NewHistogram(histogram("queue_seconds", "Time that a try waited for a slot of the back end.", queueBuckets)),
 		run:         prometheus.NewHistogram(histogram("run_seconds", "Time that a try used a slot of the back end.", requestBuckets)),
@@ -93,7 +93,7 @@
 	m.interruptedRuns = prometheus.NewCounter(prometheus.CounterOpts{Namespace: metrics.Namespace, Subsystem: subsystem, Name: "requests_cut_by_ends_total", Help: "Requests that the back end was at work on when it ended."})
 	m.suspendedSeconds = prometheus.NewCounter(prometheus.CounterOpts{Namespace: metrics.Namespace, Subsystem: subsystem, Name: "suspended_seconds_total", Help: "Time for which the machine was suspended since the process started."})
 	m.noticesSent = counters("ends_told_total", "Other gateways that were told of ends of back ends, by what became of it.", "result")
-	registry.MustRegister(m.backendCrashes, m.interruptedRuns, m.suspendedSeconds, m.noticesSent, m.heartbeats, m.requests, m.latency, m.tries, m.repeats, m.callersLeft, m.queue, m.run, m.grants, m.releases, m.peerRefreshes, m.refused, m.freed, m.unreadable)
+	registry.MustRegister(m.backendCrashes, m.interruptedRuns, m.suspendedSeconds, m.noticesSent, m.heartbeats, m.requests, m.latency, m.attempts, m.retries, m.callersLeft, m.queue, m.run, m.grants, m.releases, m.peerRefreshes, m.refused, m.freed, m.unreadable)
 	return m
 }
 
@@ -136,12 +136,12 @@
 	if result.Outcome == outcomeAnswered && !result.loadRead {
 		m.unread(unreadableLoad)
 	}
-	m.tries.WithLabelValues(hopPeer, string(result.Outcome), string(result.Reason)).Inc()
+	m.attempts.WithLabelValues(hopPeer, string(result.Outcome), string(result.Reason)).Inc()
 }
 
 // backendTry counts an attempt at the back end beside the gateway.
 func (m *gatewayMetrics) backendTry(result *forwardResult, waited, used time.Duration) {
-	m.tries.WithLabelValues(hopBackend, string(result.Outcome), string(result.Reason)).Inc()
+	m.attempts.WithLabelValues(hopBackend, string(result.Outcome), string(result.Reason)).Inc()
 	m.queue.Observe(waited.Seconds())
 	if result.Sent {
 		m.run.Observe(used.Seconds())
@@ -153,7 +153,7 @@
 	if !allowed {
 		result = resultExhausted
 	}
-	m.repeats.WithLabelValues(service, result).Inc()
+	m.retries.WithLabelValues(service, result).Inc()
 }
 
 func resultOf(err error) string {
--- a/internal/gateway/runtracker_test.go
+++ b/internal/gateway/runtracker_test.go
@@ -123,11 +123,11 @@
 	w := &runTracker{}
 	now := steady.Now()
 	for _, run := range []struct {
-		target string
-		life   string
-		ago    time.Duration
+		target      string
+		incarnation string
+		ago         time.Duration
 	}{{"/recent", "i", time.Second}, {"/old", "i", 5 * time.Second}, {"/other", "j", 0}} {
-		request := &forwardRequest{ID: run.target, URI: run.target, Instance: run.life}
+		request := &forwardRequest{ID: run.target, URI: run.target, Instance: run.incarnation}
 		w.begin(request)
 		w.connectionBroke(request, now-steady.Instant(run.ago))
 	}
