--- a/internal/controlstate/apply.go
+++ b/internal/controlstate/apply.go
@@ -5,8 +5,9 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// application is one command on its way through Apply.
-type application struct {
+// applyContext holds the command that Apply is running, its result and the
+// routing changes collected so far.
+type applyContext struct {
 	state    *State
 	revision topology.Revision
 	command  *Command
@@ -14,81 +15,84 @@
 	delta    wire.RoutingDelta
 }
 
-// Apply makes the change of the log entry at revision. Revisions must grow. The
-// delta is empty, with From equal to To, where nothing changed.
+// Apply applies the command of the log entry at the given revision. Revisions
+// must increase. If nothing changed, the delta is empty and From equals To.
 func (s *State) Apply(revision topology.Revision, command Command) (Result, wire.RoutingDelta) {
-	a := &application{state: s, revision: revision, command: &command}
+	a := &applyContext{state: s, revision: revision, command: &command}
 	a.result.Revision = revision
 	a.delta = wire.RoutingDelta{Group: s.group, From: s.revision, To: s.revision}
-	if command.isOperators() {
-		a.applyOperators()
+	if command.isOperatorCommand() {
+		a.applyOperatorCommand()
 	} else {
-		a.applyLeaders()
+		a.applyLeaderCommand()
 	}
 	return a.result, a.delta
 }
 
-// Check returns what Apply would answer to an operator's change now, without
-// changing anything. An accepted change has no refusal and the present
-// revision.
+// Check returns the result that Apply would return for an operator command, but
+// changes nothing. If the command would be accepted, the result has no error and
+// the current configuration revision.
 func (s *State) Check(command Command) Result {
-	if repeated, seen := s.repeat(&command); seen {
+	if repeated, seen := s.previousResult(&command); seen {
 		return repeated
 	}
-	if refused, ok := s.refuse(&command); ok {
-		return refused
+	if rejected, ok := s.reject(&command); ok {
+		return rejected
 	}
-	return Result{Revision: s.configured}
+	return Result{Revision: s.configRevision}
 }
 
-// refuse returns the refusal of an operator's change that was not seen before.
-func (s *State) refuse(command *Command) (Result, bool) {
-	if conflict := s.conflict(command); conflict != nil {
-		return Result{Revision: s.configured, RevisionConflict: conflict}, true
+// reject validates an operator command whose request ID is new. It returns the
+// rejection and true if the command is invalid.
+func (s *State) reject(command *Command) (Result, bool) {
+	if conflict := s.revisionConflict(command); conflict != nil {
+		return Result{Revision: s.configRevision, RevisionConflict: conflict}, true
 	}
-	if found := s.check(command); len(found) > 0 {
-		return Result{Revision: s.configured, Violations: found}, true
+	if found := s.fieldViolations(command); len(found) > 0 {
+		return Result{Revision: s.configRevision, Violations: found}, true
 	}
 	return Result{}, false
 }
 
-func (s *State) conflict(command *Command) *RevisionConflictError {
-	anyRevision := command.MarkLoadShift != nil && command.ExpectedRevision == 0
-	if anyRevision || command.ExpectedRevision == s.configured {
+// revisionConflict returns an error if the command was made for another
+// configuration revision. MarkLoadShift accepts any revision if it expects zero.
+func (s *State) revisionConflict(command *Command) *RevisionConflictError {
+	acceptsAnyRevision := command.MarkLoadShift != nil && command.ExpectedRevision == 0
+	if acceptsAnyRevision || command.ExpectedRevision == s.configRevision {
 		return nil
 	}
 	return &RevisionConflictError{
 		Expected: command.ExpectedRevision,
-		Winner:   s.configured,
-		Author:   s.author,
+		Winner:   s.configRevision,
+		Author:   s.configAuthor,
 	}
 }
 
-func (a *application) applyOperators() {
+func (a *applyContext) applyOperatorCommand() {
 	s := a.state
-	if repeated, seen := s.repeat(a.command); seen {
+	if repeated, seen := s.previousResult(a.command); seen {
 		a.result = repeated
 		return
 	}
-	if refused, ok := s.refuse(a.command); ok {
-		a.result = refused
-		a.keepAnswer()
+	if rejected, ok := s.reject(a.command); ok {
+		a.result = rejected
+		a.cacheResult()
 		return
 	}
 	a.changeConfiguration()
-	s.changed(a)
+	s.advanceRevision(a)
 	if a.command.MarkLoadShift == nil {
-		s.configured = a.revision
-		s.author = a.command.Author
+		s.configRevision = a.revision
+		s.configAuthor = a.command.Author
 	}
-	a.keepAnswer()
+	a.cacheResult()
 }
 
-func (a *application) keepAnswer() {
+func (a *applyContext) cacheResult() {
 	if a.command.RequestID == "" {
 		return
 	}
-	a.state.answers.keep(answer{
+	a.state.results.add(cachedResult{
 		RequestID: a.command.RequestID,
 		Digest:    a.command.Digest,
 		Author:    a.command.Author,
@@ -96,30 +100,30 @@
 	})
 }
 
-func (a *application) applyLeaders() {
+func (a *applyContext) applyLeaderCommand() {
 	switch command := a.command; {
 	case command.ChangeOwnership != nil:
 		a.changeOwnership(command.ChangeOwnership)
 		if a.result.OwnershipApplied > 0 {
-			a.state.changed(a)
+			a.state.advanceRevision(a)
 		}
 	case command.AnnounceController != nil:
 		a.announceController(command.AnnounceController)
-		a.state.changed(a)
+		a.state.advanceRevision(a)
 	}
 }
 
-// changed moves the state to the revision of the application.
-func (s *State) changed(a *application) {
+// advanceRevision sets the state's revision to that of the applied command.
+func (s *State) advanceRevision(a *applyContext) {
 	s.revision = a.revision
 	a.delta.To = a.revision
 }
 
-func (c *Command) isOperators() bool {
+func (c *Command) isOperatorCommand() bool {
 	return c.ChangeOwnership == nil && c.AnnounceController == nil
 }
 
-func (a *application) changeConfiguration() {
+func (a *applyContext) changeConfiguration() {
 	switch command := a.command; {
 	case command.CreateService != nil:
 		a.createService(command.CreateService.Service)
@@ -144,6 +148,6 @@
 	}
 }
 
-func (a *application) stamp() change {
-	return change{Revision: a.revision, Author: a.command.Author}
+func (a *applyContext) newChangeInfo() changeInfo {
+	return changeInfo{Revision: a.revision, Author: a.command.Author}
 }
--- a/internal/controlstate/bench_test.go
+++ b/internal/controlstate/bench_test.go
@@ -10,21 +10,21 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// The fleet that the design is built for.
+// Size of the fleet that the design supports.
 const (
-	targetShards   = 75_000
-	targetBackends = 1_100
-	targetServices = 10
+	fleetShards   = 75_000
+	fleetBackends = 1_100
+	fleetServices = 10
 )
 
-// fleetOf returns a log with services whose shards all have an owner.
-func fleetOf(shards, backends int) *log {
+// newFleetLog returns a log with services whose shards are all assigned.
+func newFleetLog(shards, backends int) *log {
 	l := newLog()
-	for service := range targetServices {
-		l.apply(l.operator(fmt.Sprint("s", service), createService(fmt.Sprint("service-", service), uint32(shards/targetServices))))
+	for service := range fleetServices {
+		l.apply(l.operator(fmt.Sprint("s", service), createService(fmt.Sprint("service-", service), uint32(shards/fleetServices))))
 	}
 	for number := range backends {
-		service := fmt.Sprint("service-", number%targetServices)
+		service := fmt.Sprint("service-", number%fleetServices)
 		l.apply(l.operator(fmt.Sprint("b", number), func(command *controlstate.Command) {
 			createBackend(service, number)(command)
 			command.CreateBackend.Backend.AgentAddress = fmt.Sprintf("127.%d.%d.1:7201", 1+number/250, number%250)
@@ -34,16 +34,16 @@
 	return l
 }
 
-// assignAll gives every shard to a back end of its service, in turn.
+// assignAll assigns every shard to a back end of its service, round robin.
 func (l *log) assignAll(shards, backends int) controlstate.Command {
 	batch := &controlstate.ChangeOwnership{}
-	each := backends / targetServices
-	for service := range targetServices {
-		for number := range shards / targetServices {
+	backendsPerService := backends / fleetServices
+	for service := range fleetServices {
+		for number := range shards / fleetServices {
 			batch.Changes = append(batch.Changes, controlstate.OwnershipChange{
 				Shard:  topology.ShardID{Service: topology.ServiceID(service + 1), Shard: topology.ShardNumber(number + 1)},
 				Event:  ownership.EventAssign,
-				To:     topology.BackendID(service + 1 + targetServices*(number%each)),
+				To:     topology.BackendID(service + 1 + fleetServices*(number%backendsPerService)),
 				Reason: "no owner; back end 1042 is the least utilised",
 			})
 		}
@@ -52,12 +52,12 @@
 }
 
 func BenchmarkApplyOperatorsChange(b *testing.B) {
-	l := fleetOf(targetShards, targetBackends)
+	l := newFleetLog(fleetShards, fleetBackends)
 	b.ResetTimer()
 	for number := range b.N {
 		result, _ := l.apply(l.operator(fmt.Sprint("u", number), func(command *controlstate.Command) {
 			command.UpdateService = &controlstate.UpdateService{
-				Service: topology.Service{Name: "service-0", InitialShards: targetShards / targetServices},
+				Service: topology.Service{Name: "service-0", InitialShards: fleetShards / fleetServices},
 			}
 		}))
 		if result.Err() != nil {
@@ -66,18 +66,18 @@
 	}
 }
 
-// BenchmarkApplyZoneLoss takes 4,000 shards from their owners in one batch.
+// BenchmarkApplyZoneLoss reassigns 4,000 shards to new owners in one batch.
 func BenchmarkApplyZoneLoss(b *testing.B) {
-	l := fleetOf(targetShards, targetBackends)
+	l := newFleetLog(fleetShards, fleetBackends)
 	const lost = 4_000
 	b.ResetTimer()
 	for round := range b.N {
 		batch := &controlstate.ChangeOwnership{}
 		for number := range lost {
-			id := topology.ShardID{Service: topology.ServiceID(number%targetServices + 1), Shard: topology.ShardNumber(number/targetServices + 1)}
+			id := topology.ShardID{Service: topology.ServiceID(number%fleetServices + 1), Shard: topology.ShardNumber(number/fleetServices + 1)}
 			batch.Changes = append(batch.Changes, controlstate.OwnershipChange{
 				Shard: id, Epoch: topology.Epoch(round + 1), Event: ownership.EventAssign,
-				To:     topology.BackendID(number%targetServices + 1 + targetServices*((round+number)%100)),
+				To:     topology.BackendID(number%fleetServices + 1 + fleetServices*((round+number)%100)),
 				Reason: "owner 17 is lost; back end 1042 is the least utilised",
 			})
 		}
@@ -90,8 +90,8 @@
 }
 
 func BenchmarkZoneLossCommandCodec(b *testing.B) {
-	l := fleetOf(targetShards, targetBackends)
-	command := l.assignAll(4_000, targetBackends)
+	l := newFleetLog(fleetShards, fleetBackends)
+	command := l.assignAll(4_000, fleetBackends)
 	data, err := controlstate.EncodeCommand(command)
 	if err != nil {
 		b.Fatal(err)
@@ -108,8 +108,8 @@
 }
 
 func BenchmarkSnapshotAndRestore(b *testing.B) {
-	for _, shards := range []int{1_000, 10_000, targetShards} {
-		l := fleetOf(shards, targetBackends)
+	for _, shards := range []int{1_000, 10_000, fleetShards} {
+		l := newFleetLog(shards, fleetBackends)
 		data, err := l.state.Encode()
 		if err != nil {
 			b.Fatal(err)
@@ -132,24 +132,24 @@
 	}
 }
 
-// BenchmarkMemory reports the heap that a state holds, with one entry of history
+// BenchmarkMemory measures the heap use of a state that has one history entry
 // per shard.
 func BenchmarkMemory(b *testing.B) {
-	for _, shards := range []int{1_000, 10_000, targetShards} {
+	for _, shards := range []int{1_000, 10_000, fleetShards} {
 		b.Run(fmt.Sprint(shards), func(b *testing.B) {
-			var held uint64
+			var used uint64
 			for b.Loop() {
-				before := heap()
-				l := fleetOf(shards, targetBackends)
-				held = heap() - before
+				before := heapBytes()
+				l := newFleetLog(shards, fleetBackends)
+				used = heapBytes() - before
 				runtime.KeepAlive(l)
 			}
-			b.ReportMetric(float64(held)/float64(shards), "B/shard")
+			b.ReportMetric(float64(used)/float64(shards), "B/shard")
 		})
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
--- a/internal/controlstate/command.go
+++ b/internal/controlstate/command.go
@@ -12,15 +12,16 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// Digest identifies the content of an operator's change.
+// Digest is the SHA-256 hash of the content of an operator command.
 type Digest [sha256.Size]byte
 
-// Command is one entry of the log. Exactly one of the pointers is set.
+// Command is the content of one log entry. Exactly one of the pointers is set.
 type Command struct {
-	// UnixMilli is the proposer's time, for display.
+	// UnixMilli is the proposer's time. It is shown to operators and decides
+	// which load shifts have ended.
 	UnixMilli int64
-	// RequestID, Digest, Author and ExpectedRevision belong to operators'
-	// changes. RequestID is empty in the leader's own commands.
+	// RequestID, Digest, Author and ExpectedRevision are set in operator
+	// commands. RequestID is empty in leader commands.
 	RequestID        string
 	Digest           Digest
 	Author           string
@@ -39,60 +40,61 @@
 	PromoteController *PromoteController
 	RemoveController  *RemoveController
 
-	// The leader's own.
+	// Leader commands.
 	ChangeOwnership    *ChangeOwnership
 	AnnounceController *AnnounceController
 }
 
-// CreateService makes a service. Its identity is given by the state.
+// CreateService creates a service. The state assigns its ID.
 type CreateService struct{ Service topology.Service }
 
-// UpdateService replaces the rules and policies of the service of that name.
+// UpdateService replaces the rules and policies of the service with that name.
 type UpdateService struct{ Service topology.Service }
 
-// DeleteService removes a service with its shards and back ends, all of which
+// DeleteService removes a service with its shards and back ends. All back ends
 // must be draining.
 type DeleteService struct{ Name string }
 
-// BackendName is how operators name a back end.
+// BackendName identifies a back end by the names that operators use.
 type BackendName struct {
 	Service string
 	Name    string
 }
 
-// CreateBackend makes a back end of the service of that name.
+// CreateBackend creates a back end in the service with that name.
 type CreateBackend struct {
 	Service string
 	Backend topology.Backend
 }
 
-// UpdateBackend replaces location, address and sizes of a back end.
+// UpdateBackend replaces the location, address and capacity of a back end.
 type UpdateBackend struct {
 	Service string
 	Backend topology.Backend
 }
 
-// SetBackendState drains a back end or ends its drain.
+// SetBackendState starts draining a back end, or makes it active again.
 type SetBackendState struct {
 	Backend BackendName
 	State   topology.BackendState
 }
 
-// RemoveBackend removes a back end that owns nothing.
+// RemoveBackend removes a back end that owns no shards.
 type RemoveBackend struct{ Backend BackendName }
 
-// MarkLoadShift announces a period in which keys run hot. It conflicts with no
-// other change: an expected revision of zero accepts any.
+// MarkLoadShift announces a period in which some keys will be hot. It cannot
+// conflict with other changes if its expected revision is zero, which accepts
+// any revision.
 type MarkLoadShift struct {
 	Service string
 	Keys    []topology.KeyHash
 	// StartUnixMilli and EndUnixMilli bound the period.
 	StartUnixMilli, EndUnixMilli int64
-	// ExpectedSlots is the load of all the keys together.
+	// ExpectedSlots is the expected total load of the keys.
 	ExpectedSlots float64
 }
 
-// Controller is what the state knows of a member of the group.
+// Controller is the identity and the addresses of a member of the group.
 type Controller struct {
 	ID             topology.ReplicaID
 	Incarnation    topology.Incarnation
@@ -101,64 +103,70 @@
 	RPCAddress     string
 }
 
-// AddController takes an identity for a new member. The leader then changes the
-// membership of the group.
+// AddController allocates an ID for a new member. The leader then changes the
+// group's membership.
 type AddController struct {
 	Controller Controller
-	// LowestID is above every identity in the group's membership.
+	// LowestID is the lowest ID that may be allocated. It is greater than every
+	// ID in the group's membership.
 	LowestID topology.ReplicaID
 }
 
-// PromoteController records the order to give a learner its vote.
+// PromoteController records the request to make a learner a voter.
 type PromoteController struct {
 	ID topology.ReplicaID
-	// Member says that the group's membership names it, as the leader knows: it
-	// may have told no addresses yet.
+	// Member is set by the leader if the controller is in the group's membership.
+	// Such a controller may be unknown to the state, because it has not announced
+	// its addresses yet.
 	Member bool
 }
 
-// RemoveController records the order to remove a member and forgets its
+// RemoveController records the request to remove a member and deletes its
 // addresses.
 type RemoveController struct {
 	ID topology.ReplicaID
-	// Member is as in PromoteController.
+	// Member has the same meaning as in PromoteController.
 	Member bool
 }
 
 // AnnounceController records the addresses of a member.
 type AnnounceController struct {
 	Controller Controller
-	// LeaseDuration for which the member will grant leases, where it leads.
+	// LeaseDuration is the duration of the leases that the member grants while it
+	// is the leader.
 	LeaseDuration time.Duration
 }
 
-// ChangeOwnership is a batch of changes of shards.
+// ChangeOwnership is a batch of shard ownership changes.
 type ChangeOwnership struct{ Changes []OwnershipChange }
 
-// OwnershipChange is one step in a shard's life.
+// OwnershipChange is one state transition of a shard.
 type OwnershipChange struct {
 	Shard topology.ShardID
-	// Epoch that the shard must have; otherwise the change is skipped.
+	// Epoch is the expected epoch of the shard. If the shard has another epoch,
+	// the change is skipped.
 	Epoch topology.Epoch
 	Event ownership.ShardEvent
 	// To is the new owner (EventAssign) or target (EventBeginMove).
 	To topology.BackendID
-	// SplitAt is the start of the new right part (EventSplit).
+	// SplitAt is the start of the new right-hand shard (EventSplit).
 	SplitAt topology.KeyHash
-	// MergeWith is the right neighbour, which ends (EventMerge), and its epoch.
+	// MergeWith is the right neighbour, which is merged into the shard and
+	// removed (EventMerge). MergeWithEpoch is its expected epoch.
 	MergeWith      topology.ShardNumber
 	MergeWithEpoch topology.Epoch
-	// Reason for the operator, at most MaximumReason bytes are kept.
+	// Reason is shown to operators. It is truncated to MaximumReason bytes.
 	Reason string
 }
 
-// Seal computes the digest of an operator's change. The proposer calls it, so
-// that replicas of different versions agree.
+// Seal sets the digest of an operator command. It is computed by the proposer
+// and not by each replica, because replicas of different versions could compute
+// different digests.
 func (c *Command) Seal() error {
 	content := *c
 	content.UnixMilli = 0
 	content.RequestID = ""
-	content.ExpectedRevision = 0 // an operator's client may read it anew
+	content.ExpectedRevision = 0 // a client may read a newer revision before it resends
 	content.Digest = Digest{}
 	content.clearLeaderFields()
 	text, err := json.Marshal(content)
@@ -169,8 +177,8 @@
 	return nil
 }
 
-// clearLeaderFields removes what the leader adds to an operator's change and
-// what may differ when it is sent again.
+// clearLeaderFields clears the fields that the leader adds to an operator
+// command. Their values may differ when the command is sent again.
 func (c *Command) clearLeaderFields() {
 	if c.AddController != nil {
 		content := *c.AddController
@@ -185,7 +193,7 @@
 	}
 }
 
-// EncodeCommand returns the log entry of a command.
+// EncodeCommand encodes a command as the data of a log entry.
 func EncodeCommand(command Command) ([]byte, error) {
 	var buffer bytes.Buffer
 	if err := gob.NewEncoder(&buffer).Encode(command); err != nil {
@@ -194,7 +202,7 @@
 	return buffer.Bytes(), nil
 }
 
-// DecodeCommand reads a log entry.
+// DecodeCommand decodes the data of a log entry.
 func DecodeCommand(data []byte) (Command, error) {
 	var command Command
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&command); err != nil {
--- a/internal/controlstate/fuzz_test.go
+++ b/internal/controlstate/fuzz_test.go
@@ -10,7 +10,7 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// seedCommands is one command of each kind.
+// seedCommands returns one command of each kind.
 func seedCommands() []controlstate.Command {
 	service := topology.Service{Name: "closures", InitialShards: 2, Rules: []topology.RequestRule{{Methods: []string{"POST"}, NonRepeatable: true}}}
 	name := controlstate.BackendName{Service: "wayfinder", Name: "backend-1"}
@@ -28,14 +28,14 @@
 		{PromoteController: &controlstate.PromoteController{ID: 1}},
 		{RemoveController: &controlstate.RemoveController{ID: 1}},
 		{AnnounceController: &controlstate.AnnounceController{Controller: controller, LeaseDuration: 1}},
-		step(1, 0, ownership.EventAssign, 1),
-		step(1, 0, ownership.EventSplit, 0),
-		step(1, 0, ownership.EventMerge, 0),
+		ownershipCommand(1, 0, ownership.EventAssign, 1),
+		ownershipCommand(1, 0, ownership.EventSplit, 0),
+		ownershipCommand(1, 0, ownership.EventMerge, 0),
 	}
 }
 
-// FuzzDecodeCommand: whatever the log holds, a command that can be decoded can
-// be applied without a panic, and is the same after another encoding.
+// FuzzDecodeCommand checks that any command that can be decoded can also be
+// encoded and decoded again, and can be applied without a panic.
 func FuzzDecodeCommand(f *testing.F) {
 	for _, command := range seedCommands() {
 		command.RequestID, command.Author, command.ExpectedRevision = "r", "anna", 4
@@ -48,28 +48,28 @@
 		if err != nil {
 			return
 		}
-		again, err := controlstate.EncodeCommand(command)
+		reencoded, err := controlstate.EncodeCommand(command)
 		assert.NilError(t, err)
-		_, err = controlstate.DecodeCommand(again)
+		_, err = controlstate.DecodeCommand(reencoded)
 		assert.NilError(t, err)
-		l := populated(2)
-		l.apply(step(1, 0, ownership.EventAssign, 1))
+		l := newPopulatedLog(2)
+		l.apply(ownershipCommand(1, 0, ownership.EventAssign, 1))
 		l.apply(command)
 		l.state.Routing()
 		l.state.Backends()
 	})
 }
 
-// FuzzDecodeState: a damaged snapshot is refused or gives a state that works,
-// and a refused one leaves the state as it was.
+// FuzzDecodeState checks that a damaged snapshot is either rejected, leaving the
+// state unchanged, or decoded to a state that can be read without a panic.
 func FuzzDecodeState(f *testing.F) {
-	l := populated(2)
-	l.apply(step(1, 0, ownership.EventAssign, 1))
+	l := newPopulatedLog(2)
+	l.apply(ownershipCommand(1, 0, ownership.EventAssign, 1))
 	data, err := l.state.Encode()
 	assert.NilError(f, err)
 	f.Add(data)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		l := populated(1)
+		l := newPopulatedLog(1)
 		before := l.state.Revision()
 		if l.state.Decode(data) != nil {
 			assert.Equal(t, l.state.Revision(), before)
--- a/internal/controlstate/ownership.go
+++ b/internal/controlstate/ownership.go
@@ -7,7 +7,7 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-func (a *application) changeOwnership(batch *ChangeOwnership) {
+func (a *applyContext) changeOwnership(batch *ChangeOwnership) {
 	for index := range batch.Changes {
 		if a.changeShard(&batch.Changes[index]) {
 			a.result.OwnershipApplied++
@@ -17,60 +17,62 @@
 	}
 }
 
-// changeShard makes one change. It reports false where the shard has gone on
-// since the leader decided, or the back end may not take it any more.
-func (a *application) changeShard(step *OwnershipChange) bool {
-	record := a.state.shard(step.Shard)
-	if record == nil || record.Epoch != step.Epoch {
+// changeShard applies one change. It returns false if the shard has changed
+// since the leader's decision, or the shard can no longer be assigned to the
+// back end.
+func (a *applyContext) changeShard(change *OwnershipChange) bool {
+	record := a.state.shard(change.Shard)
+	if record == nil || record.Epoch != change.Epoch {
 		return false
 	}
-	next, action, allowed := ownership.NextPhase(record.Phase, step.Event)
-	if !allowed || !a.act(record, action, step) {
+	next, action, allowed := ownership.NextPhase(record.Phase, change.Event)
+	if !allowed || !a.performAction(record, action, change) {
 		return false
 	}
 	record.Phase = next
-	a.shardChanged(record, step.Reason)
+	a.recordShardChange(record, change.Reason)
 	return true
 }
 
-func (a *application) act(record *shard, action ownership.ShardAction, step *OwnershipChange) bool {
+func (a *applyContext) performAction(record *shard, action ownership.ShardAction, change *OwnershipChange) bool {
 	switch action {
 	case ownership.ShardGiveToTarget:
-		return a.giveToTarget(record, step)
+		return a.giveToTarget(record, change)
 	case ownership.ShardSetTarget:
-		return a.setTarget(record, step.To)
+		return a.setTarget(record, change.To)
 	case ownership.ShardClearTarget:
 		a.clearTarget(record)
 	case ownership.ShardGiveBack:
 		a.clearTarget(record)
 		record.Epoch++
 	case ownership.ShardDivide:
-		return a.divide(record, step)
+		return a.divide(record, change)
 	case ownership.ShardJoin:
-		return a.join(record, step)
+		return a.join(record, change)
 	}
 	return true
 }
 
-// mayTake reports whether a back end of the shard's service may be given it.
-func (a *application) mayTake(record *shard, id topology.BackendID) bool {
+// canAssign reports whether the back end exists and belongs to the shard's
+// service.
+func (a *applyContext) canAssign(record *shard, id topology.BackendID) bool {
 	target, known := a.state.backends[id]
 	return known && target.Service == record.ID.Service
 }
 
-// giveToTarget makes a new owner: the target of a completed move, or the one
-// that the leader names after the present owner's lease has ended.
-func (a *application) giveToTarget(record *shard, step *OwnershipChange) bool {
-	promised := step.Event == ownership.EventCompleteMove
-	to := step.To
-	if promised {
+// giveToTarget sets a new owner: the target of a completed move, or the back end
+// that the leader chose after the previous owner's lease expired.
+func (a *applyContext) giveToTarget(record *shard, change *OwnershipChange) bool {
+	released := change.Event == ownership.EventCompleteMove
+	to := change.To
+	if released {
 		to = record.Target
 	}
-	if !a.mayTake(record, to) {
+	if !a.canAssign(record, to) {
 		return false
 	}
 	previous := a.state.backends[record.Owner]
-	if previous != nil && !promised {
+	if previous != nil && !released {
 		previous.revokedAt = a.revision
 	}
 	a.clearTarget(record)
@@ -79,7 +81,7 @@
 	return true
 }
 
-func (a *application) setOwner(record *shard, to topology.BackendID) {
+func (a *applyContext) setOwner(record *shard, to topology.BackendID) {
 	s := a.state
 	if previous := s.backends[record.Owner]; previous != nil {
 		delete(previous.owned, record.ID)
@@ -89,8 +91,8 @@
 	s.backends[to].owned[record.ID] = struct{}{}
 }
 
-func (a *application) setTarget(record *shard, to topology.BackendID) bool {
-	if to == record.Owner || !a.mayTake(record, to) {
+func (a *applyContext) setTarget(record *shard, to topology.BackendID) bool {
+	if to == record.Owner || !a.canAssign(record, to) {
 		return false
 	}
 	target := a.state.backends[to]
@@ -103,7 +105,7 @@
 	return true
 }
 
-func (a *application) clearTarget(record *shard) {
+func (a *applyContext) clearTarget(record *shard) {
 	if target := a.state.backends[record.Target]; target != nil {
 		delete(target.incoming, record.ID)
 	}
@@ -111,51 +113,51 @@
 	record.Target = 0
 }
 
-// divide gives the right part of a shard a number of its own. Both parts get a
-// new epoch, so that a request which was routed by the old division is refused
-// and routed again.
-func (a *application) divide(record *shard, step *OwnershipChange) bool {
-	owner := a.state.services[record.ID.Service]
-	index := owner.indexOf(record.Start)
-	atEnd := index+1 == len(owner.ordered)
-	inside := step.SplitAt > record.Start && (atEnd || step.SplitAt < owner.ordered[index+1].Start)
+// divide splits a shard; the right part becomes a new shard. Both parts get a
+// new epoch, so that requests routed by the old ranges are rejected and routed
+// again.
+func (a *applyContext) divide(record *shard, change *OwnershipChange) bool {
+	parent := a.state.services[record.ID.Service]
+	index := parent.shardIndex(record.Start)
+	atEnd := index+1 == len(parent.shardsByStart)
+	inside := change.SplitAt > record.Start && (atEnd || change.SplitAt < parent.shardsByStart[index+1].Start)
 	if !inside {
 		return false
 	}
 	record.Epoch++
-	owner.lastShard++
+	parent.lastShardNumber++
 	right := &shard{Shard: record.Shard}
-	right.ID.Shard = owner.lastShard
-	right.Start = step.SplitAt
-	owner.ordered = slices.Insert(owner.ordered, index+1, right)
-	owner.byNumber[right.ID.Shard] = right
+	right.ID.Shard = parent.lastShardNumber
+	right.Start = change.SplitAt
+	parent.shardsByStart = slices.Insert(parent.shardsByStart, index+1, right)
+	parent.shardsByNumber[right.ID.Shard] = right
 	a.state.backends[right.Owner].owned[right.ID] = struct{}{}
-	a.shardChanged(right, step.Reason)
+	a.recordShardChange(right, change.Reason)
 	return true
 }
 
-// join extends a shard over its right neighbour, which ends.
-func (a *application) join(record *shard, step *OwnershipChange) bool {
-	owner := a.state.services[record.ID.Service]
-	index := owner.indexOf(record.Start)
-	if index+1 == len(owner.ordered) {
+// join merges the right neighbour of a shard into it and removes the neighbour.
+func (a *applyContext) join(record *shard, change *OwnershipChange) bool {
+	parent := a.state.services[record.ID.Service]
+	index := parent.shardIndex(record.Start)
+	if index+1 == len(parent.shardsByStart) {
 		return false
 	}
-	right := owner.ordered[index+1]
-	matches := right.ID.Shard == step.MergeWith && right.Epoch == step.MergeWithEpoch
+	right := parent.shardsByStart[index+1]
+	matches := right.ID.Shard == change.MergeWith && right.Epoch == change.MergeWithEpoch
 	sameOwner := right.Phase == topology.ShardOwned && right.Owner == record.Owner
 	if !matches || !sameOwner {
 		return false
 	}
 	record.Epoch = max(record.Epoch, right.Epoch) + 1
-	owner.ordered = slices.Delete(owner.ordered, index+1, index+2)
-	delete(owner.byNumber, right.ID.Shard)
+	parent.shardsByStart = slices.Delete(parent.shardsByStart, index+1, index+2)
+	delete(parent.shardsByNumber, right.ID.Shard)
 	delete(a.state.backends[right.Owner].owned, right.ID)
 	a.delta.RemovedShards = append(a.delta.RemovedShards, right.ID)
 	return true
 }
 
-func (a *application) shardChanged(record *shard, reason string) {
+func (a *applyContext) recordShardChange(record *shard, reason string) {
 	record.changedUnixMilli = a.command.UnixMilli
 	if len(reason) > MaximumReason {
 		reason = reason[:MaximumReason]
--- a/internal/controlstate/property_test.go
+++ b/internal/controlstate/property_test.go
@@ -16,18 +16,19 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// TestAnyCommandsKeepTheInvariants applies operators' and leader's commands of
-// every kind, right and wrong, new and repeated, to two replicas, one of which
-// is restored from a snapshot now and then. Both must stay equal, byte by byte,
-// and what must always hold is checked after each command.
-func TestAnyCommandsKeepTheInvariants(t *testing.T) {
+// TestRandomCommandsPreserveInvariants applies random operator and leader
+// commands, valid and invalid, new and resent, to two replicas. One replica is
+// restored from its own snapshot at random points. Both must return the same
+// results and encode to the same bytes. The invariants are checked after each
+// command.
+func TestRandomCommandsPreserveInvariants(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		shards := uint32(rapid.IntRange(1, 4).Draw(r, "first shards"))
-		replica, restored := populated(shards), populated(shards)
-		watch := newWatcher()
+		replica, restored := newPopulatedLog(shards), newPopulatedLog(shards)
+		checker := newInvariantChecker()
 		var sent []controlstate.Command
 		for number := range rapid.IntRange(1, 80).Draw(r, "commands") {
-			command := anyCommand(r, replica.state, number)
+			command := drawCommand(r, replica.state, number)
 			if len(sent) > 0 && rapid.IntRange(0, 7).Draw(r, "resend") == 0 {
 				command = rapid.SampledFrom(sent).Draw(r, "sent before")
 			}
@@ -36,7 +37,7 @@
 			restoredResult, restoredDelta := restored.apply(command)
 			assert.DeepEqual(r, result, restoredResult)
 			assert.DeepEqual(r, delta, restoredDelta)
-			watch.check(r, replica.state)
+			checker.check(r, replica.state)
 			if rapid.IntRange(0, 9).Draw(r, "restore") == 0 {
 				restoreFromSnapshot(r, restored)
 			}
@@ -45,7 +46,7 @@
 		assert.NilError(r, err)
 		second, err := restored.state.Encode()
 		assert.NilError(r, err)
-		assert.Assert(r, bytes.Equal(first, second), "the restored replica differs")
+		assert.Assert(r, bytes.Equal(first, second), "the restored replica encodes to different bytes")
 	})
 }
 
@@ -56,15 +57,15 @@
 	assert.NilError(r, l.state.Decode(data))
 }
 
-// Few names, so that commands meet each other's objects.
+// There are few names, so that commands often refer to existing objects.
 var (
 	serviceNames = []string{"wayfinder", "closures", "Bad Name"}
 	backendNames = []string{"backend-1", "backend-2", "backend-3"}
 )
 
-func anyCommand(r *rapid.T, state *controlstate.State, number int) controlstate.Command {
+func drawCommand(r *rapid.T, state *controlstate.State, number int) controlstate.Command {
 	if rapid.IntRange(0, 3).Draw(r, "by the leader") > 0 {
-		return leadersCommand(r, state)
+		return drawLeaderCommand(r, state)
 	}
 	configured, _ := state.Configuration()
 	command := controlstate.Command{
@@ -73,14 +74,14 @@
 		Author:           rapid.SampledFrom([]string{"anna", "bo", ""}).Draw(r, "author"),
 		ExpectedRevision: configured + topology.Revision(rapid.SampledFrom([]int{0, 0, 0, 0, 1}).Draw(r, "ahead")),
 	}
-	fillOperators(r, &command)
+	fillOperatorCommand(r, &command)
 	if err := command.Seal(); err != nil {
 		r.Fatal(err)
 	}
 	return command
 }
 
-func fillOperators(r *rapid.T, command *controlstate.Command) {
+func fillOperatorCommand(r *rapid.T, command *controlstate.Command) {
 	service := topology.Service{
 		Name:          rapid.SampledFrom(serviceNames).Draw(r, "service"),
 		InitialShards: uint32(rapid.IntRange(0, 4).Draw(r, "shards")),
@@ -118,11 +119,11 @@
 			Service: service.Name, Keys: []topology.KeyHash{7}, EndUnixMilli: command.UnixMilli + 1, ExpectedSlots: 1,
 		}
 	default:
-		fillControllers(r, command, controller, id)
+		fillMembershipCommand(r, command, controller, id)
 	}
 }
 
-func fillControllers(r *rapid.T, command *controlstate.Command, controller controlstate.Controller, id topology.ReplicaID) {
+func fillMembershipCommand(r *rapid.T, command *controlstate.Command, controller controlstate.Controller, id topology.ReplicaID) {
 	switch rapid.IntRange(0, 2).Draw(r, "membership") {
 	case 0:
 		command.AddController = &controlstate.AddController{Controller: controller, LowestID: id}
@@ -133,19 +134,19 @@
 	}
 }
 
-func leadersCommand(r *rapid.T, state *controlstate.State) controlstate.Command {
+func drawLeaderCommand(r *rapid.T, state *controlstate.State) controlstate.Command {
 	batch := &controlstate.ChangeOwnership{}
 	for range rapid.IntRange(1, 4).Draw(r, "changes") {
-		if change, ok := anyChange(r, state); ok {
+		if change, ok := drawOwnershipChange(r, state); ok {
 			batch.Changes = append(batch.Changes, change)
 		}
 	}
 	return controlstate.Command{ChangeOwnership: batch}
 }
 
-// anyChange names a shard that exists, mostly at its present epoch, and any
-// event and back end.
-func anyChange(r *rapid.T, state *controlstate.State) (controlstate.OwnershipChange, bool) {
+// drawOwnershipChange draws a change of an existing shard, mostly with the
+// current epoch, with a random event and back end.
+func drawOwnershipChange(r *rapid.T, state *controlstate.State) (controlstate.OwnershipChange, bool) {
 	var shards []topology.Shard
 	for _, service := range state.Services() {
 		for shard := range state.Shards(service.ID) {
@@ -160,7 +161,7 @@
 	return controlstate.OwnershipChange{
 		Shard:          shard.ID,
 		Epoch:          shard.Epoch + topology.Epoch(rapid.SampledFrom([]int{0, 0, 0, 0, 0, 1}).Draw(r, "epoch ahead")),
-		Event:          anyEvent(r, shard.Phase),
+		Event:          drawShardEvent(r, shard.Phase),
 		To:             topology.BackendID(rapid.IntRange(0, 5).Draw(r, "to")),
 		SplitAt:        topology.KeyHash(rapid.Uint64().Draw(r, "split at")),
 		MergeWith:      next.ID.Shard,
@@ -168,8 +169,8 @@
 	}, true
 }
 
-// anyEvent draws mostly events that the chart allows in a phase.
-func anyEvent(r *rapid.T, phase topology.ShardPhase) ownership.ShardEvent {
+// drawShardEvent draws mostly events that the state chart allows in the phase.
+func drawShardEvent(r *rapid.T, phase topology.ShardPhase) ownership.ShardEvent {
 	event := ownership.ShardEvent(rapid.IntRange(0, int(ownership.EventMerge)+1).Draw(r, "event"))
 	for range 4 {
 		if _, _, allowed := ownership.NextPhase(phase, event); allowed {
@@ -180,58 +181,60 @@
 	return event
 }
 
-// watcher remembers what must not go back from one state to the next.
-type watcher struct {
+// invariantChecker keeps the revision, the epochs and the owners last seen, to
+// check that revisions and epochs never decrease.
+type invariantChecker struct {
 	revision topology.Revision
 	epochs   map[topology.ShardID]topology.Epoch
-	// owners of sampled keys, by service.
-	owners map[sample]ownedAt
+	// owners holds the owners of the sampled keys of each service.
+	owners map[sampledKey]ownerAndEpoch
 }
 
-type sample struct {
+type sampledKey struct {
 	service topology.ServiceID
 	key     topology.KeyHash
 }
 
-type ownedAt struct {
+type ownerAndEpoch struct {
 	owner topology.BackendID
 	epoch topology.Epoch
 }
 
 var sampledKeys = []topology.KeyHash{0, 1, math.MaxUint64 / 3, math.MaxUint64 / 2, math.MaxUint64 - 1, math.MaxUint64}
 
-func newWatcher() *watcher {
-	return &watcher{epochs: make(map[topology.ShardID]topology.Epoch), owners: make(map[sample]ownedAt)}
+func newInvariantChecker() *invariantChecker {
+	return &invariantChecker{epochs: make(map[topology.ShardID]topology.Epoch), owners: make(map[sampledKey]ownerAndEpoch)}
 }
 
-func (w *watcher) check(r *rapid.T, state *controlstate.State) {
-	if state.Revision() < w.revision {
-		r.Fatalf("revision fell from %d to %d", w.revision, state.Revision())
+func (c *invariantChecker) check(r *rapid.T, state *controlstate.State) {
+	if state.Revision() < c.revision {
+		r.Fatalf("revision decreased from %d to %d", c.revision, state.Revision())
 	}
-	w.revision = state.Revision()
+	c.revision = state.Revision()
 	owned := make(map[topology.BackendID]int)
 	for _, service := range state.Services() {
-		w.checkRanges(r, state, service.ID, owned)
-		w.checkKeys(r, state, service.ID)
+		c.checkRanges(r, state, service.ID, owned)
+		c.checkKeys(r, state, service.ID)
 	}
 	for _, backend := range state.Backends() {
 		if backend.Owned != owned[backend.ID] {
-			r.Fatalf("back end %d owns %d shards, its count says %d", backend.ID, owned[backend.ID], backend.Owned)
+			r.Fatalf("back end %d owns %d shards, but its count is %d", backend.ID, owned[backend.ID], backend.Owned)
 		}
 	}
 }
 
-// checkRanges verifies that a service's shards cover all positions once.
-func (w *watcher) checkRanges(r *rapid.T, state *controlstate.State, service topology.ServiceID, owned map[topology.BackendID]int) {
+// checkRanges verifies that the ranges of a service's shards cover the hash space
+// without gaps or overlaps.
+func (c *invariantChecker) checkRanges(r *rapid.T, state *controlstate.State, service topology.ServiceID, owned map[topology.BackendID]int) {
 	next := topology.KeyHash(0)
 	first := true
 	for shard := range state.Shards(service) {
 		if shard.Start != next || (next == 0 && !first) {
-			r.Fatalf("shard %s begins at %x, the one before ends before %x", shard.ID, shard.Start, next)
+			r.Fatalf("shard %s starts at %x, but the previous shard ends before %x", shard.ID, shard.Start, next)
 		}
 		first = false
 		next = state.EndOf(shard.ID) + 1
-		w.checkShard(r, state, shard)
+		c.checkShard(r, state, shard)
 		owned[shard.Owner]++
 	}
 	if next != 0 {
@@ -239,36 +242,36 @@
 	}
 }
 
-func (w *watcher) checkShard(r *rapid.T, state *controlstate.State, shard topology.Shard) {
-	if shard.Epoch < w.epochs[shard.ID] {
-		r.Fatalf("epoch of shard %s fell from %d to %d", shard.ID, w.epochs[shard.ID], shard.Epoch)
+func (c *invariantChecker) checkShard(r *rapid.T, state *controlstate.State, shard topology.Shard) {
+	if shard.Epoch < c.epochs[shard.ID] {
+		r.Fatalf("epoch of shard %s decreased from %d to %d", shard.ID, c.epochs[shard.ID], shard.Epoch)
 	}
-	w.epochs[shard.ID] = shard.Epoch
+	c.epochs[shard.ID] = shard.Epoch
 	moving := shard.Phase == topology.ShardWarming || shard.Phase == topology.ShardReleasing
 	if moving != (shard.Target != 0) || (shard.Phase == topology.ShardUnassigned) != (shard.Owner == 0) {
-		r.Fatalf("phase does not fit owner and target: %+v", shard)
+		r.Fatalf("phase does not match owner and target: %+v", shard)
 	}
 	for _, id := range []topology.BackendID{shard.Owner, shard.Target} {
 		if backend, known := state.Backend(id); id != 0 && (!known || backend.Service != shard.ID.Service) {
-			r.Fatalf("shard %s has back end %d, which is none of its service's", shard.ID, id)
+			r.Fatalf("shard %s has back end %d, which is not a back end of its service", shard.ID, id)
 		}
 	}
 }
 
-// checkKeys verifies that a key's epoch never falls, and grows with each change of
-// its owner.
-func (w *watcher) checkKeys(r *rapid.T, state *controlstate.State, service topology.ServiceID) {
+// checkKeys verifies that the epoch of a key never decreases, and increases
+// whenever its owner changes.
+func (c *invariantChecker) checkKeys(r *rapid.T, state *controlstate.State, service topology.ServiceID) {
 	for _, key := range sampledKeys {
 		shard, ok := state.ShardOfKey(service, key)
 		if !ok || key < shard.Start || key > state.EndOf(shard.ID) {
-			r.Fatalf("position %x of service %d is not in the shard found, %+v", key, service, shard)
+			r.Fatalf("key hash %x of service %d is not in the range of its shard %+v", key, service, shard)
 		}
-		at := sample{service, key}
-		before := w.owners[at]
-		changed := before.owner != 0 && shard.Owner != before.owner
-		if shard.Epoch < before.epoch || (changed && shard.Epoch == before.epoch) {
-			r.Fatalf("position %x went from back end %d at epoch %d to %d at %d", key, before.owner, before.epoch, shard.Owner, shard.Epoch)
+		sampled := sampledKey{service, key}
+		previous := c.owners[sampled]
+		changed := previous.owner != 0 && shard.Owner != previous.owner
+		if shard.Epoch < previous.epoch || (changed && shard.Epoch == previous.epoch) {
+			r.Fatalf("key hash %x changed from back end %d at epoch %d to back end %d at epoch %d", key, previous.owner, previous.epoch, shard.Owner, shard.Epoch)
 		}
-		w.owners[at] = ownedAt{shard.Owner, shard.Epoch}
+		c.owners[sampled] = ownerAndEpoch{shard.Owner, shard.Epoch}
 	}
 }
--- a/internal/controlstate/result.go
+++ b/internal/controlstate/result.go
@@ -9,26 +9,28 @@
 
 // Result is the outcome of a command.
 type Result struct {
-	// Revision at which the change was made.
+	// Revision at which the change was made. In a rejection it is the current
+	// configuration revision.
 	Revision topology.Revision
-	// Repeated says that this is the answer to an earlier command with the same
-	// request id.
+	// Repeated is set if this is the cached result of an earlier command with the
+	// same request ID.
 	Repeated bool
-	// At most one of the refusals is set; then nothing was changed.
+	// At most one of these errors is set. If one is set, nothing was changed.
 	RevisionConflict *RevisionConflictError
 	RequestIDReused  *RequestIDReusedError
 	Violations       FieldViolationsError
 
-	// Identities given by the command, zero where none.
+	// IDs of the objects that the command changed or created, otherwise zero.
 	Service    topology.ServiceID
 	Backend    topology.BackendID
 	Controller topology.ReplicaID
 	LoadShift  uint32
-	// OwnershipApplied and OwnershipSkipped count the changes of a batch.
+	// OwnershipApplied and OwnershipSkipped count the applied and the skipped
+	// changes of a ChangeOwnership batch.
 	OwnershipApplied, OwnershipSkipped int
 }
 
-// Err returns the refusal, or nil.
+// Err returns the reason for a rejection, or nil if the command was accepted.
 func (r Result) Err() error {
 	switch {
 	case r.RevisionConflict != nil:
@@ -41,10 +43,12 @@
 	return nil
 }
 
-// RevisionConflictError refuses a change because another came first.
+// RevisionConflictError rejects a change whose expected revision is not the
+// current revision of the configuration.
 type RevisionConflictError struct {
 	Expected topology.Revision
-	// Winner is the revision of the change that came first, Author its author.
+	// Winner is the current revision of the configuration, Author the author of
+	// that revision.
 	Winner topology.Revision
 	Author string
 }
@@ -55,11 +59,12 @@
 		e.Expected, e.Winner, e.Author)
 }
 
-// RequestIDReusedError refuses a request id that came with other content.
+// RequestIDReusedError rejects a command whose request ID was already used for
+// different content.
 type RequestIDReusedError struct {
 	RequestID string
-	// First is the revision of the first request with this id; zero if that was
-	// refused.
+	// First is the revision of the first command with this ID, or zero if that
+	// command was rejected. Author is its author.
 	First  topology.Revision
 	Author string
 }
@@ -70,14 +75,14 @@
 		e.RequestID, e.Author, e.First)
 }
 
-// FieldViolation is one bad field of a change.
+// FieldViolation describes one invalid field of a command.
 type FieldViolation struct {
 	// Field is the path in the schema, for example "service.rules[2].key.name".
 	Field       string
 	Description string
 }
 
-// FieldViolationsError lists every bad field of a change.
+// FieldViolationsError lists every invalid field of a command.
 type FieldViolationsError []FieldViolation
 
 // Error implements error.
@@ -89,13 +94,13 @@
 	return strings.Join(lines, "; ")
 }
 
-// violations collects the bad fields of one change.
-type violations struct{ found FieldViolationsError }
+// violationList collects the invalid fields of one command.
+type violationList struct{ list FieldViolationsError }
 
 // require adds a violation unless ok.
-func (v *violations) require(ok bool, field, format string, arguments ...any) {
+func (v *violationList) require(ok bool, field, format string, arguments ...any) {
 	if ok {
 		return
 	}
-	v.found = append(v.found, FieldViolation{Field: field, Description: fmt.Sprintf(format, arguments...)})
+	v.list = append(v.list, FieldViolation{Field: field, Description: fmt.Sprintf(format, arguments...)})
 }
--- a/internal/controlstate/snapshot.go
+++ b/internal/controlstate/snapshot.go
@@ -11,7 +11,8 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// Routing returns the routing data of the services named, or of all.
+// Routing returns the routing data of the given services, or of all services if
+// none are given.
 func (s *State) Routing(services ...topology.ServiceID) wire.RoutingSnapshot {
 	snapshot := wire.RoutingSnapshot{Group: s.group, Revision: s.revision}
 	for _, id := range sortedKeys(s.services) {
@@ -30,8 +31,8 @@
 	return snapshot
 }
 
-// stored is the form in which the state is kept in a snapshot of the log.
-type stored struct {
+// storedState is the encoding of the state in a snapshot of the log.
+type storedState struct {
 	Revision       topology.Revision
 	Configured     topology.Revision
 	Author         string
@@ -44,12 +45,12 @@
 	Backends       []storedBackend
 	Controllers    []Controller
 	Shifts         []LoadShift
-	Answers        []answer
+	Answers        []cachedResult
 }
 
 type storedService struct {
 	Service   topology.Service
-	Changed   change
+	Changed   changeInfo
 	LastShard topology.ShardNumber
 	Shards    []storedShard
 }
@@ -62,109 +63,111 @@
 
 type storedBackend struct {
 	Backend   topology.Backend
-	Changed   change
+	Changed   changeInfo
 	RevokedAt topology.Revision
 }
 
-// Encode returns the whole state as bytes, for a snapshot of the log.
+// Encode encodes the whole state for a snapshot of the log.
 func (s *State) Encode() ([]byte, error) { return s.Freeze()() }
 
-// Freeze copies the state and returns what encodes the copy, on any goroutine.
+// Freeze copies the state and returns a function that encodes the copy. The
+// function may be called on any goroutine.
 func (s *State) Freeze() func() ([]byte, error) {
-	kept := s.stored()
+	state := s.toStored()
 	return func() ([]byte, error) {
 		var buffer bytes.Buffer
-		if err := gob.NewEncoder(&buffer).Encode(kept); err != nil {
+		if err := gob.NewEncoder(&buffer).Encode(state); err != nil {
 			return nil, fmt.Errorf("encode control state: %w", err)
 		}
 		return buffer.Bytes(), nil
 	}
 }
 
-func (s *State) stored() stored {
-	kept := stored{
+func (s *State) toStored() storedState {
+	state := storedState{
 		Revision:       s.revision,
-		Configured:     s.configured,
-		Author:         s.author,
-		LastService:    s.lastService,
-		LastBackend:    s.lastBackend,
-		LastController: s.lastController,
-		LastLoadShift:  s.lastLoadShift,
+		Configured:     s.configRevision,
+		Author:         s.configAuthor,
+		LastService:    s.lastServiceID,
+		LastBackend:    s.lastBackendID,
+		LastController: s.lastControllerID,
+		LastLoadShift:  s.lastLoadShiftID,
 		LongestLease:   s.longestLease,
 		Controllers:    s.Controllers(),
-		Shifts:         slices.Clone(s.shifts),
-		Answers:        s.answers.oldestFirst(),
+		Shifts:         slices.Clone(s.loadShifts),
+		Answers:        s.results.oldestFirst(),
 	}
 	for _, id := range sortedKeys(s.services) {
-		kept.Services = append(kept.Services, s.services[id].stored())
+		state.Services = append(state.Services, s.services[id].toStored())
 	}
 	for _, id := range sortedKeys(s.backends) {
 		record := s.backends[id]
-		kept.Backends = append(kept.Backends, storedBackend{record.Backend, record.changed, record.revokedAt})
+		state.Backends = append(state.Backends, storedBackend{record.Backend, record.lastChange, record.revokedAt})
 	}
-	return kept
+	return state
 }
 
-func (s *service) stored() storedService {
-	kept := storedService{Service: s.Service, Changed: s.changed, LastShard: s.lastShard}
-	kept.Shards = make([]storedShard, len(s.ordered))
+func (s *service) toStored() storedService {
+	state := storedService{Service: s.Service, Changed: s.lastChange, LastShard: s.lastShardNumber}
+	state.Shards = make([]storedShard, len(s.shardsByStart))
 	changes := 0
-	for _, record := range s.ordered {
+	for _, record := range s.shardsByStart {
 		changes += len(record.history)
 	}
-	// One array for all histories, which change in place.
+	// The histories are copied because recordShardChange overwrites them in
+	// place. One array holds all of them.
 	histories := make([]ShardChange, 0, changes)
-	for index, record := range s.ordered {
+	for index, record := range s.shardsByStart {
 		from := len(histories)
 		histories = append(histories, record.history...)
-		kept.Shards[index] = storedShard{record.Shard, record.changedUnixMilli, histories[from:len(histories):len(histories)]}
+		state.Shards[index] = storedShard{record.Shard, record.changedUnixMilli, histories[from:len(histories):len(histories)]}
 	}
-	return kept
+	return state
 }
 
-// Decode replaces the state by one that Encode returned. On an error the state
+// Decode replaces the state with one that Encode returned. On an error the state
 // is unchanged.
 func (s *State) Decode(data []byte) error {
-	var kept stored
-	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&kept); err != nil {
+	var state storedState
+	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&state); err != nil {
 		return fmt.Errorf("decode control state of %d bytes: %w", len(data), err)
 	}
 	s.reset()
-	s.revision = kept.Revision
-	s.configured = kept.Configured
-	s.author = kept.Author
-	s.lastService = kept.LastService
-	s.lastBackend = kept.LastBackend
-	s.lastController = kept.LastController
-	s.lastLoadShift = kept.LastLoadShift
-	s.longestLease = kept.LongestLease
-	s.shifts = kept.Shifts
-	for _, controller := range kept.Controllers {
+	s.revision = state.Revision
+	s.configRevision = state.Configured
+	s.configAuthor = state.Author
+	s.lastServiceID = state.LastService
+	s.lastBackendID = state.LastBackend
+	s.lastControllerID = state.LastController
+	s.lastLoadShiftID = state.LastLoadShift
+	s.longestLease = state.LongestLease
+	s.loadShifts = state.Shifts
+	for _, controller := range state.Controllers {
 		s.controllers[controller.ID] = controller
 	}
-	for _, answer := range kept.Answers {
-		s.answers.keep(answer)
+	for _, result := range state.Answers {
+		s.results.add(result)
 	}
-	s.restoreServices(kept.Services)
-	s.restoreBackends(kept.Backends)
-	s.restoreOwnership()
+	s.restoreServices(state.Services)
+	s.restoreBackends(state.Backends)
+	s.rebuildIndexes()
 	return nil
 }
 
 func (s *State) restoreServices(services []storedService) {
 	for _, from := range services {
 		record := &service{
-			Service:   from.Service,
-			changed:   from.Changed,
-			lastShard: from.LastShard,
-			ordered:   make([]*shard, len(from.Shards)),
-			byNumber:  make(map[topology.ShardNumber]*shard, len(from.Shards)),
-			backends:  make(map[topology.BackendID]struct{}),
+			Service:         from.Service,
+			lastChange:      from.Changed,
+			lastShardNumber: from.LastShard,
+			shardsByStart:   make([]*shard, len(from.Shards)),
+			shardsByNumber:  make(map[topology.ShardNumber]*shard, len(from.Shards)),
+			backends:        make(map[topology.BackendID]struct{}),
 		}
 		for index, entry := range from.Shards {
 			restored := &shard{entry.Shard, entry.ChangedUnixMilli, entry.History}
-			record.ordered[index] = restored
-			record.byNumber[restored.ID.Shard] = restored
+			record.shardsByStart[index] = restored
+			record.shardsByNumber[restored.ID.Shard] = restored
 		}
 		s.services[record.ID] = record
 		s.serviceIDs[record.Name] = record.ID
@@ -174,26 +177,26 @@
 func (s *State) restoreBackends(backends []storedBackend) {
 	for _, from := range backends {
 		s.backends[from.Backend.ID] = &backend{
-			Backend:   from.Backend,
-			changed:   from.Changed,
-			revokedAt: from.RevokedAt,
-			owned:     make(shardSet),
-			incoming:  make(shardSet),
+			Backend:    from.Backend,
+			lastChange: from.Changed,
+			revokedAt:  from.RevokedAt,
+			owned:      make(shardSet),
+			incoming:   make(shardSet),
 		}
 		s.services[from.Backend.Service].backends[from.Backend.ID] = struct{}{}
 	}
 }
 
-// restoreOwnership rebuilds what follows from the shards.
-func (s *State) restoreOwnership() {
+// rebuildIndexes rebuilds the sets that are derived from the shards.
+func (s *State) rebuildIndexes() {
 	for _, record := range s.services {
-		for _, restored := range record.ordered {
-			s.index(restored)
+		for _, restored := range record.shardsByStart {
+			s.indexShard(restored)
 		}
 	}
 }
 
-func (s *State) index(restored *shard) {
+func (s *State) indexShard(restored *shard) {
 	if owner := s.backends[restored.Owner]; owner != nil {
 		owner.owned[restored.ID] = struct{}{}
 	}
--- a/internal/controlstate/state.go
+++ b/internal/controlstate/state.go
@@ -10,32 +10,34 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// MaximumHistory is how many changes are kept per shard.
+// MaximumHistory is the number of changes kept per shard.
 const MaximumHistory = 4
 
 // State is the control state of a group. It is not safe for concurrent use: the
 // goroutine that applies the log owns it.
 type State struct {
 	group topology.GroupID
-	// revision is that of the last change of any kind, configured that of the
-	// last operator's change, by author.
-	revision   topology.Revision
-	configured topology.Revision
-	author     string
-
-	lastService    topology.ServiceID
-	lastBackend    topology.BackendID
-	lastController topology.ReplicaID
-	lastLoadShift  uint32
-	// longestLease that any leader of the group announced.
+	// revision is that of the last change of any kind. configRevision is that of
+	// the last accepted operator command except MarkLoadShift, and configAuthor
+	// is its author.
+	revision       topology.Revision
+	configRevision topology.Revision
+	configAuthor   string
+
+	lastServiceID    topology.ServiceID
+	lastBackendID    topology.BackendID
+	lastControllerID topology.ReplicaID
+	lastLoadShiftID  uint32
+	// longestLease is the longest lease duration announced by any controller of
+	// the group.
 	longestLease time.Duration
 
 	services    map[topology.ServiceID]*service
 	serviceIDs  map[string]topology.ServiceID
 	backends    map[topology.BackendID]*backend
 	controllers map[topology.ReplicaID]Controller
-	shifts      []LoadShift
-	answers     answers
+	loadShifts  []LoadShift
+	results     resultCache
 
 	// moving holds the shards in ShardWarming or ShardReleasing, unassigned
 	// those in ShardUnassigned.
@@ -45,20 +47,20 @@
 
 type shardSet map[topology.ShardID]struct{}
 
-// change says when and by whom an object was last configured.
-type change struct {
+// changeInfo is the revision and the author of a change.
+type changeInfo struct {
 	Revision topology.Revision
 	Author   string
 }
 
 type service struct {
 	topology.Service
-	changed   change
-	lastShard topology.ShardNumber
-	// ordered by Start; byNumber holds the same records.
-	ordered  []*shard
-	byNumber map[topology.ShardNumber]*shard
-	backends map[topology.BackendID]struct{}
+	lastChange      changeInfo
+	lastShardNumber topology.ShardNumber
+	// shardsByStart is sorted by Start. shardsByNumber holds the same records.
+	shardsByStart  []*shard
+	shardsByNumber map[topology.ShardNumber]*shard
+	backends       map[topology.BackendID]struct{}
 }
 
 type shard struct {
@@ -69,16 +71,16 @@
 
 type backend struct {
 	topology.Backend
-	changed change
-	// revokedAt is the revision at which a shard was last taken from it without
-	// its promise.
+	lastChange changeInfo
+	// revokedAt is the revision at which a shard was last reassigned before this
+	// back end had confirmed its release.
 	revokedAt topology.Revision
-	// owned are the shards it owns, incoming those on their way to it.
+	// owned holds the shards that it owns, incoming those being moved to it.
 	owned    shardSet
 	incoming shardSet
 }
 
-// ShardChange is one step in a shard's history.
+// ShardChange is one entry in a shard's history.
 type ShardChange struct {
 	Revision  topology.Revision
 	UnixMilli int64
@@ -89,7 +91,7 @@
 	Reason    string
 }
 
-// LoadShift is a period in which keys are known to run hot.
+// LoadShift is a period in which some keys are expected to be hot.
 type LoadShift struct {
 	ID             uint32
 	Service        topology.ServiceID
@@ -100,7 +102,7 @@
 	Author         string
 }
 
-// New returns the empty state of a group.
+// New returns an empty state for a group.
 func New(group topology.GroupID) *State {
 	state := &State{group: group}
 	state.reset()
@@ -114,7 +116,7 @@
 		serviceIDs:  make(map[string]topology.ServiceID),
 		backends:    make(map[topology.BackendID]*backend),
 		controllers: make(map[topology.ReplicaID]Controller),
-		answers:     newAnswers(),
+		results:     newResultCache(),
 		moving:      make(shardSet),
 		unassigned:  make(shardSet),
 	}
@@ -126,13 +128,13 @@
 // Revision returns the revision of the last change of any kind.
 func (s *State) Revision() topology.Revision { return s.revision }
 
-// Configuration returns the revision and author of the last accepted operators'
-// change. Changes of ownership do not count.
-func (s *State) Configuration() (topology.Revision, string) { return s.configured, s.author }
+// Configuration returns the revision and the author of the last accepted change
+// of the configuration. Ownership changes and load shifts do not count.
+func (s *State) Configuration() (topology.Revision, string) { return s.configRevision, s.configAuthor }
 
 // LongestLease returns the longest duration for which a leader of the group may
-// have granted leases. A new leader waits as long for its predecessors' leases,
-// also where its own are shorter.
+// have granted leases. A new leader waits this long until its predecessors'
+// leases have expired, even if its own leases are shorter.
 func (s *State) LongestLease() time.Duration { return s.longestLease }
 
 // ServiceInfo is a service with the last change of its configuration.
@@ -142,7 +144,7 @@
 	Author   string
 }
 
-// Services returns all services in order of identity.
+// Services returns all services, sorted by ID.
 func (s *State) Services() []ServiceInfo {
 	result := make([]ServiceInfo, 0, len(s.services))
 	for _, id := range sortedKeys(s.services) {
@@ -152,10 +154,10 @@
 }
 
 func (s *service) info() ServiceInfo {
-	return ServiceInfo{Service: s.Service, Revision: s.changed.Revision, Author: s.changed.Author}
+	return ServiceInfo{Service: s.Service, Revision: s.lastChange.Revision, Author: s.lastChange.Author}
 }
 
-// Service returns the service of that name.
+// Service returns the service with the given name.
 func (s *State) Service(name string) (ServiceInfo, bool) {
 	id, ok := s.serviceIDs[name]
 	if !ok {
@@ -164,7 +166,7 @@
 	return s.services[id].info(), true
 }
 
-// ServiceByID returns the service of that identity.
+// ServiceByID returns the service with the given ID.
 func (s *State) ServiceByID(id topology.ServiceID) (ServiceInfo, bool) {
 	found, ok := s.services[id]
 	if !ok {
@@ -178,25 +180,27 @@
 	topology.Backend
 	Revision topology.Revision
 	Author   string
-	// RevokedAt is the revision at which a shard was last taken from it without
-	// its promise; its lease is not renewed before it has that revision.
+	// RevokedAt is the revision at which a shard was last reassigned before the
+	// back end had confirmed its release. Its lease is not renewed until it has
+	// received that revision.
 	RevokedAt topology.Revision
-	// Owned counts the shards that it owns, Incoming those on their way to it.
+	// Owned is the number of shards that it owns, Incoming the number being moved
+	// to it.
 	Owned, Incoming int
 }
 
 func (b *backend) info() BackendInfo {
 	return BackendInfo{
 		Backend:   b.Backend,
-		Revision:  b.changed.Revision,
-		Author:    b.changed.Author,
+		Revision:  b.lastChange.Revision,
+		Author:    b.lastChange.Author,
 		RevokedAt: b.revokedAt,
 		Owned:     len(b.owned),
 		Incoming:  len(b.incoming),
 	}
 }
 
-// Backend returns the back end of that identity.
+// Backend returns the back end with the given ID.
 func (s *State) Backend(id topology.BackendID) (BackendInfo, bool) {
 	found, ok := s.backends[id]
 	if !ok {
@@ -205,7 +209,7 @@
 	return found.info(), true
 }
 
-// Backends returns all back ends in order of identity.
+// Backends returns all back ends, sorted by ID.
 func (s *State) Backends() []BackendInfo {
 	result := make([]BackendInfo, 0, len(s.backends))
 	for _, id := range sortedKeys(s.backends) {
@@ -214,7 +218,7 @@
 	return result
 }
 
-// BackendByAddress returns the back end whose agent has that address.
+// BackendByAddress returns the back end whose agent has the given address.
 func (s *State) BackendByAddress(address string) (BackendInfo, bool) {
 	for _, candidate := range s.backends {
 		if candidate.AgentAddress == address {
@@ -224,7 +228,7 @@
 	return BackendInfo{}, false
 }
 
-// BackendByName returns the back end of that name in the service of that name.
+// BackendByName returns the back end with the given service and name.
 func (s *State) BackendByName(name BackendName) (BackendInfo, bool) {
 	found := s.backendByName(name)
 	if found == nil {
@@ -234,11 +238,11 @@
 }
 
 func (s *State) backendByName(name BackendName) *backend {
-	owner, ok := s.services[s.serviceIDs[name.Service]]
+	parent, ok := s.services[s.serviceIDs[name.Service]]
 	if !ok {
 		return nil
 	}
-	for id := range owner.backends {
+	for id := range parent.backends {
 		if s.backends[id].Name == name.Name {
 			return s.backends[id]
 		}
@@ -246,14 +250,14 @@
 	return nil
 }
 
-// Shards iterates over a service's shards in order of Start.
+// Shards iterates over a service's shards, sorted by Start.
 func (s *State) Shards(id topology.ServiceID) iter.Seq[topology.Shard] {
 	return func(yield func(topology.Shard) bool) {
 		found, ok := s.services[id]
 		if !ok {
 			return
 		}
-		for _, record := range found.ordered {
+		for _, record := range found.shardsByStart {
 			if !yield(record.Shard) {
 				return
 			}
@@ -261,16 +265,16 @@
 	}
 }
 
-// ShardCount returns how many shards a service has.
+// ShardCount returns the number of shards of a service.
 func (s *State) ShardCount(id topology.ServiceID) int {
 	found, ok := s.services[id]
 	if !ok {
 		return 0
 	}
-	return len(found.ordered)
+	return len(found.shardsByStart)
 }
 
-// Shard returns one shard.
+// Shard returns the shard with the given ID.
 func (s *State) Shard(id topology.ShardID) (topology.Shard, bool) {
 	record := s.shard(id)
 	if record == nil {
@@ -284,39 +288,40 @@
 	if !ok {
 		return nil
 	}
-	return found.byNumber[id.Shard]
+	return found.shardsByNumber[id.Shard]
 }
 
-// EndOf returns the last position of a shard's range.
+// EndOf returns the last key hash in a shard's range.
 func (s *State) EndOf(id topology.ShardID) topology.KeyHash {
 	record := s.shard(id)
 	if record == nil {
 		return 0
 	}
-	owner := s.services[id.Service]
-	next := owner.indexOf(record.Start) + 1
-	if next == len(owner.ordered) {
+	parent := s.services[id.Service]
+	next := parent.shardIndex(record.Start) + 1
+	if next == len(parent.shardsByStart) {
 		return math.MaxUint64
 	}
-	return owner.ordered[next].Start - 1
+	return parent.shardsByStart[next].Start - 1
 }
 
-// ShardOfKey returns the shard that holds a position of a service's hash space.
-func (s *State) ShardOfKey(id topology.ServiceID, position topology.KeyHash) (topology.Shard, bool) {
+// ShardOfKey returns the shard of a service whose range contains a key hash.
+func (s *State) ShardOfKey(id topology.ServiceID, hash topology.KeyHash) (topology.Shard, bool) {
 	found, ok := s.services[id]
-	if !ok || len(found.ordered) == 0 {
+	if !ok || len(found.shardsByStart) == 0 {
 		return topology.Shard{}, false
 	}
-	return found.ordered[found.indexOf(position)].Shard, true
+	return found.shardsByStart[found.shardIndex(hash)].Shard, true
 }
 
-// indexOf returns the index of the shard that holds a position.
-func (s *service) indexOf(position topology.KeyHash) int {
-	index, exact := slices.BinarySearchFunc(s.ordered, position, func(record *shard, at topology.KeyHash) int {
+// shardIndex returns the index in shardsByStart of the shard whose range
+// contains a key hash.
+func (s *service) shardIndex(hash topology.KeyHash) int {
+	index, exact := slices.BinarySearchFunc(s.shardsByStart, hash, func(record *shard, target topology.KeyHash) int {
 		switch {
-		case record.Start < at:
+		case record.Start < target:
 			return -1
-		case record.Start > at:
+		case record.Start > target:
 			return 1
 		}
 		return 0
@@ -327,7 +332,7 @@
 	return index - 1
 }
 
-// History returns the last changes of a shard, oldest first.
+// History returns the latest changes of a shard, oldest first.
 func (s *State) History(id topology.ShardID) []ShardChange {
 	record := s.shard(id)
 	if record == nil {
@@ -336,7 +341,7 @@
 	return slices.Clone(record.history)
 }
 
-// OwnedBy returns the shards that a back end owns, in order of identity.
+// OwnedBy returns the shards that a back end owns, sorted by ID.
 func (s *State) OwnedBy(id topology.BackendID) []topology.ShardID {
 	found, ok := s.backends[id]
 	if !ok {
@@ -345,18 +350,17 @@
 	return found.owned.sorted()
 }
 
-// Moving returns the shards in ShardWarming and ShardReleasing, in order of
-// identity.
+// Moving returns the shards in ShardWarming and ShardReleasing, sorted by ID.
 func (s *State) Moving() []topology.ShardID { return s.moving.sorted() }
 
-// Unassigned returns the shards in ShardUnassigned, in order of identity.
+// Unassigned returns the shards in ShardUnassigned, sorted by ID.
 func (s *State) Unassigned() []topology.ShardID { return s.unassigned.sorted() }
 
-// LoadShifts returns the marked load shifts of a service, or of all services
-// for zero.
+// LoadShifts returns the announced load shifts of a service, or of all services
+// if the ID is zero.
 func (s *State) LoadShifts(id topology.ServiceID) []LoadShift {
 	var result []LoadShift
-	for _, shift := range s.shifts {
+	for _, shift := range s.loadShifts {
 		if id == 0 || shift.Service == id {
 			result = append(result, shift)
 		}
@@ -364,7 +368,7 @@
 	return result
 }
 
-// Controllers returns the known controllers in order of identity.
+// Controllers returns the known controllers, sorted by ID.
 func (s *State) Controllers() []Controller {
 	result := make([]Controller, 0, len(s.controllers))
 	for _, id := range sortedKeys(s.controllers) {
@@ -373,7 +377,7 @@
 	return result
 }
 
-// Controller returns one known controller.
+// Controller returns the controller with the given ID.
 func (s *State) Controller(id topology.ReplicaID) (Controller, bool) {
 	found, ok := s.controllers[id]
 	return found, ok
@@ -396,13 +400,13 @@
 	return slices.Sorted(maps.Keys(entries))
 }
 
-// BackendCount returns how many back ends there are.
+// BackendCount returns the number of back ends.
 func (s *State) BackendCount() int { return len(s.backends) }
 
-// ServiceAndShardCount returns how many services and shards there are.
+// ServiceAndShardCount returns the number of services and of shards.
 func (s *State) ServiceAndShardCount() (services, shards int) {
 	for _, record := range s.services {
-		shards += len(record.ordered)
+		shards += len(record.shardsByStart)
 	}
 	return len(s.services), shards
 }
--- a/internal/controlstate/state_test.go
+++ b/internal/controlstate/state_test.go
@@ -15,7 +15,7 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// log applies commands at growing revisions, as the replica does.
+// log applies commands at increasing revisions, as a replica does.
 type log struct {
 	state *controlstate.State
 	last  topology.Revision
@@ -28,7 +28,7 @@
 	return l.state.Apply(l.last, command)
 }
 
-// operator returns an operator's command against the present configuration.
+// operator returns an operator command for the current configuration revision.
 func (l *log) operator(requestID string, fill func(*controlstate.Command)) controlstate.Command {
 	configured, _ := l.state.Configuration()
 	command := controlstate.Command{RequestID: requestID, Author: "anna", ExpectedRevision: configured}
@@ -58,9 +58,9 @@
 	}
 }
 
-// populated returns a log with one service of the given shards and three back
-// ends.
-func populated(shards uint32) *log {
+// newPopulatedLog returns a log with one service, which has the given number of
+// shards and three back ends.
+func newPopulatedLog(shards uint32) *log {
 	l := newLog()
 	l.apply(l.operator("service", createService("wayfinder", shards)))
 	for number := range 3 {
@@ -69,7 +69,7 @@
 	return l
 }
 
-func step(number topology.ShardNumber, epoch topology.Epoch, event ownership.ShardEvent, to topology.BackendID) controlstate.Command {
+func ownershipCommand(number topology.ShardNumber, epoch topology.Epoch, event ownership.ShardEvent, to topology.BackendID) controlstate.Command {
 	change := controlstate.OwnershipChange{
 		Shard: topology.ShardID{Service: 1, Shard: number}, Epoch: epoch, Event: event, To: to,
 	}
@@ -78,22 +78,22 @@
 	}}
 }
 
-func TestOfRacingChangesWithEqualNumbersOneWins(t *testing.T) {
+func TestOnlyOneOfConcurrentChangesWithSameRevisionIsAccepted(t *testing.T) {
 	l := newLog()
 	first := l.operator("one", createService("closures", 4))
 	second := l.operator("two", createService("tilehouse", 4))
 	second.Author = "bo"
 
-	won, _ := l.apply(first)
-	lost, delta := l.apply(second)
+	accepted, _ := l.apply(first)
+	rejected, delta := l.apply(second)
 
-	assert.NilError(t, won.Err())
-	assert.DeepEqual(t, lost.RevisionConflict, &controlstate.RevisionConflictError{Winner: 1, Author: "anna"})
+	assert.NilError(t, accepted.Err())
+	assert.DeepEqual(t, rejected.RevisionConflict, &controlstate.RevisionConflictError{Winner: 1, Author: "anna"})
 	assert.Equal(t, delta.From, delta.To)
 	assert.Equal(t, len(l.state.Services()), 1)
 }
 
-func TestResendGetsFirstAnswerAlsoAfterSnapshot(t *testing.T) {
+func TestResentCommandGetsOriginalResultAfterSnapshotRestore(t *testing.T) {
 	l := newLog()
 	command := l.operator("one", createService("closures", 4))
 	first, _ := l.apply(command)
@@ -103,26 +103,26 @@
 	assert.NilError(t, err)
 	restored := &log{state: controlstate.New(1), last: l.last}
 	assert.NilError(t, restored.state.Decode(data))
-	again, _ := restored.apply(command)
+	resent, _ := restored.apply(command)
 
-	assert.Assert(t, again.Repeated)
-	assert.Equal(t, again.Revision, first.Revision)
-	assert.Equal(t, again.Service, first.Service)
+	assert.Assert(t, resent.Repeated)
+	assert.Equal(t, resent.Revision, first.Revision)
+	assert.Equal(t, resent.Service, first.Service)
 	assert.Equal(t, len(restored.state.Services()), 2)
 }
 
-func TestResendOfRefusedChangeIsRefusedAgain(t *testing.T) {
+func TestResentCommandIsRejectedAgain(t *testing.T) {
 	l := newLog()
 	command := l.operator("one", createService("closures", 4))
 	command.ExpectedRevision = 7
 	first, _ := l.apply(command)
-	again, _ := l.apply(command)
+	resent, _ := l.apply(command)
 	assert.Assert(t, first.RevisionConflict != nil)
-	assert.Assert(t, again.Repeated)
-	assert.DeepEqual(t, again.RevisionConflict, first.RevisionConflict)
+	assert.Assert(t, resent.Repeated)
+	assert.DeepEqual(t, resent.RevisionConflict, first.RevisionConflict)
 }
 
-func TestRequestIDWithOtherContentIsRefused(t *testing.T) {
+func TestRequestIDReusedForDifferentContentIsRejected(t *testing.T) {
 	l := newLog()
 	l.apply(l.operator("one", createService("closures", 4)))
 	other, _ := l.apply(l.operator("one", createService("tilehouse", 4)))
@@ -130,11 +130,11 @@
 		&controlstate.RequestIDReusedError{RequestID: "one", First: 1, Author: "anna"})
 }
 
-func TestResendAfterRetentionNeverRunsTwice(t *testing.T) {
+func TestResentCommandIsNotAppliedTwiceAfterCacheEviction(t *testing.T) {
 	l := newLog()
 	command := l.operator("first", createService("closures", 4))
 	l.apply(command)
-	for number := range controlstate.MaximumAnswers {
+	for number := range controlstate.MaximumCachedResults {
 		name := fmt.Sprint("update-", number)
 		l.apply(l.operator(name, func(command *controlstate.Command) {
 			service := topology.Service{Name: "closures", InitialShards: 4}
@@ -146,7 +146,7 @@
 	assert.Assert(t, late.RevisionConflict != nil)
 }
 
-func TestAllViolationsAtOnceAndNothingChanged(t *testing.T) {
+func TestInvalidCommandReportsAllViolationsAndChangesNothing(t *testing.T) {
 	l := newLog()
 	bad := topology.Service{
 		Name:  "Way Finder",
@@ -168,70 +168,70 @@
 	assert.Equal(t, l.state.Revision(), topology.Revision(0))
 }
 
-func TestOwnershipSteps(t *testing.T) {
-	l := populated(1)
+func TestShardMovePhases(t *testing.T) {
+	l := newPopulatedLog(1)
 	shard := topology.ShardID{Service: 1, Shard: 1}
 	expect := func(phase topology.ShardPhase, owner, target topology.BackendID, epoch topology.Epoch) {
 		t.Helper()
 		got, _ := l.state.Shard(shard)
 		assert.DeepEqual(t, got, topology.Shard{ID: shard, Phase: phase, Owner: owner, Target: target, Epoch: epoch})
 	}
-	l.apply(step(1, 0, ownership.EventAssign, 1))
+	l.apply(ownershipCommand(1, 0, ownership.EventAssign, 1))
 	expect(topology.ShardOwned, 1, 0, 1)
-	l.apply(step(1, 1, ownership.EventBeginMove, 2))
+	l.apply(ownershipCommand(1, 1, ownership.EventBeginMove, 2))
 	expect(topology.ShardWarming, 1, 2, 1)
-	l.apply(step(1, 1, ownership.EventRelease, 0))
+	l.apply(ownershipCommand(1, 1, ownership.EventRelease, 0))
 	expect(topology.ShardReleasing, 1, 2, 1)
-	l.apply(step(1, 1, ownership.EventCompleteMove, 0))
+	l.apply(ownershipCommand(1, 1, ownership.EventCompleteMove, 0))
 	expect(topology.ShardOwned, 2, 0, 2)
 
-	late, _ := l.apply(step(1, 1, ownership.EventAssign, 3))
+	late, _ := l.apply(ownershipCommand(1, 1, ownership.EventAssign, 3))
 	assert.Equal(t, late.OwnershipSkipped, 1)
 	expect(topology.ShardOwned, 2, 0, 2)
 }
 
-func TestCancelAfterReleaseTakesNewEpoch(t *testing.T) {
-	l := populated(1)
-	l.apply(step(1, 0, ownership.EventAssign, 1))
-	l.apply(step(1, 1, ownership.EventBeginMove, 2))
-	l.apply(step(1, 1, ownership.EventRelease, 0))
-	l.apply(step(1, 1, ownership.EventCancelMove, 0))
+func TestCancelAfterReleaseIncrementsEpoch(t *testing.T) {
+	l := newPopulatedLog(1)
+	l.apply(ownershipCommand(1, 0, ownership.EventAssign, 1))
+	l.apply(ownershipCommand(1, 1, ownership.EventBeginMove, 2))
+	l.apply(ownershipCommand(1, 1, ownership.EventRelease, 0))
+	l.apply(ownershipCommand(1, 1, ownership.EventCancelMove, 0))
 	got, _ := l.state.Shard(topology.ShardID{Service: 1, Shard: 1})
 	assert.Equal(t, got.Owner, topology.BackendID(1))
 	assert.Equal(t, got.Epoch, topology.Epoch(2))
 }
 
-func TestOnlyTakeoverWithoutPromiseRevokes(t *testing.T) {
-	l := populated(1)
-	l.apply(step(1, 0, ownership.EventAssign, 1))
-	l.apply(step(1, 1, ownership.EventBeginMove, 2))
-	l.apply(step(1, 1, ownership.EventRelease, 0))
-	l.apply(step(1, 1, ownership.EventCompleteMove, 0))
-	promised, _ := l.state.Backend(1)
-	assert.Equal(t, promised.RevokedAt, topology.Revision(0))
-	l.apply(step(1, 2, ownership.EventAssign, 3))
-	taken, _ := l.state.Backend(2)
-	assert.Equal(t, taken.RevokedAt, l.last)
+func TestOnlyReassignmentWithoutReleaseSetsRevokedAt(t *testing.T) {
+	l := newPopulatedLog(1)
+	l.apply(ownershipCommand(1, 0, ownership.EventAssign, 1))
+	l.apply(ownershipCommand(1, 1, ownership.EventBeginMove, 2))
+	l.apply(ownershipCommand(1, 1, ownership.EventRelease, 0))
+	l.apply(ownershipCommand(1, 1, ownership.EventCompleteMove, 0))
+	released, _ := l.state.Backend(1)
+	assert.Equal(t, released.RevokedAt, topology.Revision(0))
+	l.apply(ownershipCommand(1, 2, ownership.EventAssign, 3))
+	revoked, _ := l.state.Backend(2)
+	assert.Equal(t, revoked.RevokedAt, l.last)
 }
 
-func TestBackendWithShardsIsNotRemoved(t *testing.T) {
-	l := populated(1)
-	l.apply(step(1, 0, ownership.EventAssign, 1))
+func TestBackendOwningShardsCannotBeRemoved(t *testing.T) {
+	l := newPopulatedLog(1)
+	l.apply(ownershipCommand(1, 0, ownership.EventAssign, 1))
 	remove := func(command *controlstate.Command) {
 		name := controlstate.BackendName{Service: "wayfinder", Name: "backend-1"}
 		command.RemoveBackend = &controlstate.RemoveBackend{Backend: name}
 	}
-	refused, _ := l.apply(l.operator("remove", remove))
-	assert.ErrorContains(t, refused.Err(), "owns 1 shards")
+	rejected, _ := l.apply(l.operator("remove", remove))
+	assert.ErrorContains(t, rejected.Err(), "owns 1 shards")
 }
 
-// TestDeltasLeadToTheSameRoutingAsTheState drives random steps of ownership,
-// splits, merges and configuration. After each, a table that took only deltas
-// equals one made from the state, epochs never fall, and a restored state
-// equals the original.
-func TestDeltasLeadToTheSameRoutingAsTheState(t *testing.T) {
+// TestDeltasProduceSameRoutingAsState applies random ownership changes, splits
+// and merges. Epochs must never decrease. At the end, a routing table built from
+// the deltas must equal one built from the state, and a state restored from a
+// snapshot must equal the original.
+func TestDeltasProduceSameRoutingAsState(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		l := populated(4)
+		l := newPopulatedLog(4)
 		table, err := routing.FromSnapshot(l.state.Routing())
 		assert.NilError(t, err)
 		epochs := make(map[topology.ShardID]topology.Epoch)
@@ -278,7 +278,7 @@
 func checkEpochs(r *rapid.T, state *controlstate.State, epochs map[topology.ShardID]topology.Epoch) {
 	for shard := range state.Shards(1) {
 		if shard.Epoch < epochs[shard.ID] {
-			r.Fatalf("epoch of %s fell from %d to %d", shard.ID, epochs[shard.ID], shard.Epoch)
+			r.Fatalf("epoch of shard %s decreased from %d to %d", shard.ID, epochs[shard.ID], shard.Epoch)
 		}
 		epochs[shard.ID] = shard.Epoch
 	}
@@ -296,9 +296,11 @@
 	assert.DeepEqual(t, restored.Unassigned(), state.Unassigned())
 }
 
-// TestMemberThatToldNoAddressesCanBeRemoved: it was lost right after the group
-// was founded. A resend to another leader, which has removed it, is the same.
-func TestMemberThatToldNoAddressesCanBeRemoved(t *testing.T) {
+// A member that was lost right after the bootstrap of the group has announced no
+// addresses, so the state doesn't know it. It can be removed all the same. The
+// request has the same digest when it is resent to another leader that has
+// already removed the member.
+func TestUnannouncedMemberCanBeRemoved(t *testing.T) {
 	l := newLog()
 	remove := func(member bool) controlstate.Command {
 		command := controlstate.Command{RequestID: "r", Author: "anna"}
@@ -309,6 +311,6 @@
 	assert.ErrorContains(t, l.state.Check(remove(false)).Err(), "there is no controller 2")
 	accepted, _ := l.apply(remove(true))
 	assert.NilError(t, accepted.Err())
-	again, _ := l.apply(remove(false))
-	assert.Assert(t, again.Repeated)
+	resent, _ := l.apply(remove(false))
+	assert.Assert(t, resent.Repeated)
 }
