--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -22,41 +22,41 @@
 
 // The commands of docs/MEASUREMENTS.md run these benchmarks.
 
-// slowSync is the operating system's files with syncs that take a set time and
-// do nothing else.
-type slowSync struct {
+// slowSyncFS is a file system whose syncs only sleep for a fixed time.
+type slowSyncFS struct {
 	vfs.FS
 	delay time.Duration
 }
 
-type slowFile struct {
+type slowSyncFile struct {
 	vfs.File
 	delay time.Duration
 }
 
-func (f slowFile) Sync() error {
+func (f slowSyncFile) Sync() error {
 	time.Sleep(f.delay)
 	return nil
 }
 
-func (s slowSync) Create(name string) (vfs.File, error) {
+func (s slowSyncFS) Create(name string) (vfs.File, error) {
 	file, err := s.FS.Create(name)
-	return slowFile{file, s.delay}, err
+	return slowSyncFile{file, s.delay}, err
 }
 
-func (s slowSync) Open(name string) (vfs.File, error) {
+func (s slowSyncFS) Open(name string) (vfs.File, error) {
 	file, err := s.FS.Open(name)
-	return slowFile{file, s.delay}, err
+	return slowSyncFile{file, s.delay}, err
 }
 
-// countMachine applies commands at no cost.
-type countMachine struct{ applied int }
+// countingMachine only counts the applied commands, so that applying them costs
+// almost nothing.
+type countingMachine struct{ applied int }
 
-func (m *countMachine) Apply(topology.Revision, []byte) any { m.applied++; return m.applied }
-func (m *countMachine) Snapshot() ([]byte, error)           { return []byte{1}, nil }
-func (m *countMachine) Restore([]byte) error                { return nil }
+func (m *countingMachine) Apply(topology.Revision, []byte) any { m.applied++; return m.applied }
+func (m *countingMachine) Snapshot() ([]byte, error)           { return []byte{1}, nil }
+func (m *countingMachine) Restore([]byte) error                { return nil }
 
-// benchGroup is a group of replicas over TCP on loopback.
+// benchGroup is a group of replicas connected over TCP on the loopback interface.
 type benchGroup struct {
 	b        *testing.B
 	configs  []Config
@@ -72,7 +72,7 @@
 		assert.NilError(b, err)
 		config := Config{
 			Group: 1, ID: topology.ReplicaID(position + 1), DataDir: b.TempDir(), Listener: listener,
-			Listen: listener.Address(), Machine: &countMachine{}, Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
+			Listen: listener.Address(), Machine: &countingMachine{}, Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		}
 		change(&config)
 		g.configs = append(g.configs, config)
@@ -121,8 +121,8 @@
 	b.ReportMetric(quantile(latencies, 0.99).Seconds()*1e3, "p99-ms")
 }
 
-// BenchmarkCommit commits 200-byte commands in a group of three, with one and
-// with many proposers.
+// BenchmarkCommit commits 200-byte commands in a group of three, with 1 and with
+// 64 concurrent proposers.
 func BenchmarkCommit(b *testing.B) {
 	for _, disk := range []string{"0ms", "500µs", "2ms", "8ms", "disk"} {
 		for _, proposers := range []int{1, 64} {
@@ -130,7 +130,7 @@
 				delay, _ := time.ParseDuration(disk)
 				g := newBenchGroup(b, 3, func(config *Config) {
 					if disk != "disk" {
-						config.FS, config.DataDir = slowSync{vfs.NewMemory(1), delay}, "data"
+						config.FS, config.DataDir = slowSyncFS{vfs.NewMemory(1), delay}, "data"
 						config.WAL.SegmentBytes = 256 << 10
 					}
 				})
@@ -163,28 +163,28 @@
 	reportLatencies(b, slices.Concat(latencies...))
 }
 
-// BenchmarkLeaderLoss measures the time from the end of a leader, without a
-// transfer, to the next one's lease.
+// BenchmarkLeaderLoss measures the time from the stop of a leader, without a
+// leadership transfer, until the next leader holds its lease.
 func BenchmarkLeaderLoss(b *testing.B) {
 	g := newBenchGroup(b, 3, func(*Config) {})
 	var latencies []time.Duration
 	for b.Loop() {
-		lost := g.leader()
-		assert.NilError(b, g.replicas[lost].Stop())
-		g.replicas[lost] = nil
+		previous := g.leader()
+		assert.NilError(b, g.replicas[previous].Stop())
+		g.replicas[previous] = nil
 		began := time.Now()
 		g.leader()
 		latencies = append(latencies, time.Since(began))
-		g.configs[lost].Listener = nil
-		replica, err := Start(g.configs[lost])
+		g.configs[previous].Listener = nil
+		replica, err := Start(g.configs[previous])
 		assert.NilError(b, err)
-		g.replicas[lost] = replica
+		g.replicas[previous] = replica
 		time.Sleep(2 * consensus.DefaultElectionTimeout)
 	}
 	reportLatencies(b, latencies)
 }
 
-// stateMachine is the real control state behind a replica.
+// stateMachine applies commands to the real control state.
 type stateMachine struct{ state *controlstate.State }
 
 func (m stateMachine) Apply(index topology.Revision, data []byte) any {
@@ -199,8 +199,8 @@
 func (m stateMachine) Freeze() func() ([]byte, error) { return m.state.Freeze() }
 func (m stateMachine) Restore(data []byte) error      { return m.state.Decode(data) }
 
-// fleetState is a control state with shards spread over back ends, each with a
-// full history.
+// fleetState returns a control state whose shards are spread over the back ends.
+// Each shard has a full history.
 func fleetState(b *testing.B, shards, backends int) *controlstate.State {
 	b.Helper()
 	state := controlstate.New(1)
@@ -233,7 +233,7 @@
 	return state
 }
 
-// reassign returns one command that gives shards [from, to) to back ends.
+// reassign returns one command that assigns the shards [from, to) to back ends.
 func reassign(shards, from, to int, epoch topology.Epoch, backends int) controlstate.Command {
 	batch := &controlstate.ChangeOwnership{}
 	half := shards / 2
@@ -257,12 +257,12 @@
 	fleetEpoch = controlstate.MaximumHistory
 )
 
-// BenchmarkZoneLoss gives 4,000 of 75,000 shards to other owners in one entry,
-// in a group of three on the disk.
+// BenchmarkZoneLoss reassigns 4,000 of 75,000 shards in one log entry, in a group
+// of three that writes to the disk.
 func BenchmarkZoneLoss(b *testing.B) {
 	g := newBenchGroup(b, 3, func(config *Config) {
 		config.Machine = stateMachine{fleetState(b, fleetShards, fleetBackends)}
-		// The state here is not the log's, so no snapshot is taken.
+		// Take no snapshots, because this state was not built from the log.
 		config.SnapshotEntries, config.SnapshotBytes = 1<<40, 1<<60
 	})
 	leader := g.replicas[g.leader()]
@@ -287,7 +287,7 @@
 	reportLatencies(b, latencies)
 }
 
-// BenchmarkApply applies the entry of a zone's loss to a state of 75,000
+// BenchmarkApply applies the log entry of a lost zone to states of up to 75,000
 // shards.
 func BenchmarkApply(b *testing.B) {
 	for _, shards := range []int{1_000, 10_000, fleetShards} {
@@ -309,8 +309,8 @@
 	}
 }
 
-// BenchmarkSnapshot freezes the state on the control goroutine, encodes it in
-// the background and restores it.
+// BenchmarkSnapshot measures three steps separately: to encode the state, to
+// freeze it, which runs on the control goroutine, and to restore it.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, shards := range []int{1_000, 10_000, fleetShards} {
 		machine := stateMachine{fleetState(b, shards, fleetBackends)}
@@ -333,13 +333,13 @@
 			for b.Loop() {
 				assert.NilError(b, machine.Restore(data))
 			}
-			b.ReportMetric(stateBytes(b, data)/float64(shards), "heap-bytes/shard")
+			b.ReportMetric(stateHeapBytes(b, data)/float64(shards), "heap-bytes/shard")
 		})
 	}
 }
 
-// stateBytes is the heap that a restored state takes.
-func stateBytes(b *testing.B, data []byte) float64 {
+// stateHeapBytes returns the heap use of a restored state.
+func stateHeapBytes(b *testing.B, data []byte) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -351,8 +351,8 @@
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// BenchmarkRecovery restarts a single replica whose log holds entries after
-// its snapshot, until all are applied and it leads.
+// BenchmarkRecovery measures the restart of a single replica whose log has
+// entries after its snapshot, until all of them are applied.
 func BenchmarkRecovery(b *testing.B) {
 	for _, entries := range []int{1_000, 10_000, 75_000} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
@@ -373,7 +373,7 @@
 			for b.Loop() {
 				assert.NilError(b, g.replicas[0].Stop())
 				g.configs[0].Listener = nil
-				g.configs[0].Machine = &countMachine{}
+				g.configs[0].Machine = &countingMachine{}
 				began := time.Now()
 				replica, err := Start(g.configs[0])
 				assert.NilError(b, err)
@@ -397,8 +397,8 @@
 	}
 }
 
-// BenchmarkCatchUp restarts a follower that missed changes of 100 shards each
-// and counts what the leader sends until it has them all.
+// BenchmarkCatchUp restarts a follower that missed a number of changes, each of
+// 100 shards, and counts the bytes that the leader sends until it has caught up.
 func BenchmarkCatchUp(b *testing.B) {
 	for _, missed := range []int{10, 300, 3_000} {
 		b.Run(fmt.Sprintf("missed=%d", missed), func(b *testing.B) {
@@ -425,10 +425,10 @@
 	defer g.stop()
 	leader := g.leader()
 	populated := populate(b, g.replicas[leader], fleetShards)
-	away := (leader + 1) % len(g.replicas)
-	waitApplied(g.replicas[away], uint64(populated))
-	assert.NilError(b, g.replicas[away].Stop())
-	g.replicas[away] = nil
+	stopped := (leader + 1) % len(g.replicas)
+	waitApplied(g.replicas[stopped], uint64(populated))
+	assert.NilError(b, g.replicas[stopped].Stop())
+	g.replicas[stopped] = nil
 	const changedShards = 100
 	var last uint64
 	for change := range missed {
@@ -437,12 +437,12 @@
 		last = uint64(propose(b, g.replicas[leader], reassign(fleetShards, from, from+changedShards, epoch, 2)))
 	}
 	before := g.replicas[leader].BytesSent()
-	g.configs[away].Listener = nil
-	g.configs[away].Machine = stateMachine{controlstate.New(1)}
+	g.configs[stopped].Listener = nil
+	g.configs[stopped].Machine = stateMachine{controlstate.New(1)}
 	began := time.Now()
-	replica, err := Start(g.configs[away])
+	replica, err := Start(g.configs[stopped])
 	assert.NilError(b, err)
-	g.replicas[away] = replica
+	g.replicas[stopped] = replica
 	waitApplied(replica, last)
 	return g.replicas[leader].BytesSent() - before, time.Since(began)
 }
@@ -466,8 +466,8 @@
 	return result.(controlstate.Result).Revision
 }
 
-// populate makes two services with shards and one back end each, through the
-// log.
+// populate proposes commands that create two services with shards and one back
+// end each.
 func populate(b *testing.B, leader *Replica, shards int) topology.Revision {
 	b.Helper()
 	revision := topology.Revision(0)
--- a/internal/replica/config.go
+++ b/internal/replica/config.go
@@ -1,11 +1,11 @@
-// Package replica runs one member of a consensus group: it drives the pure
-// core of internal/consensus with a clock, a data folder and connections to
-// the other members.
+// Package replica runs one member of a consensus group. It connects the
+// consensus core of internal/consensus, which does no I/O, to a clock, a data
+// folder and the other members.
 //
-// One goroutine, the control goroutine, owns the core and the state machine;
-// Post runs a function on it. A writer goroutine writes and syncs, so that
-// heartbeats go on while a disk is slow, and one goroutine for each peer
-// sends. Other goroutines read the published Status.
+// The control goroutine owns the core and the state machine; Post runs a
+// function on it. A writer goroutine writes and syncs, so that heartbeats
+// continue while the disk is slow. Each peer has a sender goroutine. Other
+// goroutines read the published Status.
 package replica
 
 import (
@@ -24,88 +24,94 @@
 	"github.com/quartzdock/quartzdock/internal/transport"
 )
 
-// StateMachine is what the log's commands drive. All calls come from the
-// control goroutine, in the log's order.
+// StateMachine applies the commands of the log. All its methods are called on
+// the control goroutine, in the order of the log.
 type StateMachine interface {
-	// Apply runs a command. It must depend on nothing but the state and its
-	// arguments.
+	// Apply applies a command. It must be deterministic: its result may depend
+	// only on the state and the arguments.
 	Apply(index topology.Revision, command []byte) (result any)
 	// Snapshot encodes the whole state.
 	Snapshot() ([]byte, error)
-	// Restore replaces the state.
+	// Restore replaces the state with one that Snapshot encoded.
 	Restore(data []byte) error
 }
 
 // Freezer is a StateMachine that can encode its state in the background.
 type Freezer interface {
-	// Freeze copies the state, on the control goroutine. The result encodes the
-	// copy as Snapshot does, on any goroutine.
+	// Freeze copies the state. It is called on the control goroutine. The
+	// returned function encodes the copy as Snapshot does; it may be called on
+	// any goroutine.
 	Freeze() (encode func() ([]byte, error))
 }
 
-// Peer is a founding member of the group.
+// Peer is an initial member of the group.
 type Peer struct {
 	ID topology.ReplicaID
-	// Address takes connections of peers, "IP:port".
+	// Address is where the member accepts connections of its peers, "IP:port".
 	Address string
 }
 
-// Config of a replica.
+// Config configures a replica.
 type Config struct {
 	Group topology.GroupID
-	// ID is this replica's among the founding members; zero for a replica
-	// that joins an existing group and is given its ID by it.
+	// ID is the ID of this replica among the initial members. It is zero for a
+	// replica that joins an existing group, which then assigns its ID.
 	ID topology.ReplicaID
 	// DataDir is the data folder.
 	DataDir string
-	// Peers are the founding members, this one included. All must be up once,
-	// together, for the group to be founded; later the list only helps to
-	// find the group. A single member may leave the list empty.
+	// Peers are the initial members, including this replica. The group is
+	// bootstrapped once all of them run at the same time. After that the list is
+	// only used to find the group. It may be empty in a group of one.
 	Peers []Peer
-	// Listen is where connections of peers are accepted, "IP:port".
+	// Listen is the address on which connections of peers are accepted,
+	// "IP:port".
 	Listen string
-	// Listener is used in place of Listen where it is set.
+	// Listener replaces Listen if it is set.
 	Listener *transport.Listener
 	TLS      *tls.Config
 	Machine  StateMachine
 	// OnTick is called on the control goroutine at each tick.
 	OnTick func(now time.Duration, status consensus.Status)
-	// OnFailure is called once when the replica cannot go on: a sync failed or
-	// the state is damaged. The default logs and ends the process.
+	// OnFailure is called once if the replica has to stop because of an error,
+	// such as a failed sync or damaged state. The default logs the error and
+	// exits the process.
 	OnFailure func(err error)
 	Logger    *slog.Logger
 
-	// TickInterval of the core; default 10 ms.
+	// TickInterval is the tick interval of the core. The default is 10 ms.
 	TickInterval time.Duration
-	// HeartbeatInterval and ElectionTimeout as in consensus.Config.
+	// HeartbeatInterval and ElectionTimeout are those of consensus.Config.
 	HeartbeatInterval time.Duration
 	ElectionTimeout   time.Duration
-	// SnapshotEntries is after how many applied entries a snapshot is taken;
-	// default 10,000.
+	// SnapshotEntries is the number of applied entries after which a snapshot is
+	// taken. The default is 10,000.
 	SnapshotEntries uint64
-	// SnapshotBytes is after how many bytes of applied commands a snapshot is
-	// taken at the latest, or after as many as the last snapshot had, if those
-	// are more; default 4 MB. A replica that missed much so never receives more
-	// than two to three times the state.
+	// SnapshotBytes is the size of the applied commands after which a snapshot
+	// is taken even if there are fewer entries. The size of the last snapshot is
+	// used instead if it is larger. So a replica that is far behind never
+	// receives more than two to three times the size of the state. The default
+	// is 4 MB.
 	SnapshotBytes int64
-	// RetainEntries before a snapshot stay in memory, so that a replica that
-	// missed few changes catches up without the snapshot; default 2,000.
+	// RetainEntries is the number of entries before a snapshot that stay in
+	// memory, so that a replica that is a few entries behind catches up without
+	// the snapshot. The default is 2,000.
 	RetainEntries uint64
-	// TrustSynced says that the storage either keeps all that was synced or
-	// loses the whole folder, and never comes back as an older copy. A restart
-	// then votes at once, also after a loss of power with another member's disk
-	// lost; otherwise it asks the others first (docs/decisions/003 and 017).
+	// TrustSynced states that the storage either keeps all synced data or loses
+	// the whole folder, and never reverts to an older copy. A restarted replica
+	// then votes at once, even after a power loss in which another member lost
+	// its disk. Otherwise it first has to hear from the other members
+	// (docs/decisions/003 and 017).
 	TrustSynced bool
-	// FS is the file system; default the operating system's.
+	// FS is the file system. The default is that of the operating system.
 	FS vfs.FS
-	// WAL options of the log's segments.
+	// WAL are the options of the write-ahead log.
 	WAL wal.Options
 
-	// dial opens connections to peers; the default is transport.Dial.
+	// dial opens connections to peers. The default is transport.Dial.
 	dial func(ctx context.Context, address string, options transport.Options) (*transport.Conn, error)
 }
 
-// Defaults of Config.
+// Default values of Config.
 const (
 	DefaultTickInterval    = 10 * time.Millisecond
 	DefaultSnapshotEntries = 10_000
@@ -134,7 +140,7 @@
 	}
 	if c.OnFailure == nil {
 		c.OnFailure = func(err error) {
-			c.Logger.Error("control state cannot go on; ending the process", "error", err)
+			c.Logger.Error("replica failed; exiting the process", "error", err)
 			os.Exit(1)
 		}
 	}
@@ -148,35 +154,35 @@
 }
 
 func (c Config) validate() error {
-	var findings []error
+	var errs []error
 	if c.DataDir == "" {
-		findings = append(findings, errors.New("field DataDir: not given"))
+		errs = append(errs, errors.New("field DataDir: not set"))
 	}
 	if c.Listen == "" && c.Listener == nil {
-		findings = append(findings, errors.New("field Listen: not given"))
+		errs = append(errs, errors.New("field Listen: not set"))
 	}
 	if c.Machine == nil {
-		findings = append(findings, errors.New("field Machine: not given"))
+		errs = append(errs, errors.New("field Machine: not set"))
 	}
 	seen := map[topology.ReplicaID]bool{}
 	for position, peer := range c.Peers {
 		if peer.ID == 0 || seen[peer.ID] {
-			findings = append(findings, fmt.Errorf("field Peers[%d].ID: %d is zero or stands twice", position, peer.ID))
+			errs = append(errs, fmt.Errorf("field Peers[%d].ID: %d is zero or a duplicate", position, peer.ID))
 		}
 		seen[peer.ID] = true
 	}
 	if c.ID != 0 && len(c.Peers) > 0 && !seen[c.ID] {
-		findings = append(findings, fmt.Errorf("field ID: %d is not among Peers", c.ID))
+		errs = append(errs, fmt.Errorf("field ID: %d is not among Peers", c.ID))
 	}
-	return errors.Join(findings...)
+	return errors.Join(errs...)
 }
 
-// NotLeaderError says that the request must go to the leader.
+// NotLeaderError means that the request must be sent to the leader.
 type NotLeaderError struct {
-	// Leader is zero where none is known.
+	// Leader is zero if no leader is known.
 	Leader topology.ReplicaID
-	// LeaderAddress takes connections of peers, "IP:port"; empty where it is
-	// not known.
+	// LeaderAddress is where the leader accepts connections of peers, "IP:port".
+	// It is empty if it is not known.
 	LeaderAddress string
 }
 
@@ -190,17 +196,19 @@
 
 // Errors of requests to a replica.
 var (
-	// ErrOutcomeUnknown says that a proposal may or may not be committed
-	// later. A resend needs a request id.
+	// ErrOutcomeUnknown means that a proposal may or may not be committed later.
+	// It can only be sent again safely if it carries a request ID.
 	ErrOutcomeUnknown = errors.New("the outcome of the proposal is not known")
-	// ErrNotCommitted says that a proposal was replaced by another leader's
+	// ErrNotCommitted means that a proposal was replaced by another leader's
 	// entry and will never be committed.
 	ErrNotCommitted = errors.New("the proposal was not committed")
-	// ErrStopped says that the replica is stopping; nothing was proposed.
+	// ErrStopped means that the replica is stopping. Nothing was proposed, unless
+	// the error also is ErrOutcomeUnknown.
 	ErrStopped = errors.New("the replica is stopped")
-	// ErrStillWriting says that a stop was given up while the disk had not taken
-	// a write. The data folder stays open and locked until the process ends.
+	// ErrStillWriting means that Stop returned while a write to the disk was
+	// still in progress. The data folder stays open and locked until the process
+	// ends.
 	ErrStillWriting = errors.New("the disk has not taken a write in time")
-	// ErrNotMember says that no membership names this replica yet.
+	// ErrNotMember means that this replica is not in the group's membership yet.
 	ErrNotMember = errors.New("the group has not admitted this replica yet")
 )
--- a/internal/replica/control.go
+++ b/internal/replica/control.go
@@ -13,35 +13,38 @@
 // control is the state of the control goroutine.
 type control struct {
 	r *Replica
-	// core is nil until the group is founded or has admitted this replica.
-	core     *consensus.Core
-	founding founding
-
-	writing bool
-	// low refuses proposals for want of space ahead, full holds entries back as
-	// well; a probe is made at probeAt.
-	low        bool
-	full       bool
-	probeAt    time.Duration
-	snapshotAt time.Duration
-
-	proposals map[uint64]proposal
-	reads     map[uint64]func(any, error)
-	nextRead  uint64
-	// barriers wait until their index is applied.
-	barriers  []barrier
-	promoted  []promotion
-	transfers []func(any, error)
-
-	lastSnapshot uint64
-	// appliedBytes counts the commands applied since the last snapshot began.
+	// core is nil until the group is bootstrapped or this replica has joined it.
+	core      *consensus.Core
+	bootstrap bootstrap
+
+	writeInFlight bool
+	// lowSpace is set while there is no space for another log segment; proposals
+	// are then rejected. diskFull is set if entries could not be written either;
+	// the core then holds back entries. The disk is probed again at nextProbeAt.
+	lowSpace       bool
+	diskFull       bool
+	nextProbeAt    time.Duration
+	nextSnapshotAt time.Duration
+
+	pendingProposals map[uint64]proposal
+	pendingReads     map[uint64]func(any, error)
+	nextReadToken    uint64
+	// barriers are reads that wait until their index is applied.
+	barriers         []barrier
+	promotions       []promotion
+	pendingTransfers []func(any, error)
+
+	lastSnapshotIndex uint64
+	// appliedBytes is the size of the commands applied since the last snapshot
+	// was started.
 	appliedBytes int64
-	// snapshotSize is that of the last snapshot.
-	snapshotSize int64
-	snapshotting bool
-	// compactTo is the index of a snapshot whose log is to be removed.
+	// snapshotSize is the size of the last snapshot.
+	snapshotSize       int64
+	snapshotInProgress bool
+	// compactTo is the index of a saved snapshot up to which the log can be
+	// removed, or zero.
 	compactTo uint64
-	fetching  fetching
+	download  snapshotDownload
 }
 
 type proposal struct {
@@ -54,73 +57,73 @@
 	done  func(any, error)
 }
 
-// diskFullRetry is how often a full disk is tried again.
-const diskFullRetry = 500 * time.Millisecond
+// diskFullRetryInterval is the interval at which a full disk is tried again.
+const diskFullRetryInterval = 500 * time.Millisecond
 
-func (r *Replica) startControl(found loaded) error {
+func (r *Replica) startControl(recovered recoveredState) error {
 	r.control = control{
-		r:         r,
-		proposals: map[uint64]proposal{},
-		reads:     map[uint64]func(any, error){},
+		r:                r,
+		pendingProposals: map[uint64]proposal{},
+		pendingReads:     map[uint64]func(any, error){},
 	}
 	c := &r.control
-	if found.torn > 0 {
-		r.config.Logger.Info("cut a torn write off the log", "bytes", found.torn)
+	if recovered.tornBytes > 0 {
+		r.config.Logger.Info("truncated a torn write at the end of the log", "bytes", recovered.tornBytes)
 	}
-	if found.unproven && found.founded {
+	if recovered.unverified && recovered.bootstrapped {
 		r.config.Logger.Info("the disk may be an older copy; asking the other members before voting", "folder", r.config.DataDir)
 	}
-	if !found.founded {
-		c.founding.unproven = found.unproven
-		if err := c.founding.load(r); err != nil {
+	if !recovered.bootstrapped {
+		c.bootstrap.unverified = recovered.unverified
+		if err := c.bootstrap.load(r); err != nil {
 			return err
 		}
-		c.publish()
+		c.publishStatus()
 		return nil
 	}
-	return c.startCore(found)
+	return c.startCore(recovered)
 }
 
-func (c *control) startCore(found loaded) error {
+func (c *control) startCore(recovered recoveredState) error {
 	identity := c.r.files.folder.Identity()
-	if found.snapshot.Meta.Index > 0 {
-		if err := c.r.config.Machine.Restore(found.snapshot.Data); err != nil {
-			return fmt.Errorf("restore snapshot %d: %w", found.snapshot.Meta.Index, err)
+	if recovered.snapshot.Meta.Index > 0 {
+		if err := c.r.config.Machine.Restore(recovered.snapshot.Data); err != nil {
+			return fmt.Errorf("restore snapshot %d: %w", recovered.snapshot.Meta.Index, err)
 		}
 	}
 	core, err := consensus.New(consensus.Config{
 		Group:             c.r.config.Group,
 		ID:                identity.Replica,
 		Incarnation:       identity.Incarnation,
-		HardState:         found.hard,
-		Snapshot:          found.snapshot.Meta,
-		Entries:           found.entries,
+		HardState:         recovered.hardState,
+		Snapshot:          recovered.snapshot.Meta,
+		Entries:           recovered.entries,
 		Now:               c.r.Now(),
 		HeartbeatInterval: c.r.config.HeartbeatInterval,
 		ElectionTimeout:   c.r.config.ElectionTimeout,
-		Unproven:          found.unproven,
+		Unproven:          recovered.unverified,
 		Seed:              uint64(identity.Incarnation) ^ uint64(time.Now().UnixNano()),
 	})
 	if err != nil {
 		return err
 	}
 	c.core = core
-	c.lastSnapshot = found.snapshot.Meta.Index
-	c.snapshotSize = int64(len(found.snapshot.Data))
-	c.publish()
+	c.lastSnapshotIndex = recovered.snapshot.Meta.Index
+	c.snapshotSize = int64(len(recovered.snapshot.Data))
+	c.publishStatus()
 	return nil
 }
 
 // runControl is the control goroutine.
 func (r *Replica) runControl() {
-	defer r.ended.Done()
-	defer close(r.writes)
+	defer r.goroutines.Done()
+	defer close(r.writeJobs)
 	ticker := time.NewTicker(r.config.TickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-r.stopping:
-			r.control.abandon()
+			r.control.failPending()
 			return
 		case <-ticker.C:
 			r.control.tick()
@@ -131,14 +134,15 @@
 			for _, event := range r.events.take() {
 				event()
 			}
-		case result := <-r.written:
-			r.control.finishWrite(result)
+		case result := <-r.writeResults:
+			r.control.completeWrite(result)
 		}
-		r.control.work()
+		r.control.processReady()
 	}
 }
 
-// drainInbox takes what else has come, so that its work is done together.
+// drainInbox receives the messages that are already queued, so that they are
+// processed in one batch.
 func (c *control) drainInbox() {
 	for range inboxSize {
 		select {
@@ -153,35 +157,35 @@
 func (c *control) tick() {
 	now := c.r.Now()
 	if c.core == nil {
-		c.founding.tick(now)
+		c.bootstrap.tick(now)
 	} else {
 		c.core.Tick(now)
-		c.checkPromotions()
+		c.completePromotions()
 		c.probeDisk(now)
-		c.tickFetching(now)
+		c.tickDownload(now)
 	}
-	c.publish()
+	c.publishStatus()
 	c.r.config.OnTick(now, c.r.Status())
 }
 
 func (c *control) receive(received envelope) {
-	c.r.peers.learn(received.From, received.Address)
+	c.r.peers.learnAddress(received.From, received.Address)
 	switch {
 	case received.Founding != nil:
-		c.founding.receive(received)
+		c.bootstrap.receive(received)
 	case received.Message != nil:
 		c.step(*received.Message)
 	case received.Offer != nil:
-		c.receiveOffer(*received.Offer, c.addressOf(received))
+		c.receiveOffer(*received.Offer, c.senderAddress(received))
 	case received.Want != nil:
-		c.sendPart(*received.Want, c.addressOf(received))
+		c.sendPart(*received.Want, c.senderAddress(received))
 	case received.Part != nil:
 		c.receivePart(*received.Part)
 	}
 }
 
-// addressOf is where the sender takes messages.
-func (c *control) addressOf(received envelope) string {
+// senderAddress returns the address at which the sender accepts connections.
+func (c *control) senderAddress(received envelope) string {
 	if c.core == nil {
 		return received.Address
 	}
@@ -189,7 +193,7 @@
 }
 
 func (c *control) step(m consensus.Message) {
-	if c.core == nil && !c.founding.join(m) {
+	if c.core == nil && !c.bootstrap.joinGroup(m) {
 		return
 	}
 	err := c.core.Step(c.r.Now(), m)
@@ -202,29 +206,31 @@
 	}
 }
 
-// work does what the core asks for, until it waits for a write.
-func (c *control) work() {
+// processReady handles the core's Ready until a write is in flight or nothing is
+// left to do.
+func (c *control) processReady() {
 	if c.core == nil {
 		return
 	}
-	c.core.HoldEntries(c.full)
-	for !c.writing && c.core.HasReady() {
+	c.core.HoldEntries(c.diskFull)
+	for !c.writeInFlight && c.core.HasReady() {
 		ready := c.core.Ready()
 		c.send(ready.Early)
 		c.apply(ready)
 		if ready.HardState == nil {
-			c.finish(ready)
+			c.completeReady(ready)
 			continue
 		}
-		c.write(writeJob{ready: ready})
+		c.startWrite(writeJob{ready: ready})
 	}
-	if c.writing {
+	if c.writeInFlight {
 		c.send(c.core.TakeEarly())
 	}
 	c.maybeCompact()
 }
 
-// apply runs the committed commands. They need no write of this replica.
+// apply applies the committed commands. It does not wait until they are durable
+// on this replica, as a quorum already has them.
 func (c *control) apply(ready consensus.Ready) {
 	for _, entry := range ready.Committed {
 		c.appliedBytes += int64(len(entry.Data))
@@ -233,68 +239,70 @@
 			result = c.r.config.Machine.Apply(topology.Revision(entry.Index), entry.Data)
 		}
 		if entry.Kind == consensus.EntryMembership {
-			c.publish() // who reads after this change sees it at once
+			c.publishStatus() // a Status read after the change returns shows it
 		}
-		c.resolve(entry, result)
+		c.resolveProposal(entry, result)
 	}
 }
 
-func (c *control) resolve(entry consensus.Entry, result any) {
-	waiting, ok := c.proposals[entry.Index]
+func (c *control) resolveProposal(entry consensus.Entry, result any) {
+	pending, ok := c.pendingProposals[entry.Index]
 	if !ok {
 		return
 	}
-	delete(c.proposals, entry.Index)
-	if waiting.term != entry.Term {
-		waiting.done(nil, ErrNotCommitted)
+	delete(c.pendingProposals, entry.Index)
+	if pending.term != entry.Term {
+		pending.done(nil, ErrNotCommitted)
 		return
 	}
-	waiting.done(result, nil)
+	pending.done(result, nil)
 }
 
-// finish ends a Ready whose facts are durable.
-func (c *control) finish(ready consensus.Ready) {
+// completeReady completes a Ready whose data is durable: it sends the messages
+// and completes the reads and the leadership transfers that waited for it.
+func (c *control) completeReady(ready consensus.Ready) {
 	if ready.Snapshot != nil {
-		c.restored(*ready.Snapshot)
+		c.restoreSnapshot(*ready.Snapshot)
 	}
 	c.send(ready.Messages)
 	for _, read := range ready.Reads {
-		c.finishRead(read)
+		c.completeRead(read)
 	}
 	c.core.Advance(ready)
 	c.maybeSnapshot()
 	c.releaseBarriers()
-	if len(c.transfers) > 0 && c.core.Role() != consensus.Leader {
-		for _, done := range c.transfers {
+	if len(c.pendingTransfers) > 0 && c.core.Role() != consensus.Leader {
+		for _, done := range c.pendingTransfers {
 			done(nil, nil)
 		}
-		c.transfers = nil
+		c.pendingTransfers = nil
 	}
 }
 
-// restored replaces the state machine's state by an installed snapshot.
-func (c *control) restored(snapshot consensus.Snapshot) {
+// restoreSnapshot replaces the state of the state machine with an installed
+// snapshot. Proposals that the snapshot covers end with an unknown outcome.
+func (c *control) restoreSnapshot(snapshot consensus.Snapshot) {
 	if err := c.r.config.Machine.Restore(snapshot.Data); err != nil {
 		c.r.fail(fmt.Errorf("restore snapshot %d: %w", snapshot.Meta.Index, err))
 		return
 	}
-	c.lastSnapshot = snapshot.Meta.Index
+	c.lastSnapshotIndex = snapshot.Meta.Index
 	c.snapshotSize = int64(len(snapshot.Data))
 	c.appliedBytes = 0
-	for index, waiting := range c.proposals {
+	for index, pending := range c.pendingProposals {
 		if index <= snapshot.Meta.Index {
-			delete(c.proposals, index)
-			waiting.done(nil, ErrOutcomeUnknown)
+			delete(c.pendingProposals, index)
+			pending.done(nil, ErrOutcomeUnknown)
 		}
 	}
 }
 
-func (c *control) finishRead(read consensus.ReadState) {
-	done, ok := c.reads[read.Token]
+func (c *control) completeRead(read consensus.ReadState) {
+	done, ok := c.pendingReads[read.Token]
 	if !ok {
 		return
 	}
-	delete(c.reads, read.Token)
+	delete(c.pendingReads, read.Token)
 	if read.Failed {
 		done(nil, c.notLeader())
 		return
@@ -307,15 +315,15 @@
 		return
 	}
 	applied := c.core.Status().Applied
-	var waiting []barrier
+	var pending []barrier
 	for _, b := range c.barriers {
 		if b.index <= applied {
 			b.done(nil, nil)
 		} else {
-			waiting = append(waiting, b)
+			pending = append(pending, b)
 		}
 	}
-	c.barriers = waiting
+	c.barriers = pending
 }
 
 func (c *control) send(messages []consensus.Message) {
@@ -324,33 +332,33 @@
 	}
 }
 
-// ProposeAsync replicates a command; done is called on the control goroutine,
-// where ProposeAsync must be called as well.
+// ProposeAsync replicates a command. It must be called on the control goroutine,
+// and calls done there.
 func (r *Replica) ProposeAsync(command []byte, done func(result any, err error)) {
 	c := &r.control
-	if err := c.mayPropose(); err != nil {
+	if err := c.checkCanPropose(); err != nil {
 		done(nil, err)
 		return
 	}
 	index, term, err := c.core.Propose(command)
 	if err != nil {
-		done(nil, c.translate(err))
+		done(nil, c.translateError(err))
 		return
 	}
-	c.proposals[index] = proposal{term, done}
+	c.pendingProposals[index] = proposal{term, done}
 }
 
-func (c *control) mayPropose() error {
+func (c *control) checkCanPropose() error {
 	switch {
 	case c.core == nil:
 		return ErrNotMember
-	case c.low:
+	case c.lowSpace:
 		return storage.ErrDiskFull
 	}
 	return nil
 }
 
-func (c *control) translate(err error) error {
+func (c *control) translateError(err error) error {
 	if errors.Is(err, consensus.ErrNotLeader) {
 		return c.notLeader()
 	}
@@ -363,32 +371,32 @@
 	return &NotLeaderError{Leader: status.Leader, LeaderAddress: member.Address}
 }
 
-func (c *control) read(done func(any, error)) {
+func (c *control) readBarrier(done func(any, error)) {
 	if c.core == nil {
 		done(nil, ErrNotMember)
 		return
 	}
-	c.nextRead++
-	if err := c.core.ReadIndex(c.nextRead); err != nil {
-		done(nil, c.translate(err))
+	c.nextReadToken++
+	if err := c.core.ReadIndex(c.nextReadToken); err != nil {
+		done(nil, c.translateError(err))
 		return
 	}
-	c.reads[c.nextRead] = done
+	c.pendingReads[c.nextReadToken] = done
 }
 
-func (c *control) transfer(target topology.ReplicaID, done func(any, error)) {
+func (c *control) transferLeadership(target topology.ReplicaID, done func(any, error)) {
 	if c.core == nil {
 		done(nil, ErrNotMember)
 		return
 	}
 	if err := c.core.TransferLeadership(target); err != nil {
-		done(nil, c.translate(err))
+		done(nil, c.translateError(err))
 		return
 	}
-	c.transfers = append(c.transfers, done)
+	c.pendingTransfers = append(c.pendingTransfers, done)
 }
 
-func (c *control) publish() {
+func (c *control) publishStatus() {
 	if c.core != nil {
 		status := c.core.Status()
 		c.r.status.Store(&status)
@@ -398,22 +406,22 @@
 	c.r.status.Store(&consensus.Status{ID: identity.Replica, Incarnation: identity.Incarnation})
 }
 
-// abandon ends the requests that wait.
-func (c *control) abandon() {
-	c.endFetching()
-	for _, waiting := range c.proposals {
-		waiting.done(nil, errors.Join(ErrOutcomeUnknown, ErrStopped))
+// failPending ends all pending requests with an error.
+func (c *control) failPending() {
+	c.abortDownload()
+	for _, pending := range c.pendingProposals {
+		pending.done(nil, errors.Join(ErrOutcomeUnknown, ErrStopped))
 	}
-	for _, done := range c.reads {
+	for _, done := range c.pendingReads {
 		done(nil, ErrStopped)
 	}
-	for _, waiting := range c.barriers {
-		waiting.done(nil, ErrStopped)
+	for _, pending := range c.barriers {
+		pending.done(nil, ErrStopped)
 	}
-	for _, waiting := range c.promoted {
-		waiting.done(nil, ErrStopped)
+	for _, pending := range c.promotions {
+		pending.done(nil, ErrStopped)
 	}
-	for _, done := range c.transfers {
+	for _, done := range c.pendingTransfers {
 		done(nil, ErrStopped)
 	}
 }
--- a/internal/replica/faults_test.go
+++ b/internal/replica/faults_test.go
@@ -18,21 +18,21 @@
 	"gotest.tools/v3/poll"
 )
 
-// failures collects what OnFailure is told.
+// failures records the errors passed to OnFailure.
 type failures struct {
 	mu    sync.Mutex
 	found map[topology.ReplicaID]error
 }
 
-func (f *failures) of(id topology.ReplicaID) error {
+func (f *failures) errorOf(id topology.ReplicaID) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.found[id]
 }
 
-// memoryGroup is a group whose disks are in memory, and what ended its
-// replicas.
-func memoryGroup(t *testing.T, size int) (*testGroup, map[topology.ReplicaID]*vfs.Memory, *failures) {
+// newMemoryGroup returns a group whose disks are in memory, the disks, and the
+// errors that stopped its replicas.
+func newMemoryGroup(t *testing.T, size int) (*testGroup, map[topology.ReplicaID]*vfs.Memory, *failures) {
 	disks := map[topology.ReplicaID]*vfs.Memory{}
 	failed := &failures{found: map[topology.ReplicaID]error{}}
 	g := newTestGroup(t, size, func(config *Config) {
@@ -49,8 +49,8 @@
 	return g, disks, failed
 }
 
-// kill ends a replica as the loss of its process does; with the power, what
-// was not synced is lost too.
+// kill stops a replica as if its process was killed. To simulate a loss of power,
+// call Crash on its disk afterwards, which drops data that was not synced.
 func (g *testGroup) kill(id topology.ReplicaID) {
 	g.t.Helper()
 	_ = g.replicas[id].Stop()
@@ -70,32 +70,32 @@
 	return 0
 }
 
-func (g *testGroup) wait(what string, condition func() bool) {
+func (g *testGroup) waitFor(description string, condition func() bool) {
 	g.t.Helper()
 	poll.WaitOn(g.t, func(poll.LogT) poll.Result {
 		if condition() {
 			return poll.Success()
 		}
-		return poll.Continue("%s", what)
+		return poll.Continue("%s", description)
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(5*time.Millisecond))
 }
 
-func TestAFailedSyncEndsTheReplicaBeforeItAnswers(t *testing.T) {
-	g, disks, failed := memoryGroup(t, 1)
+func TestFailedSyncStopsReplicaBeforeAcknowledging(t *testing.T) {
+	g, disks, failed := newMemoryGroup(t, 1)
 	g.propose("a")
 	disks[1].FailSync(syscall.EIO)
 	_, err := g.leader().Propose(testContext(t), []byte("lost"))
 	assert.ErrorIs(t, err, ErrOutcomeUnknown)
 	var sync *storage.SyncError
-	assert.Assert(t, errors.As(failed.of(1), &sync))
+	assert.Assert(t, errors.As(failed.errorOf(1), &sync))
 	g.kill(1)
 	disks[1].Crash()
 	g.start(1)
-	assert.Equal(t, g.propose("b"), "2: b", "what was not synced was not acknowledged")
+	assert.Equal(t, g.propose("b"), "2: b", "the command that was not synced must not be applied")
 }
 
-func TestAFullDiskRefusesChangesWhileReadsAndTheLeaseGoOn(t *testing.T) {
-	g, disks, _ := memoryGroup(t, 1)
+func TestFullDiskRejectsProposalsButKeepsReadsAndLease(t *testing.T) {
+	g, disks, _ := newMemoryGroup(t, 1)
 	disks[1].SetCapacity(disks[1].Used() + 10_000)
 	leader := g.leader()
 	accepted := 0
@@ -105,7 +105,7 @@
 			accepted++
 		}
 	}
-	assert.ErrorIs(t, err, storage.ErrDiskFull, "no proposal may wait for space")
+	assert.ErrorIs(t, err, storage.ErrDiskFull, "a proposal must not wait for space")
 	assert.Assert(t, leader.DiskFull())
 	assert.Equal(t, len(g.commands(1)), accepted)
 	for range 20 {
@@ -113,17 +113,17 @@
 		assert.Assert(t, leader.IsLeader())
 	}
 	disks[1].SetCapacity(0)
-	g.wait("changes are taken again", func() bool {
+	g.waitFor("proposals are accepted again", func() bool {
 		_, err := leader.Propose(testContext(t), []byte("again"))
 		return err == nil
 	})
 	g.waitCommands(1, accepted+1)
 }
 
-// A follower without space holds back what it cannot write; the others go on,
-// and it catches up.
-func TestAFollowerWithAFullDiskCatchesUp(t *testing.T) {
-	g, disks, _ := memoryGroup(t, 3)
+// A follower with a full disk holds back the entries that it cannot write. The
+// others continue, and the follower catches up once it has space again.
+func TestFollowerCatchesUpAfterFullDisk(t *testing.T) {
+	g, disks, _ := newMemoryGroup(t, 3)
 	g.propose("a")
 	id := g.follower()
 	g.waitCommands(id, 1)
@@ -131,38 +131,38 @@
 	for range 40 {
 		g.propose(string(make([]byte, 4000)))
 	}
-	g.wait("the follower's disk is full", g.replicas[id].DiskFull)
+	g.waitFor("the follower's disk is full", g.replicas[id].DiskFull)
 	disks[id].SetCapacity(0)
 	g.waitCommands(id, 41)
-	g.wait("all is on its disk", func() bool { return g.replicas[id].Status().Durable >= 41 })
+	g.waitFor("all entries are durable on the follower", func() bool { return g.replicas[id].Status().Durable >= 41 })
 }
 
-func TestAnOlderCopyOfTheDiskIsFoundAndCondemned(t *testing.T) {
-	g, disks, failed := memoryGroup(t, 3)
+func TestOlderCopyOfDiskIsDetectedAndRejected(t *testing.T) {
+	g, disks, failed := newMemoryGroup(t, 3)
 	g.propose("a")
-	older := g.follower()
-	g.waitCommands(older, 1)
-	copied := disks[older].Clone()
+	stale := g.follower()
+	g.waitCommands(stale, 1)
+	clone := disks[stale].Clone()
 	for i := range 5 {
 		g.propose(fmt.Sprint(i))
 	}
-	g.waitCommands(older, 6)
-	g.kill(older)
-	disks[older].Restore(copied)
-	g.start(older)
-	g.wait("the copy is found", func() bool { return failed.of(older) != nil })
-	assert.ErrorContains(t, failed.of(older), consensus.ErrOlderCopy.Error())
-	assert.ErrorContains(t, failed.of(older), "replace-a-lost-disk.md")
-	g.kill(older)
-	config := g.configs[older]
+	g.waitCommands(stale, 6)
+	g.kill(stale)
+	disks[stale].Restore(clone)
+	g.start(stale)
+	g.waitFor("the older copy is detected", func() bool { return failed.errorOf(stale) != nil })
+	assert.ErrorContains(t, failed.errorOf(stale), consensus.ErrOlderCopy.Error())
+	assert.ErrorContains(t, failed.errorOf(stale), "replace-a-lost-disk.md")
+	g.kill(stale)
+	config := g.configs[stale]
 	config.Machine = &listMachine{}
 	_, err := Start(config)
 	var damage *storage.DamageError
-	assert.Assert(t, errors.As(err, &damage), "the folder stays refused: %v", err)
+	assert.Assert(t, errors.As(err, &damage), "the folder must stay rejected: %v", err)
 }
 
-func TestAReplicaTrustsItsDiskAfterARestartOfTheProcessOnly(t *testing.T) {
-	g, disks, _ := memoryGroup(t, 3)
+func TestDiskIsTrustedAfterProcessRestartButNotAfterPowerLoss(t *testing.T) {
+	g, disks, _ := newMemoryGroup(t, 3)
 	g.propose("a")
 	id := g.follower()
 	g.waitCommands(id, 1)
@@ -171,7 +171,7 @@
 	g.start(id)
 	assert.Assert(t, !g.replicas[id].Status().Unproven)
 
-	// After a power cut it must hear both others; one is down.
+	// After a power loss the replica must hear from both others, but one is down.
 	third := topology.ReplicaID(6) - id - other
 	g.kill(third)
 	g.kill(id)
@@ -182,8 +182,8 @@
 	g.waitCommands(id, 2)
 	assert.Assert(t, g.replicas[id].Status().Unproven)
 	g.start(third)
-	g.wait("both have told what they hold", func() bool { return !g.replicas[id].Status().Unproven })
-	// From now on the note holds again.
+	g.waitFor("the replica has heard from both others", func() bool { return !g.replicas[id].Status().Unproven })
+	// The note of the last write is valid again from here on.
 	g.propose("c")
 	g.waitCommands(id, 3)
 	g.kill(id)
@@ -191,8 +191,8 @@
 	assert.Assert(t, !g.replicas[id].Status().Unproven)
 }
 
-func TestAGroupComesBackAfterAPowerCut(t *testing.T) {
-	g, disks, _ := memoryGroup(t, 3)
+func TestGroupRecoversAfterPowerLoss(t *testing.T) {
+	g, disks, _ := newMemoryGroup(t, 3)
 	for i := range 10 {
 		g.propose(fmt.Sprint(i))
 	}
@@ -206,9 +206,9 @@
 	assert.Equal(t, g.propose("after"), "11: after")
 }
 
-func TestAPartOfTheFolderThatIsMissingStopsTheStart(t *testing.T) {
+func TestStartFailsIfLogOrSnapshotsAreMissing(t *testing.T) {
 	for _, part := range []string{"wal", "snap"} {
-		g, disks, _ := memoryGroup(t, 1)
+		g, disks, _ := newMemoryGroup(t, 1)
 		g.propose("a")
 		g.kill(1)
 		names, err := disks[1].List("data/" + part)
@@ -226,8 +226,8 @@
 	}
 }
 
-func TestASecondMachineMayBeLostRightAfterARepair(t *testing.T) {
-	g, _, _ := memoryGroup(t, 3)
+func TestGroupSurvivesSecondLossRightAfterReplacement(t *testing.T) {
+	g, _, _ := newMemoryGroup(t, 3)
 	stop := make(chan struct{})
 	var acknowledged []string
 	var writers sync.WaitGroup
@@ -249,7 +249,7 @@
 	})
 	leader := g.leader()
 	lost := g.follower()
-	joining := g.join(4)
+	joining := g.startJoining(4)
 	ctx := testContext(t)
 	added, err := leader.ChangeMembership(ctx, consensus.Change{Kind: consensus.AddLearner, Member: consensus.Member{
 		Incarnation: joining.Incarnation(), Address: joining.Address(),
@@ -264,19 +264,20 @@
 	g.kill(leader.Status().ID)
 	g.kill(lost)
 	g.propose("after")
-	rest := g.commands(4)
+	remaining := g.commands(4)
 	assert.Assert(t, len(acknowledged) > 0)
-	held := map[string]bool{}
-	for _, command := range rest {
-		held[command] = true
+	applied := map[string]bool{}
+	for _, command := range remaining {
+		applied[command] = true
 	}
 	for _, command := range acknowledged {
-		assert.Assert(t, held[command], "the new member lacks %q, which was acknowledged", command)
+		assert.Assert(t, applied[command], "the new member does not have %q, which was acknowledged", command)
 	}
 }
 
-// join starts a replica with an empty folder that no membership names yet.
-func (g *testGroup) join(id topology.ReplicaID) *Replica {
+// startJoining starts a replica that has an empty folder and is not in the
+// membership.
+func (g *testGroup) startJoining(id topology.ReplicaID) *Replica {
 	g.t.Helper()
 	config := testConfig(g.t, 0)
 	config.Peers = nil
@@ -285,8 +286,8 @@
 	return g.replicas[id]
 }
 
-func TestAPromotionThatIsAskedForAgainWaitsForTheDisk(t *testing.T) {
-	g, _, _ := memoryGroup(t, 3)
+func TestRepeatedPromotionWaitsUntilVoterIsDurable(t *testing.T) {
+	g, _, _ := newMemoryGroup(t, 3)
 	g.propose("a")
 	id := g.follower()
 	g.kill(id)
@@ -295,7 +296,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	_, err := g.leader().ChangeMembership(ctx, promote)
-	assert.ErrorIs(t, err, context.DeadlineExceeded, "the voter is down and lacks an entry")
+	assert.ErrorIs(t, err, context.DeadlineExceeded, "the voter is down and does not have the last entry")
 	g.start(id)
 	_, err = g.leader().ChangeMembership(testContext(t), promote)
 	assert.NilError(t, err)
--- a/internal/replica/fuzz_test.go
+++ b/internal/replica/fuzz_test.go
@@ -18,14 +18,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// FuzzPeerFrame sends any payload in a valid frame to a running replica, as a
-// peer of another build or a damaged one may. The replica must go on.
+// FuzzPeerFrame sends random payloads in valid frames to a running replica, as a
+// peer of another version or a faulty one may. The replica must keep running.
 func FuzzPeerFrame(f *testing.F) {
 	for _, e := range []envelope{
 		{Group: 1, From: 2, Address: "127.0.0.1:1", Message: &consensus.Message{Kind: consensus.MessageHeartbeat, Term: 9}},
-		{Group: 1, From: 2, Founding: &foundingNotice{ID: 2, Incarnation: 5}},
+		{Group: 1, From: 2, Founding: &bootstrapNotice{ID: 2, Incarnation: 5}},
 		{Group: 1, From: 2, Offer: &snapshotOffer{Image: snap.Image{Index: 1 << 40, Size: 10}, Message: consensus.Message{Snapshot: &consensus.Snapshot{}}}},
-		{Group: 1, From: 2, Want: &snapshotWant{Offset: -1}},
+		{Group: 1, From: 2, Want: &snapshotPartRequest{Offset: -1}},
 		{Group: 1, From: 2, Part: &snapshotPart{Offset: 1 << 40, Data: []byte{1}}},
 	} {
 		var payload bytes.Buffer
@@ -51,7 +51,8 @@
 		frame = binary.BigEndian.AppendUint32(frame, crc32.Checksum(payload, crc32.MakeTable(crc32.Castagnoli)))
 		_, err = conn.Write(append(frame, payload...))
 		assert.NilError(t, err)
-		// The replica closes a damaged connection; a sound one is closed here.
+		// The replica closes the connection if the payload is invalid. Otherwise
+		// it is closed here.
 		assert.NilError(t, conn.(*net.TCPConn).CloseWrite())
 		_, _ = io.Copy(io.Discard, conn)
 		assert.NilError(t, conn.Close())
--- a/internal/replica/membership.go
+++ b/internal/replica/membership.go
@@ -9,65 +9,66 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// promotion waits until a new voter durably holds an index and it is
-// committed.
+// promotion is a request that waits until an index is committed and durable on
+// the new voter.
 type promotion struct {
 	change consensus.Change
 	index  uint64
 	done   func(any, error)
 }
 
-// membershipRetry is how often a change is tried that cannot be proposed yet.
-const membershipRetry = 20 * time.Millisecond
+// membershipRetryInterval is the interval at which a membership change that
+// cannot be proposed yet is tried again.
+const membershipRetryInterval = 20 * time.Millisecond
 
 func (c *control) changeMembership(ctx context.Context, change consensus.Change, done func(any, error)) {
-	if err := c.mayPropose(); err != nil {
+	if err := c.checkCanPropose(); err != nil {
 		done(nil, err)
 		return
 	}
 	if change.Kind == consensus.Promote && c.core.Membership().IsVoter(change.Member.ID) {
-		c.awaitPromoted(change, done)
+		c.awaitPromotion(change, done)
 		return
 	}
 	index, term, err := c.core.ProposeMembership(change)
 	switch {
 	case errors.Is(err, consensus.ErrNotCaughtUp), errors.Is(err, consensus.ErrTermNotCommitted), errors.Is(err, consensus.ErrChangeInProgress):
-		c.retryChange(ctx, change, done, err)
+		c.retryMembershipChange(ctx, change, done, err)
 		return
 	case err != nil:
-		done(nil, c.translate(err))
+		done(nil, c.translateError(err))
 		return
 	}
-	change = c.named(change)
-	c.proposals[index] = proposal{term, func(_ any, err error) {
+	change = c.withAssignedID(change)
+	c.pendingProposals[index] = proposal{term, func(_ any, err error) {
 		if err != nil || change.Kind != consensus.Promote {
 			done(change, err)
 			return
 		}
-		c.awaitPromoted(change, done)
+		c.awaitPromotion(change, done)
 	}}
 }
 
-// awaitPromoted waits until a voter durably holds all that is committed now,
-// its promotion included. A promotion that is asked for again, because the
-// answer was lost, waits as well.
-func (c *control) awaitPromoted(change consensus.Change, done func(any, error)) {
-	c.promoted = append(c.promoted, promotion{change, c.core.Status().LastIndex, done})
-	c.checkPromotions()
+// awaitPromotion waits until all entries that are in the log now, including the
+// promotion, are committed and durable on the new voter. A promotion that is
+// requested again because its result was lost waits for the same.
+func (c *control) awaitPromotion(change consensus.Change, done func(any, error)) {
+	c.promotions = append(c.promotions, promotion{change, c.core.Status().LastIndex, done})
+	c.completePromotions()
 }
 
-func (c *control) retryChange(ctx context.Context, change consensus.Change, done func(any, error), cause error) {
+func (c *control) retryMembershipChange(ctx context.Context, change consensus.Change, done func(any, error), cause error) {
 	if ctx.Err() != nil {
 		done(nil, cause)
 		return
 	}
-	time.AfterFunc(membershipRetry, func() {
+	time.AfterFunc(membershipRetryInterval, func() {
 		c.r.Post(func() { c.changeMembership(ctx, change, done) })
 	})
 }
 
-// named fills in the ID that the group gave to a new member.
-func (c *control) named(change consensus.Change) consensus.Change {
+// withAssignedID fills in the ID that the group assigned to a new member.
+func (c *control) withAssignedID(change consensus.Change) consensus.Change {
 	for _, member := range c.core.Membership().Members {
 		if change.Kind == consensus.AddLearner && member.Incarnation == change.Member.Incarnation {
 			change.Member = member
@@ -76,28 +77,28 @@
 	return change
 }
 
-// checkPromotions ends the promotions whose new voter holds all that was
-// committed.
-func (c *control) checkPromotions() {
-	if len(c.promoted) == 0 {
+// completePromotions ends the promotions whose index is committed and durable on
+// the new voter, and fails all of them if this replica is not the leader.
+func (c *control) completePromotions() {
+	if len(c.promotions) == 0 {
 		return
 	}
 	status := c.core.Status()
-	var waiting []promotion
-	for _, p := range c.promoted {
+	var pending []promotion
+	for _, p := range c.promotions {
 		switch {
 		case status.Role != consensus.Leader:
 			p.done(nil, c.notLeader())
-		case status.Commit >= p.index && durableAt(status, p.change.Member.ID) >= p.index:
+		case status.Commit >= p.index && durableIndex(status, p.change.Member.ID) >= p.index:
 			p.done(p.change, nil)
 		default:
-			waiting = append(waiting, p)
+			pending = append(pending, p)
 		}
 	}
-	c.promoted = waiting
+	c.promotions = pending
 }
 
-func durableAt(status consensus.Status, id topology.ReplicaID) uint64 {
+func durableIndex(status consensus.Status, id topology.ReplicaID) uint64 {
 	if id == status.ID {
 		return status.Durable
 	}
--- a/internal/replica/peers.go
+++ b/internal/replica/peers.go
@@ -12,82 +12,86 @@
 	"github.com/quartzdock/quartzdock/internal/transport"
 )
 
-// envelope is what travels between replicas. One of the pointers is set.
+// envelope is the message format between replicas. At most one of the pointers
+// is set.
 type envelope struct {
 	Group topology.GroupID
 	From  topology.ReplicaID
-	// Address is where the sender takes connections of peers.
+	// Address is where the sender accepts connections of peers.
 	Address  string
 	Message  *consensus.Message
-	Founding *foundingNotice
+	Founding *bootstrapNotice
 	Offer    *snapshotOffer
-	Want     *snapshotWant
+	Want     *snapshotPartRequest
 	Part     *snapshotPart
-	// Received is, in what the receiving end of a connection says, how many
-	// envelopes have come over it.
+	// Received is set in keepalives, which the receiving end of a connection
+	// sends. It is the number of envelopes received over the connection.
 	Received uint64
 }
 
 const (
-	// sendQueue bounds the messages that wait for one peer. What does not fit
-	// is dropped, and the core sends it again.
-	sendQueue      = 256
-	dialTimeout    = time.Second
-	redialInterval = 50 * time.Millisecond
-	peerIdle       = 30 * time.Second
-	// aliveInterval is how often the receiving end of a connection says how much
-	// has come. The sending end opens another connection where it hears nothing
-	// for peerSilence, or where nothing that it sent has come for peerStuck,
-	// which leaves time for a snapshot. A connection may pass nothing on for
-	// minutes after a cut has healed, while the sending end's kernel waits longer
-	// and longer before it tries again, or for ever where something between has
-	// forgotten it.
-	aliveInterval = 250 * time.Millisecond
-	peerSilence   = time.Second
-	peerStuck     = 3 * time.Second
+	// sendQueueSize bounds the messages queued for one peer. Messages that do not
+	// fit are dropped; the core sends them again.
+	sendQueueSize   = 256
+	dialTimeout     = time.Second
+	redialInterval  = 50 * time.Millisecond
+	peerIdleTimeout = 30 * time.Second
+	// keepaliveInterval is the interval at which the receiving end of a
+	// connection reports how many messages it has received. The sending end opens
+	// a new connection if it receives no keepalive for keepaliveTimeout, or if
+	// messages are outstanding and none has arrived for progressTimeout, which
+	// leaves time for a part of a snapshot. This is needed because a connection
+	// may stall for minutes after a network partition has healed, as the sender's
+	// kernel backs off its retransmissions, or forever if a middlebox has lost
+	// its state.
+	keepaliveInterval = 250 * time.Millisecond
+	keepaliveTimeout  = time.Second
+	progressTimeout   = 3 * time.Second
 )
 
 func peerOptions(config Config) transport.Options {
-	return transport.Options{TLS: config.TLS, IdleTimeout: peerIdle}
+	return transport.Options{TLS: config.TLS, IdleTimeout: peerIdleTimeout}
 }
 
-// peerSet holds the connections to the other replicas. Messages are sent over
-// connections that the sender opened; those that were accepted only receive.
+// peerSet holds the connections to the other replicas. A replica sends messages
+// over the connections that it opened and receives messages over those that it
+// accepted.
 type peerSet struct {
 	r        *Replica
 	listener *transport.Listener
 
-	mu      sync.Mutex
-	senders map[string]chan envelope
-	learned map[topology.ReplicaID]string
-	// open are the connections of either end that Stop closes.
-	open   map[*transport.Conn]bool
+	mu               sync.Mutex
+	sendQueues       map[string]chan envelope
+	learnedAddresses map[topology.ReplicaID]string
+	// conns are the opened and the accepted connections, which Stop closes.
+	conns  map[*transport.Conn]bool
 	closed bool
-	// sent counts the bytes written to peers.
-	sent atomic.Uint64
+	// bytesSent counts the bytes written to peers.
+	bytesSent atomic.Uint64
 }
 
 func newPeerSet(r *Replica, listener *transport.Listener) *peerSet {
 	return &peerSet{
-		r:        r,
-		listener: listener,
-		senders:  map[string]chan envelope{},
-		learned:  map[topology.ReplicaID]string{},
-		open:     map[*transport.Conn]bool{},
+		r:                r,
+		listener:         listener,
+		sendQueues:       map[string]chan envelope{},
+		learnedAddresses: map[topology.ReplicaID]string{},
+		conns:            map[*transport.Conn]bool{},
 	}
 }
 
-// learn keeps the address of a replica that may not be in the membership here.
-func (s *peerSet) learn(id topology.ReplicaID, address string) {
+// learnAddress records the address of a replica that may not be in the local
+// membership.
+func (s *peerSet) learnAddress(id topology.ReplicaID, address string) {
 	if id == 0 || address == "" {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.learned[id] = address
+	s.learnedAddresses[id] = address
 }
 
-// send queues a message for its receiver.
+// send queues a message for its receiver. A snapshot is offered instead of sent.
 func (s *peerSet) send(m consensus.Message, membership consensus.Membership) {
 	address := s.address(m.To, membership)
 	if address == "" {
@@ -106,7 +110,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.learned[id]
+	return s.learnedAddresses[id]
 }
 
 func (s *peerSet) sendTo(address string, e envelope) {
@@ -114,31 +118,31 @@
 	e.From = s.r.files.folder.Identity().Replica
 	e.Address = s.listener.Address()
 	select {
-	case s.sender(address) <- e:
+	case s.queueFor(address) <- e:
 	default:
 	}
 }
 
-// sender returns the queue of an address, whose goroutine is started at the
-// first use.
-func (s *peerSet) sender(address string) chan envelope {
+// queueFor returns the send queue of an address. The first call starts its
+// sender goroutine.
+func (s *peerSet) queueFor(address string) chan envelope {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	queue, ok := s.senders[address]
+	queue, ok := s.sendQueues[address]
 	if ok || s.closed {
 		return queue
 	}
-	queue = make(chan envelope, sendQueue)
-	s.senders[address] = queue
-	s.r.ended.Add(1)
+	queue = make(chan envelope, sendQueueSize)
+	s.sendQueues[address] = queue
+	s.r.goroutines.Add(1)
 	go s.runSender(address, queue)
 	return queue
 }
 
-// runSender sends what is queued over a connection that it opens anew where
-// needed. What cannot be sent is dropped.
+// runSender sends the queued messages, and reconnects if needed. Messages that
+// cannot be sent are dropped.
 func (s *peerSet) runSender(address string, queue chan envelope) {
-	defer s.r.ended.Done()
+	defer s.r.goroutines.Done()
 	var conn *peerConn
 	defer func() {
 		if conn != nil {
@@ -154,11 +158,11 @@
 				conn = s.dial(address)
 			}
 			if conn == nil {
-				drop(queue)
+				discardQueued(queue)
 			} else {
 				before := conn.BytesSent()
 				err := conn.send(e)
-				s.sent.Add(conn.BytesSent() - before)
+				s.bytesSent.Add(conn.BytesSent() - before)
 				if err != nil {
 					conn = nil
 				}
@@ -167,9 +171,9 @@
 	}
 }
 
-// drop empties a queue: what waits while a peer is down is old by the time that
-// it is back.
-func drop(queue chan envelope) {
+// discardQueued empties a queue. Messages that were queued while a peer was down
+// are outdated when it is back.
+func discardQueued(queue chan envelope) {
 	for {
 		select {
 		case <-queue:
@@ -179,19 +183,20 @@
 	}
 }
 
-// dial opens a connection, or returns nil after a pause.
+// dial opens a connection. On an error it waits for redialInterval and returns
+// nil.
 func (s *peerSet) dial(address string) *peerConn {
-	ctx, cancel := context.WithTimeout(s.r.dialing, dialTimeout)
+	ctx, cancel := context.WithTimeout(s.r.dialContext, dialTimeout)
 	defer cancel()
 	options := peerOptions(s.r.config)
-	options.IdleTimeout = peerSilence
+	options.IdleTimeout = keepaliveTimeout
 	opened, err := s.r.config.dial(ctx, address, options)
 	if err == nil {
-		if !s.admit(opened, 1) {
+		if !s.addConn(opened, 1) {
 			return nil
 		}
 		conn := &peerConn{Conn: opened}
-		go s.watch(conn)
+		go s.monitor(conn)
 		return conn
 	}
 	select {
@@ -212,31 +217,33 @@
 	return c.Send(e)
 }
 
-// watch closes a connection once its receiving end is silent or gets nothing.
-func (s *peerSet) watch(conn *peerConn) {
-	defer s.r.ended.Done()
-	defer s.release(conn.Conn)
+// monitor receives the keepalives of a connection. It closes the connection if
+// they stop, or if messages are outstanding and none has arrived for
+// progressTimeout.
+func (s *peerSet) monitor(conn *peerConn) {
+	defer s.r.goroutines.Done()
+	defer s.removeConn(conn.Conn)
 	var received uint64
-	advanced := s.r.Now()
+	lastProgress := s.r.Now()
 	for {
-		var alive envelope
-		if conn.Receive(&alive) != nil {
+		var keepalive envelope
+		if conn.Receive(&keepalive) != nil {
 			return
 		}
 		now := s.r.Now()
-		if alive.Received > received || received == conn.sent.Load() {
-			received = alive.Received
-			advanced = now
+		if keepalive.Received > received || received == conn.sent.Load() {
+			received = keepalive.Received
+			lastProgress = now
 		}
-		if now-advanced > peerStuck {
+		if now-lastProgress > progressTimeout {
 			return
 		}
 	}
 }
 
-// accept takes connections until the listener is closed.
-func (s *peerSet) accept() {
-	defer s.r.ended.Done()
+// acceptLoop accepts connections until the listener is closed.
+func (s *peerSet) acceptLoop() {
+	defer s.r.goroutines.Done()
 	for {
 		conn, err := s.listener.Accept()
 		if errors.Is(err, transport.ErrClosed) {
@@ -250,40 +257,42 @@
 			}
 			continue
 		}
-		if s.admit(conn, 2) {
+		if s.addConn(conn, 2) {
 			received := &atomic.Uint64{}
-			go s.receive(conn, received)
-			go s.sayAlive(conn, received)
+			go s.receiveLoop(conn, received)
+			go s.sendKeepalives(conn, received)
 		}
 	}
 }
 
-// admit counts the goroutines that a new connection gets, or closes it where
-// the replica is stopping.
-func (s *peerSet) admit(conn *transport.Conn, goroutines int) bool {
+// addConn registers a new connection and the number of goroutines that will
+// serve it. If the replica is stopping, it closes the connection and returns
+// false.
+func (s *peerSet) addConn(conn *transport.Conn, goroutines int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		_ = conn.Close()
 		return false
 	}
-	s.open[conn] = true
-	s.r.ended.Add(goroutines)
+	s.conns[conn] = true
+	s.r.goroutines.Add(goroutines)
 	return true
 }
 
-// release closes a connection.
-func (s *peerSet) release(conn *transport.Conn) {
+// removeConn closes a connection and unregisters it.
+func (s *peerSet) removeConn(conn *transport.Conn) {
 	_ = conn.Close()
 	s.mu.Lock()
-	delete(s.open, conn)
+	delete(s.conns, conn)
 	s.mu.Unlock()
 }
 
-// sayAlive tells the sending end of a connection how much has come.
-func (s *peerSet) sayAlive(conn *transport.Conn, received *atomic.Uint64) {
-	defer s.r.ended.Done()
-	ticks := time.NewTicker(aliveInterval)
+// sendKeepalives reports to the sending end of a connection how many messages
+// were received.
+func (s *peerSet) sendKeepalives(conn *transport.Conn, received *atomic.Uint64) {
+	defer s.r.goroutines.Done()
+	ticks := time.NewTicker(keepaliveInterval)
 	defer ticks.Stop()
 	for conn.Send(envelope{Group: s.r.config.Group, Received: received.Load()}) == nil {
 		select {
@@ -294,9 +303,9 @@
 	}
 }
 
-func (s *peerSet) receive(conn *transport.Conn, received *atomic.Uint64) {
-	defer s.r.ended.Done()
-	defer s.release(conn)
+func (s *peerSet) receiveLoop(conn *transport.Conn, received *atomic.Uint64) {
+	defer s.r.goroutines.Done()
+	defer s.removeConn(conn)
 	for {
 		var e envelope
 		if conn.Receive(&e) != nil {
@@ -314,12 +323,12 @@
 	}
 }
 
-// close stops accepting and ends what is sent and received.
+// close closes the listener and all connections.
 func (s *peerSet) close() error {
 	s.mu.Lock()
 	s.closed = true
 	var closing sync.WaitGroup
-	for conn := range s.open {
+	for conn := range s.conns {
 		closing.Go(func() { _ = conn.Close() })
 	}
 	closing.Wait()
--- a/internal/replica/peers_test.go
+++ b/internal/replica/peers_test.go
@@ -11,20 +11,20 @@
 	"github.com/quartzdock/quartzdock/lab/faultproxy"
 )
 
-// TestGroupGoesOnAfterConnectionsHaveLostBytes cuts all links until each has
-// lost a message. The proxies never pass anything on over these connections,
-// which no end sees as closed; where one direction alone was cut, the other
-// still works.
-func TestGroupGoesOnAfterConnectionsHaveLostBytes(t *testing.T) {
+// TestGroupRecoversAfterConnectionsLoseBytes partitions the network until every
+// connection has lost a message. From then on the proxies forward nothing on
+// these connections, even after the partition has healed, and neither end sees
+// them closed. If only one direction was cut, the other still works.
+func TestGroupRecoversAfterConnectionsLoseBytes(t *testing.T) {
 	for name, faults := range map[string]faultproxy.Faults{
 		"both directions": faultproxy.BlackHole(),
 		"one direction":   faultproxy.Lose(faultproxy.Forward),
 	} {
-		t.Run(name, func(t *testing.T) { goOnAfter(t, faults) })
+		t.Run(name, func(t *testing.T) { checkRecoveryAfter(t, faults) })
 	}
 }
 
-func goOnAfter(t *testing.T, faults faultproxy.Faults) {
+func checkRecoveryAfter(t *testing.T, faults faultproxy.Faults) {
 	g := newTestGroup(t, 3, nil)
 	for id := range g.replicas {
 		g.stop(id)
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -16,34 +16,35 @@
 
 // Replica is a running member of a group.
 type Replica struct {
-	config      Config
-	started     time.Time
-	incarnation topology.Incarnation
-	files       *files
-	status      atomic.Pointer[consensus.Status]
-	full        atomic.Bool
-	events      eventQueue
-	inbox       chan envelope
-	written     chan writeResult
-	writes      chan writeJob
-	peers       *peerSet
-	control     control
+	config       Config
+	started      time.Time
+	incarnation  topology.Incarnation
+	files        *files
+	status       atomic.Pointer[consensus.Status]
+	diskFull     atomic.Bool
+	events       eventQueue
+	inbox        chan envelope
+	writeResults chan writeResult
+	writeJobs    chan writeJob
+	peers        *peerSet
+	control      control
 
 	stopping chan struct{}
-	// dialing ends when the replica is stopped; cancelDials ends it.
-	dialing     context.Context
+	// dialContext is the context of all dials. cancelDials cancels it when the
+	// replica is stopped.
+	dialContext context.Context
 	cancelDials context.CancelFunc
 	stopOnce    sync.Once
-	ended       sync.WaitGroup
+	goroutines  sync.WaitGroup
 	failOnce    sync.Once
 	failure     atomic.Pointer[error]
 }
 
-// inboxSize bounds the messages received and not yet taken in.
+// inboxSize bounds the messages that are received but not yet processed.
 const inboxSize = 256
 
-// Start opens the data folder and runs the replica. Errors are
-// *storage.DamageError where the folder is damaged.
+// Start opens the data folder and runs the replica. If the folder is damaged, it
+// returns a *storage.DamageError.
 func Start(config Config) (*Replica, error) {
 	config = config.withDefaults()
 	if err := config.validate(); err != nil {
@@ -58,25 +59,25 @@
 		return nil, errors.Join(fmt.Errorf("replica: %w", err), files.close())
 	}
 	r := &Replica{
-		config:      config,
-		started:     steady.Reading(),
-		incarnation: files.folder.Identity().Incarnation,
-		files:       files,
-		inbox:       make(chan envelope, inboxSize),
-		written:     make(chan writeResult, 1),
-		writes:      make(chan writeJob, 1),
-		stopping:    make(chan struct{}),
-		events:      eventQueue{wake: make(chan struct{}, 1)},
+		config:       config,
+		started:      steady.Reading(),
+		incarnation:  files.folder.Identity().Incarnation,
+		files:        files,
+		inbox:        make(chan envelope, inboxSize),
+		writeResults: make(chan writeResult, 1),
+		writeJobs:    make(chan writeJob, 1),
+		stopping:     make(chan struct{}),
+		events:       eventQueue{wake: make(chan struct{}, 1)},
 	}
-	r.dialing, r.cancelDials = context.WithCancel(context.Background())
+	r.dialContext, r.cancelDials = context.WithCancel(context.Background())
 	r.peers = newPeerSet(r, listener)
 	if err := r.startControl(found); err != nil {
 		r.cancelDials()
 		return nil, errors.Join(fmt.Errorf("replica: %w", err), listener.Close(), files.close())
 	}
-	r.ended.Add(3)
+	r.goroutines.Add(3)
 	go r.runWriter()
-	go r.peers.accept()
+	go r.peers.acceptLoop()
 	go r.runControl()
 	return r, nil
 }
@@ -88,44 +89,49 @@
 	return transport.Listen(config.Listen, peerOptions(config))
 }
 
-// Now is the replica's monotonic clock, that of OnTick and Status.
+// Now returns the time of the replica's monotonic clock, which OnTick and Status
+// use too.
 func (r *Replica) Now() time.Duration { return steady.Elapsed(r.started) }
 
-// Status returns the state as last published; at most a tick old, unless the
-// process was paused. Before the group is founded its Membership is empty.
+// Status returns the last published status. It is at most one tick old, unless
+// the process was paused. Its Membership is empty until the group is
+// bootstrapped.
 func (r *Replica) Status() consensus.Status { return *r.status.Load() }
 
 // IsLeader reports whether the replica may act as the leader now.
 func (r *Replica) IsLeader() bool { return r.Status().IsLeader(r.Now()) }
 
-// DiskFull reports whether proposals are refused for want of disk space.
-func (r *Replica) DiskFull() bool { return r.full.Load() }
+// DiskFull reports whether proposals are rejected for lack of disk space.
+func (r *Replica) DiskFull() bool { return r.diskFull.Load() }
 
-// Incarnation is that of the data folder.
+// Incarnation returns the incarnation of the data folder.
 func (r *Replica) Incarnation() topology.Incarnation { return r.incarnation }
 
-// BytesSent counts the bytes written to other members, frames included.
-func (r *Replica) BytesSent() uint64 { return r.peers.sent.Load() }
+// BytesSent returns the number of bytes written to other members, including
+// framing.
+func (r *Replica) BytesSent() uint64 { return r.peers.bytesSent.Load() }
 
-// Address is where connections of peers are accepted.
+// Address returns the address on which connections of peers are accepted.
 func (r *Replica) Address() string { return r.peers.listener.Address() }
 
-// Post runs a function on the control goroutine. It never blocks, and may be
-// called there as well.
+// Post queues a function to run on the control goroutine. It never blocks, and
+// may be called on the control goroutine itself.
 func (r *Replica) Post(event func()) { r.events.push(event) }
 
-// Log is what a replica has at one moment.
+// Log is the state of a replica's log at one moment.
 type Log struct {
-	// LastIndex and LastTerm name its last entry, and with it all entries.
+	// LastIndex and LastTerm identify the last entry, and so all entries before
+	// it.
 	LastIndex, LastTerm uint64
-	// Unapplied are the entries after those that the state machine has.
+	// Unapplied are the entries that the state machine has not applied yet.
 	Unapplied []consensus.Entry
-	// Membership is the newest one in the log, committed or not.
+	// Membership is the latest membership in the log, committed or not.
 	Membership consensus.Membership
 }
 
-// Log returns what is in the log, false where it may lack what this replica has
-// acknowledged or where it has no vote. It is called on the control goroutine, as by Post.
+// Log returns the state of the log. It returns false if the log may lack entries
+// that this replica has acknowledged, or if the replica is not a voter. It must
+// be called on the control goroutine, for example in Post.
 func (r *Replica) Log() (Log, bool) {
 	core := r.control.core
 	if core == nil {
@@ -139,34 +145,36 @@
 	return Log{LastIndex: status.LastIndex, LastTerm: core.LastTerm(), Unapplied: unapplied, Membership: status.Membership}, true
 }
 
-// outcome is the end of a request.
-type outcome struct {
+// requestResult is the result of a request to the control goroutine.
+type requestResult struct {
 	result any
 	err    error
 }
 
-// Propose replicates a command and returns the result of Apply. Errors are
+// Propose replicates a command and returns the result of Apply. After a
 // *NotLeaderError, storage.ErrDiskFull, consensus.ErrTooMuchInFlight,
-// ErrNotMember, ErrStopped and ErrNotCommitted, after all of which the command
-// has no effect, and ErrOutcomeUnknown.
+// ErrNotMember, ErrStopped or ErrNotCommitted the command has no effect. After
+// ErrOutcomeUnknown, alone or joined with another error, it may still take effect.
 func (r *Replica) Propose(ctx context.Context, command []byte) (any, error) {
 	return r.await(ctx, ErrOutcomeUnknown, func(done func(any, error)) {
 		r.ProposeAsync(command, done)
 	})
 }
 
-// ReadBarrier returns once the state machine holds all that was committed
-// before the call, so that a read on the control goroutine is linearizable.
+// ReadBarrier returns once the state machine has applied everything that was
+// committed before the call. A read on the control goroutine is then
+// linearizable.
 func (r *Replica) ReadBarrier(ctx context.Context) error {
-	_, err := r.await(ctx, nil, r.control.read)
+	_, err := r.await(ctx, nil, r.control.readBarrier)
 	return err
 }
 
-// ChangeMembership proposes a change and returns it, with the ID that was
-// given, once it is committed. Promote waits until the learner has caught up,
-// and returns once the new voter durably holds everything that was committed
-// when it became one, the promotion included: a second machine may then be
-// lost. Asked for a voter, it waits for the same.
+// ChangeMembership proposes a membership change and returns it once it is
+// committed; the ID of a new member is filled in. Promote waits until the
+// learner has caught up, and returns once everything in the log at the time of
+// the promotion, including the promotion itself, is durable on the new voter. A
+// second machine may then be lost. Promoting a member that is already a voter
+// waits for the same condition.
 func (r *Replica) ChangeMembership(ctx context.Context, change consensus.Change) (consensus.Change, error) {
 	result, err := r.await(ctx, ErrOutcomeUnknown, func(done func(any, error)) {
 		r.control.changeMembership(ctx, change, done)
@@ -181,21 +189,21 @@
 // replica no longer leads.
 func (r *Replica) TransferLeadership(ctx context.Context, target topology.ReplicaID) error {
 	_, err := r.await(ctx, nil, func(done func(any, error)) {
-		r.control.transfer(target, done)
+		r.control.transferLeadership(target, done)
 	})
 	return err
 }
 
-// await runs a request on the control goroutine and waits for its end. If the
-// context ends first, the error joins the context's with onTimeout.
+// await runs a request on the control goroutine and waits for its result. If the
+// context ends or the replica stops first, the error is joined with onTimeout.
 func (r *Replica) await(ctx context.Context, onTimeout error, request func(done func(any, error))) (any, error) {
-	ended := make(chan outcome, 1)
+	completed := make(chan requestResult, 1)
 	r.Post(func() {
-		request(func(result any, err error) { ended <- outcome{result, err} })
+		request(func(result any, err error) { completed <- requestResult{result, err} })
 	})
 	select {
-	case end := <-ended:
-		return end.result, end.err
+	case result := <-completed:
+		return result.result, result.err
 	case <-ctx.Done():
 		return nil, errors.Join(onTimeout, ctx.Err())
 	case <-r.stopping:
@@ -203,21 +211,21 @@
 	}
 }
 
-// StopLimit bounds Stop where the disk does not take a write. It is many times
-// what a sync takes on a slow disk, and a quarter of the 6 s that the users'
-// platform gives a process to end.
+// StopLimit is the maximum time that Stop waits for a write to the disk. It is
+// many times longer than a sync on a slow disk, and a quarter of the 6 s that the
+// users' platform allows a process for its shutdown.
 const StopLimit = 1500 * time.Millisecond
 
-// Stop ends the replica and closes the data folder. A leader should call
-// TransferLeadership before. Where the disk does not take a write within
-// StopLimit, it returns ErrStillWriting; the process may then end all the same,
-// as nothing is acknowledged that is not durable.
+// Stop stops the replica and closes the data folder. A leader should call
+// TransferLeadership first. If a write to the disk does not complete within
+// StopLimit, Stop returns ErrStillWriting. It is still safe to end the process
+// then, because nothing is acknowledged before it is durable.
 func (r *Replica) Stop() error {
 	r.signalStop()
 	closeErr := r.peers.close()
 	closed := make(chan error, 1)
 	go func() {
-		r.ended.Wait()
+		r.goroutines.Wait()
 		closed <- r.files.close()
 	}()
 	limit := time.NewTimer(StopLimit)
@@ -234,7 +242,7 @@
 	return errors.Join(closeErr, filesErr)
 }
 
-// signalStop tells all goroutines to end.
+// signalStop tells all goroutines to return.
 func (r *Replica) signalStop() {
 	r.stopOnce.Do(func() {
 		close(r.stopping)
@@ -242,7 +250,7 @@
 	})
 }
 
-// fail ends the replica after an error that it must not go on from.
+// fail stops the replica after a fatal error.
 func (r *Replica) fail(err error) {
 	r.failOnce.Do(func() {
 		r.failure.Store(&err)
@@ -251,7 +259,8 @@
 	})
 }
 
-// eventQueue hands functions to the control goroutine without blocking.
+// eventQueue passes functions to the control goroutine. It is unbounded, so that
+// push never blocks.
 type eventQueue struct {
 	mu     sync.Mutex
 	events []func()
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// listMachine keeps the commands it applied.
+// listMachine stores the commands that it applied.
 type listMachine struct{ commands []string }
 
 func (m *listMachine) Apply(_ topology.Revision, command []byte) any {
@@ -40,7 +40,7 @@
 	return gob.NewDecoder(bytes.NewReader(data)).Decode(&m.commands)
 }
 
-// testGroup is a group of replicas in one process, each with its own folder.
+// testGroup is a group of replicas in one process, each with its own data folder.
 type testGroup struct {
 	t        *testing.T
 	configs  map[topology.ReplicaID]Config
@@ -128,15 +128,15 @@
 	return leader
 }
 
-// propose has a command committed. Where an election came in between, the
-// command had no effect and is proposed again.
+// propose proposes a command until it is committed. If an election happened in
+// between, the command had no effect and is proposed again.
 func (g *testGroup) propose(command string) any {
 	g.t.Helper()
 	ctx := testContext(g.t)
 	for {
 		result, err := g.leader().Propose(ctx, []byte(command))
-		var elsewhere *NotLeaderError
-		if errors.As(err, &elsewhere) || errors.Is(err, ErrNotCommitted) {
+		var notLeader *NotLeaderError
+		if errors.As(err, &notLeader) || errors.Is(err, ErrNotCommitted) {
 			continue
 		}
 		assert.NilError(g.t, err)
@@ -150,7 +150,7 @@
 	return ctx
 }
 
-// commands returns what a replica's state machine holds.
+// commands returns the commands that a replica's state machine has applied.
 func (g *testGroup) commands(id topology.ReplicaID) []string {
 	result := make(chan []string, 1)
 	g.replicas[id].Post(func() { result <- append([]string(nil), g.machines[id].commands...) })
@@ -161,13 +161,13 @@
 	g.t.Helper()
 	poll.WaitOn(g.t, func(poll.LogT) poll.Result {
 		if found := len(g.commands(id)); found != count {
-			return poll.Continue("replica %d holds %d of %d commands", id, found, count)
+			return poll.Continue("replica %d has applied %d of %d commands", id, found, count)
 		}
 		return poll.Success()
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(5*time.Millisecond))
 }
 
-func TestAGroupIsFoundedAndReplicates(t *testing.T) {
+func TestGroupBootstrapsAndReplicates(t *testing.T) {
 	g := newTestGroup(t, 3, nil)
 	assert.Equal(t, g.propose("a"), "1: a")
 	assert.Equal(t, g.propose("b"), "2: b")
@@ -177,7 +177,7 @@
 	}
 }
 
-func TestASingleReplicaKeepsItsStateOverARestart(t *testing.T) {
+func TestSingleReplicaKeepsStateAcrossRestart(t *testing.T) {
 	g := newTestGroup(t, 1, nil)
 	g.propose("a")
 	g.stop(1)
@@ -185,7 +185,7 @@
 	assert.Equal(t, g.propose("b"), "2: b")
 }
 
-func TestALostLeaderIsReplaced(t *testing.T) {
+func TestLostLeaderIsReplaced(t *testing.T) {
 	g := newTestGroup(t, 3, nil)
 	g.propose("a")
 	lost := g.leader().Status().ID
@@ -195,7 +195,7 @@
 	g.waitCommands(lost, 2)
 }
 
-func TestFollowersNameTheLeader(t *testing.T) {
+func TestFollowersReportLeader(t *testing.T) {
 	g := newTestGroup(t, 3, nil)
 	leader := g.leader()
 	for _, replica := range g.replicas {
@@ -212,7 +212,7 @@
 	}
 }
 
-func TestALostDiskComesBackAsANewMember(t *testing.T) {
+func TestReplicaWithLostDiskRejoinsAsNewMember(t *testing.T) {
 	g := newTestGroup(t, 3, nil)
 	g.propose("a")
 	var lost topology.ReplicaID
--- a/internal/replica/stop_test.go
+++ b/internal/replica/stop_test.go
@@ -14,58 +14,60 @@
 	"gotest.tools/v3/assert"
 )
 
-// stopPatience is when a Stop that has not returned counts as hanging.
-const stopPatience = 20 * time.Second
+// stopTimeout is the time after which a Stop that has not returned counts as
+// hanging.
+const stopTimeout = 20 * time.Second
 
-// stopped returns what Stop returns, and fails where it hangs.
-func stopped(t *testing.T, r *Replica) error {
+// stopWithTimeout returns the error of Stop, and fails the test if Stop hangs.
+func stopWithTimeout(t *testing.T, r *Replica) error {
 	t.Helper()
 	ended := make(chan error, 1)
 	go func() { ended <- r.Stop() }()
 	select {
 	case err := <-ended:
 		return err
-	case <-time.After(stopPatience):
+	case <-time.After(stopTimeout):
 		t.Error("Stop hangs")
 		return nil
 	}
 }
 
-// hangingDisk is a file system whose syncs do not return while it hangs.
+// hangingDisk is a file system whose syncs can be made to block.
 type hangingDisk struct {
 	vfs.FS
 	mutex sync.Mutex
-	// hung is closed once the disk hangs no more; nil where it does not.
-	hung chan struct{}
-	// caught takes a value when a sync begins to hang.
-	caught chan struct{}
+	// resumed is closed when the disk stops hanging. It is nil if the disk does
+	// not hang.
+	resumed chan struct{}
+	// syncBlocked receives a value when a sync starts to block.
+	syncBlocked chan struct{}
 }
 
 func (d *hangingDisk) hang() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.hung = make(chan struct{})
+	d.resumed = make(chan struct{})
 }
 
-func (d *hangingDisk) letGo() {
+func (d *hangingDisk) resume() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	close(d.hung)
-	d.hung = nil
+	close(d.resumed)
+	d.resumed = nil
 }
 
-func (d *hangingDisk) wait() {
+func (d *hangingDisk) waitWhileHung() {
 	d.mutex.Lock()
-	hung := d.hung
+	resumed := d.resumed
 	d.mutex.Unlock()
-	if hung == nil {
+	if resumed == nil {
 		return
 	}
 	select {
-	case d.caught <- struct{}{}:
+	case d.syncBlocked <- struct{}{}:
 	default:
 	}
-	<-hung
+	<-resumed
 }
 
 func (d *hangingDisk) Create(name string) (vfs.File, error) { return d.wrap(d.FS.Create(name)) }
@@ -85,14 +87,14 @@
 }
 
 func (f *hangingFile) Sync() error {
-	f.disk.wait()
+	f.disk.waitWhileHung()
 	return f.File.Sync()
 }
 
-// A sync that does not return holds Stop up for a bounded time only, and what
-// was asked for before is not acknowledged.
-func TestStopReturnsThoughTheDiskHangs(t *testing.T) {
-	disk := &hangingDisk{FS: vfs.NewMemory(1), caught: make(chan struct{}, 1)}
+// A sync that does not return delays Stop only for a limited time, and a command
+// that was proposed before is not acknowledged.
+func TestStopReturnsWhileDiskHangs(t *testing.T) {
+	disk := &hangingDisk{FS: vfs.NewMemory(1), syncBlocked: make(chan struct{}, 1)}
 	config := testConfig(t, 1)
 	config.FS, config.DataDir, config.Machine = disk, "data", &listMachine{}
 	r, err := Start(config)
@@ -105,16 +107,16 @@
 		_, err := r.Propose(context.Background(), []byte("a"))
 		proposed <- err
 	}()
-	<-disk.caught
-	err = stopped(t, r)
+	<-disk.syncBlocked
+	err = stopWithTimeout(t, r)
 	assert.Check(t, errors.Is(err, ErrStillWriting), "%v", err)
 	assert.ErrorIs(t, <-proposed, ErrOutcomeUnknown)
-	disk.letGo()
-	r.ended.Wait()
+	disk.resume()
+	r.goroutines.Wait()
 }
 
-// startWithPeer starts one of two founding members, whose connections to the
-// other one are made by dial.
+// startWithPeer starts one of two initial members, which connects to the other
+// one with dial.
 func startWithPeer(t *testing.T, dial func(context.Context, string, transport.Options) (*transport.Conn, error)) *Replica {
 	t.Helper()
 	config := testConfig(t, 1)
@@ -125,15 +127,17 @@
 	return r
 }
 
-// A dial that nobody answers, as to a machine that was cut off, ends with Stop.
-func TestStopEndsADialThatNobodyAnswers(t *testing.T) {
-	dialing, over := make(chan struct{}, 1), make(chan struct{})
+// Stop cancels a dial that gets no answer, as to a machine that is cut off from
+// the network.
+func TestStopCancelsPendingDial(t *testing.T) {
+	dialing, testDone := make(chan struct{}, 1), make(chan struct{})
 	r := startWithPeer(t, func(ctx context.Context, _ string, _ transport.Options) (*transport.Conn, error) {
 		select {
 		case dialing <- struct{}{}:
 		default:
 		}
-		// The dial's own timeout is taken for endless.
+		// Treat the dial's own timeout as infinite, so that only a cancellation
+		// ends it.
 		cancelled := make(chan struct{})
 		context.AfterFunc(ctx, func() {
 			if errors.Is(ctx.Err(), context.Canceled) {
@@ -143,46 +147,46 @@
 		select {
 		case <-cancelled:
 			return nil, ctx.Err()
-		case <-over:
+		case <-testDone:
 			return nil, errors.New("the test is over")
 		}
 	})
 	<-dialing
-	assert.Check(t, stopped(t, r))
-	close(over)
-	r.ended.Wait()
+	assert.Check(t, stopWithTimeout(t, r))
+	close(testDone)
+	r.goroutines.Wait()
 }
 
-// A peer that accepts a connection and never reads it, nor says anything, does
-// not hold Stop up, though a send to it has no bound of its own.
-func TestStopEndsASendThatNobodyReads(t *testing.T) {
+// A peer that accepts a connection but never reads or sends anything does not
+// block Stop, although sends to it have no timeout.
+func TestStopInterruptsBlockedSend(t *testing.T) {
 	sending := make(chan struct{}, 1)
-	var far []net.Conn
+	var remoteEnds []net.Conn
 	var mutex sync.Mutex
 	r := startWithPeer(t, func(context.Context, string, transport.Options) (*transport.Conn, error) {
-		near, other := net.Pipe()
+		local, remote := net.Pipe()
 		mutex.Lock()
-		far = append(far, other)
+		remoteEnds = append(remoteEnds, remote)
 		mutex.Unlock()
-		return transport.NewConn(&announcing{near, sending}, transport.Options{WriteTimeout: -1, IdleTimeout: -1}), nil
+		return transport.NewConn(&notifyingConn{local, sending}, transport.Options{WriteTimeout: -1, IdleTimeout: -1}), nil
 	})
 	<-sending
-	assert.Check(t, stopped(t, r))
+	assert.Check(t, stopWithTimeout(t, r))
 	mutex.Lock()
-	for _, conn := range far {
+	for _, conn := range remoteEnds {
 		_ = conn.Close()
 	}
 	mutex.Unlock()
-	r.ended.Wait()
+	r.goroutines.Wait()
 }
 
-// announcing tells that a write begins.
-type announcing struct {
+// notifyingConn sends a value on a channel when a write starts.
+type notifyingConn struct {
 	net.Conn
 	writing chan struct{}
 }
 
-func (a *announcing) Write(p []byte) (int, error) {
+func (a *notifyingConn) Write(p []byte) (int, error) {
 	select {
 	case a.writing <- struct{}{}:
 	default:
--- a/internal/replica/storage.go
+++ b/internal/replica/storage.go
@@ -14,93 +14,95 @@
 	"github.com/quartzdock/quartzdock/internal/storage/wal"
 )
 
-// files are the replica's durable state.
+// files holds the durable state of the replica.
 type files struct {
-	// headroom is what the log has to have space for, in bytes, for changes to
-	// be accepted: what was accepted then finds space.
-	headroom int64
-	folder   *datadir.Folder
-	log      *wal.Log
-	snaps    *snap.Store
-	saving   sync.Mutex
+	// headroom is the space in bytes that must be reserved for the log before
+	// proposals are accepted, so that accepted entries can be written.
+	headroom      int64
+	folder        *datadir.Folder
+	log           *wal.Log
+	snapshots     *snap.Store
+	snapshotMutex sync.Mutex
 }
 
-// loaded is what the files held at the start.
-type loaded struct {
-	founded  bool
-	snapshot consensus.Snapshot
-	hard     consensus.HardState
-	entries  []consensus.Entry
-	torn     int64
-	// unproven: the disk may be an older copy, or may lack its end.
-	unproven bool
+// recoveredState is the state that was read from the files at the start.
+type recoveredState struct {
+	bootstrapped bool
+	snapshot     consensus.Snapshot
+	hardState    consensus.HardState
+	entries      []consensus.Entry
+	tornBytes    int64
+	// unverified is set if the disk may be an older copy, or the end of the log
+	// may be missing.
+	unverified bool
 }
 
-func openFiles(config Config) (*files, loaded, error) {
+func openFiles(config Config) (*files, recoveredState, error) {
 	open := datadir.Open
 	if config.TrustSynced {
 		open = datadir.OpenTrusted
 	}
 	folder, err := open(config.FS, config.DataDir, config.Group)
 	if err != nil {
-		return nil, loaded{}, err
+		return nil, recoveredState{}, err
 	}
-	f := &files{folder: folder, headroom: headroom(config.WAL)}
-	found, err := f.load(config)
+	f := &files{folder: folder, headroom: headroomFor(config.WAL)}
+	recovered, err := f.load(config)
 	if err != nil {
-		return nil, loaded{}, errors.Join(err, f.close())
+		return nil, recoveredState{}, errors.Join(err, f.close())
 	}
-	return f, found, nil
+	return f, recovered, nil
 }
 
-// maxHeadroom is the most space that is kept ahead.
+// maxHeadroom is the maximum space that is reserved for the log.
 const maxHeadroom = 1 << 20
 
-func headroom(options wal.Options) int64 {
+func headroomFor(options wal.Options) int64 {
 	if options.SegmentBytes == 0 {
 		return maxHeadroom
 	}
 	return min(maxHeadroom, options.SegmentBytes/4)
 }
 
-// ensureRoom begins a segment ahead of need. It returns storage.ErrDiskFull
-// where there is no space for one.
-func (f *files) ensureRoom() error { return f.log.TryRoll(f.headroom) }
+// reserveSpace starts a new log segment if the current one has less than the
+// headroom left. It returns storage.ErrDiskFull if there is no space for one.
+func (f *files) reserveSpace() error { return f.log.TryRoll(f.headroom) }
 
-func (f *files) load(config Config) (loaded, error) {
-	var found loaded
+func (f *files) load(config Config) (recoveredState, error) {
+	var recovered recoveredState
 	var err error
-	if f.snaps, err = snap.Open(config.FS, f.folder.Snapshots()); err != nil {
-		return loaded{}, err
+	if f.snapshots, err = snap.Open(config.FS, f.folder.Snapshots()); err != nil {
+		return recoveredState{}, err
 	}
-	if found.snapshot, found.founded, err = f.snaps.Load(); err != nil {
-		return loaded{}, err
+	if recovered.snapshot, recovered.bootstrapped, err = f.snapshots.Load(); err != nil {
+		return recoveredState{}, err
 	}
-	proven, err := f.folder.Proven()
+	verified, err := f.folder.Proven()
 	if err != nil {
-		return loaded{}, err
+		return recoveredState{}, err
 	}
-	if err := f.checkLogThere(); err != nil {
-		return loaded{}, err
+	if err := f.checkLogExists(); err != nil {
+		return recoveredState{}, err
 	}
 	var contents wal.Contents
 	if f.log, contents, err = wal.Open(config.FS, f.folder.WAL(), config.WAL); err != nil {
-		return loaded{}, err
+		return recoveredState{}, err
 	}
-	found.hard, found.torn = contents.HardState, contents.TornBytes
-	if !found.founded && (contents.HardState != consensus.HardState{} || len(contents.Entries) > 0) {
-		return loaded{}, f.damage(f.folder.Snapshots(), "there is a log but no snapshot")
+	recovered.hardState, recovered.tornBytes = contents.HardState, contents.TornBytes
+	if !recovered.bootstrapped && (contents.HardState != consensus.HardState{} || len(contents.Entries) > 0) {
+		return recoveredState{}, f.damageError(f.folder.Snapshots(), "there is a log but no snapshot")
 	}
-	if found.entries, err = f.join(found.snapshot.Meta, contents); err != nil {
-		return loaded{}, err
+	if recovered.entries, err = f.entriesAfter(recovered.snapshot.Meta, contents); err != nil {
+		return recoveredState{}, err
 	}
-	found.unproven = !config.TrustSynced && (!proven || found.torn > 0)
-	return found, f.noteRun(!found.unproven)
+	recovered.unverified = !config.TrustSynced && (!verified || recovered.tornBytes > 0)
+	return recovered, f.updateWriteNote(!recovered.unverified)
 }
 
-// checkLogThere refuses a folder that had a log and has none: the votes in it
-// are forgotten. It is called before a new log is begun.
-func (f *files) checkLogThere() error {
+// checkLogExists returns an error if the replica had a log and the log is
+// missing, because the votes recorded in it are lost. It is called before a new
+// log is created.
+func (f *files) checkLogExists() error {
 	if f.folder.Identity().Replica == 0 {
 		return nil
 	}
@@ -109,45 +111,47 @@
 		return err
 	}
 	if len(names) == 0 {
-		return f.damage(f.folder.WAL(), "the log is missing")
+		return f.damageError(f.folder.WAL(), "the log is missing")
 	}
 	return nil
 }
 
-func (f *files) damage(file, reason string) error {
+func (f *files) damageError(file, reason string) error {
 	return &storage.DamageError{File: file, Reason: reason, Advice: storage.AdviceReplace}
 }
 
-// noteRun keeps the note of what was written last, or removes it where this
-// run proves nothing.
-func (f *files) noteRun(proven bool) error {
-	if !proven {
+// updateWriteNote updates the data folder's note of the last write. If this run
+// cannot verify that the disk is complete, it removes the note, so that the note
+// doesn't verify the disk at the next start.
+func (f *files) updateWriteNote(verified bool) error {
+	if !verified {
 		return f.folder.Forget()
 	}
 	f.folder.NoteWrite(f.log.Newest())
 	return nil
 }
 
-// join returns the log's entries after the snapshot. Where the log does not
-// hold the snapshot's entry, the snapshot came from a leader and the crash was
-// before the log was reset; the log is then reset now.
-func (f *files) join(meta consensus.SnapshotMeta, contents wal.Contents) ([]consensus.Entry, error) {
+// entriesAfter returns the log entries after the snapshot. If the log does not
+// contain the last entry of the snapshot, the snapshot was received from a
+// leader and the process crashed before the log was reset. The log is then reset
+// now.
+func (f *files) entriesAfter(meta consensus.SnapshotMeta, contents wal.Contents) ([]consensus.Entry, error) {
 	if meta.Index < contents.BaseIndex {
-		return nil, f.damage(f.folder.Snapshots(),
+		return nil, f.damageError(f.folder.Snapshots(),
 			fmt.Sprintf("the log begins after entry %d, but the newest snapshot ends at entry %d", contents.BaseIndex, meta.Index))
 	}
 	if meta.Index == contents.BaseIndex && (contents.BaseTerm == meta.Term || contents.BaseTerm == 0) {
 		return contents.Entries, nil
 	}
-	at := slices.IndexFunc(contents.Entries, func(entry consensus.Entry) bool { return entry.Index == meta.Index })
-	if at >= 0 && contents.Entries[at].Term == meta.Term {
-		return contents.Entries[at+1:], nil
+	position := slices.IndexFunc(contents.Entries, func(entry consensus.Entry) bool { return entry.Index == meta.Index })
+	if position >= 0 && contents.Entries[position].Term == meta.Term {
+		return contents.Entries[position+1:], nil
 	}
 	return nil, f.log.Reset(contents.HardState, meta.Index, meta.Term)
 }
 
-// write makes a Ready's facts durable. Without space for the entries it writes
-// the hard state alone and returns storage.ErrDiskFull.
+// write makes the data of a Ready durable. If there is no space for the entries,
+// it writes only the hard state and returns storage.ErrDiskFull.
 func (f *files) write(ready consensus.Ready) error {
 	if ready.HardState == nil {
 		return nil
@@ -170,18 +174,19 @@
 	return err
 }
 
-// saveSnapshot saves a snapshot, from the writer or in the background.
+// saveSnapshot saves a snapshot. It is called by the writer and by the goroutine
+// that saves snapshots in the background.
 func (f *files) saveSnapshot(snapshot consensus.Snapshot) error {
-	f.saving.Lock()
-	defer f.saving.Unlock()
-	return f.snaps.Save(snapshot)
+	f.snapshotMutex.Lock()
+	defer f.snapshotMutex.Unlock()
+	return f.snapshots.Save(snapshot)
 }
 
 func (f *files) close() error {
-	var findings []error
+	var errs []error
 	if f.log != nil {
-		findings = append(findings, f.log.Close())
+		errs = append(errs, f.log.Close())
 	}
-	findings = append(findings, f.folder.Close())
-	return errors.Join(findings...)
+	errs = append(errs, f.folder.Close())
+	return errors.Join(errs...)
 }
--- a/internal/replica/suspended_test.go
+++ b/internal/replica/suspended_test.go
@@ -9,9 +9,10 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// A leader's lease runs out while its machine is suspended: others have elected the next one.
-// Its clock has to say so before it answers a read by that lease.
-func TestTheClockOfALeaderCountsSuspendedTime(t *testing.T) {
+// While its machine is suspended, a leader's lease expires and the others elect a
+// new leader. So the clock must count the suspended time, or the old leader would
+// still answer reads under its expired lease.
+func TestClockCountsSuspendedTime(t *testing.T) {
 	r := &Replica{started: steady.Reading()}
 	before := r.Now()
 	steady.RehearseSuspension(5 * time.Second)
--- a/internal/replica/transfer.go
+++ b/internal/replica/transfer.go
@@ -9,24 +9,24 @@
 	"github.com/quartzdock/quartzdock/internal/storage/snap"
 )
 
-// A snapshot is fetched by its receiver: the leader offers it, the receiver
-// asks for one part after the other and checks the digest of the whole. After
-// a loss of the connection, a restart of either side or a change of leader it
-// goes on where it was, as long as the same snapshot is offered.
+// Snapshots are pulled by the receiver. The leader offers a snapshot; the
+// receiver requests one part after the other and checks the digest of the whole.
+// After a lost connection, a restart of either side or a change of leader the
+// download resumes where it stopped, as long as the same snapshot is offered.
 
-// snapshotOffer stands for a MessageSnapshot, without its data.
+// snapshotOffer replaces a MessageSnapshot. It has no snapshot data.
 type snapshotOffer struct {
 	Message consensus.Message
 	Image   snap.Image
 }
 
-// snapshotWant asks for the part at an offset.
-type snapshotWant struct {
+// snapshotPartRequest requests the part at an offset.
+type snapshotPartRequest struct {
 	Digest snap.Digest
 	Offset int64
 }
 
-// snapshotPart answers it.
+// snapshotPart is the response to a snapshotPartRequest.
 type snapshotPart struct {
 	Digest snap.Digest
 	Offset int64
@@ -34,23 +34,25 @@
 }
 
 const (
-	partBytes = 256 << 10
-	// wantRetry is after how long without a part it is asked for again.
-	wantRetry = time.Second
+	partSize = 256 << 10
+	// partRetryInterval is the time after which a part that has not arrived is
+	// requested again.
+	partRetryInterval = time.Second
 )
 
-// fetching is the receiver's side of a transfer.
-type fetching struct {
+// snapshotDownload is the receiver's state of a snapshot transfer.
+type snapshotDownload struct {
 	incoming *snap.Incoming
 	offer    snapshotOffer
-	// address of the sender.
-	address string
-	askedAt time.Duration
+	// address is that of the sender.
+	address     string
+	requestedAt time.Duration
 }
 
-// offerSnapshot sends the newest snapshot's image in place of its data.
+// offerSnapshot offers the newest snapshot to a replica, instead of sending its
+// data.
 func (c *control) offerSnapshot(m consensus.Message, address string) {
-	image, ok, err := c.r.files.snaps.Newest()
+	image, ok, err := c.r.files.snapshots.Newest()
 	if err != nil {
 		c.r.fail(err)
 		return
@@ -68,86 +70,88 @@
 		c.step(offer.Message)
 		return
 	}
-	f := &c.fetching
-	known := f.incoming != nil && f.incoming.Image() == offer.Image
-	f.offer = offer
-	if known && f.address == address && c.r.Now() < f.askedAt+wantRetry {
+	d := &c.download
+	known := d.incoming != nil && d.incoming.Image() == offer.Image
+	d.offer = offer
+	if known && d.address == address && c.r.Now() < d.requestedAt+partRetryInterval {
 		return
 	}
-	f.address = address
+	d.address = address
 	if !known {
-		c.endFetching()
-		incoming, err := c.r.files.snaps.Receive(offer.Image)
-		if !c.fetchedOrFull(err) {
+		c.abortDownload()
+		incoming, err := c.r.files.snapshots.Receive(offer.Image)
+		if !c.downloadSucceeded(err) {
 			return
 		}
-		f.incoming, f.offer, f.address = incoming, offer, address
+		d.incoming, d.offer, d.address = incoming, offer, address
 	}
-	c.fetch()
+	c.continueDownload()
 }
 
-// fetchedOrFull reports success; a full disk ends the transfer until the next
-// offer, any other error the replica.
-func (c *control) fetchedOrFull(err error) bool {
+// downloadSucceeded reports whether a step of the download succeeded. If the disk
+// is full, the download is aborted until the next offer. Any other error stops
+// the replica.
+func (c *control) downloadSucceeded(err error) bool {
 	switch {
 	case err == nil:
 		return true
 	case !errors.Is(err, storage.ErrDiskFull):
 		c.r.fail(err)
 	}
-	c.endFetching()
+	c.abortDownload()
 	return false
 }
 
-// fetch asks for the next part, or takes the whole in.
-func (c *control) fetch() {
-	f := &c.fetching
-	if !f.incoming.Whole() {
-		f.askedAt = c.r.Now()
-		c.r.peers.sendTo(f.address, envelope{Want: &snapshotWant{f.offer.Image.Digest, f.incoming.Have()}})
+// continueDownload requests the next part, or installs the snapshot if all parts
+// are there.
+func (c *control) continueDownload() {
+	d := &c.download
+	if !d.incoming.Whole() {
+		d.requestedAt = c.r.Now()
+		c.r.peers.sendTo(d.address, envelope{Want: &snapshotPartRequest{d.offer.Image.Digest, d.incoming.Have()}})
 		return
 	}
-	snapshot, err := f.incoming.Finish()
-	offer := f.offer
-	c.fetching = fetching{}
+	snapshot, err := d.incoming.Finish()
+	offer := d.offer
+	c.download = snapshotDownload{}
 	if err != nil {
-		c.r.config.Logger.Warn("a received snapshot is damaged; it is fetched anew", "error", err)
+		c.r.config.Logger.Warn("received snapshot is damaged; downloading it again", "error", err)
 		return
 	}
 	offer.Message.Snapshot = &snapshot
 	c.step(offer.Message)
 }
 
-func (c *control) endFetching() {
-	if c.fetching.incoming != nil {
-		_ = c.fetching.incoming.Close()
+func (c *control) abortDownload() {
+	if c.download.incoming != nil {
+		_ = c.download.incoming.Close()
 	}
-	c.fetching = fetching{}
+	c.download = snapshotDownload{}
 }
 
-func (c *control) sendPart(want snapshotWant, address string) {
-	data, err := c.r.files.snaps.ReadPart(want.Digest, want.Offset, partBytes)
+func (c *control) sendPart(request snapshotPartRequest, address string) {
+	data, err := c.r.files.snapshots.ReadPart(request.Digest, request.Offset, partSize)
 	if err != nil {
 		c.r.fail(err)
 		return
 	}
 	if len(data) > 0 {
-		c.r.peers.sendTo(address, envelope{Part: &snapshotPart{want.Digest, want.Offset, data}})
+		c.r.peers.sendTo(address, envelope{Part: &snapshotPart{request.Digest, request.Offset, data}})
 	}
 }
 
 func (c *control) receivePart(part snapshotPart) {
-	f := &c.fetching
-	if f.incoming == nil || f.offer.Image.Digest != part.Digest || part.Offset != f.incoming.Have() {
+	d := &c.download
+	if d.incoming == nil || d.offer.Image.Digest != part.Digest || part.Offset != d.incoming.Have() {
 		return
 	}
-	if c.fetchedOrFull(f.incoming.Write(part.Offset, part.Data)) {
-		c.fetch()
+	if c.downloadSucceeded(d.incoming.Write(part.Offset, part.Data)) {
+		c.continueDownload()
 	}
 }
 
-func (c *control) tickFetching(now time.Duration) {
-	if c.fetching.incoming != nil && now >= c.fetching.askedAt+wantRetry {
-		c.fetch()
+func (c *control) tickDownload(now time.Duration) {
+	if c.download.incoming != nil && now >= c.download.requestedAt+partRetryInterval {
+		c.continueDownload()
 	}
 }
--- a/internal/replica/transfer_test.go
+++ b/internal/replica/transfer_test.go
@@ -14,15 +14,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// behind is a group of three whose replica id is down and has missed a state
-// of about 3 MB that the others hold in snapshots only.
-func behind(t *testing.T) (g *testGroup, id topology.ReplicaID) {
-	g, _, _ = memoryGroup(t, 3)
-	return g, g.fallsBehind()
+// groupWithLaggingReplica returns a group of three in which replica id is down
+// and has missed about 3 MB of state, which the others have only in snapshots.
+func groupWithLaggingReplica(t *testing.T) (g *testGroup, id topology.ReplicaID) {
+	g, _, _ = newMemoryGroup(t, 3)
+	return g, g.makeReplicaLag()
 }
 
-// fallsBehind ends a replica and has the others go on without it.
-func (g *testGroup) fallsBehind() (id topology.ReplicaID) {
+// makeReplicaLag stops a replica and commits commands without it.
+func (g *testGroup) makeReplicaLag() (id topology.ReplicaID) {
 	for replica, config := range g.configs {
 		config.SnapshotEntries, config.RetainEntries = 10, 1
 		g.configs[replica] = config
@@ -41,20 +41,20 @@
 	return id
 }
 
-// newest is a replica's newest snapshot.
-func newest(t *testing.T, replica *Replica) snap.Image {
+// newestSnapshot returns a replica's newest snapshot.
+func newestSnapshot(t *testing.T, replica *Replica) snap.Image {
 	t.Helper()
 	found := make(chan snap.Image, 1)
 	replica.Post(func() {
-		image, _, err := replica.files.snaps.Newest()
+		image, _, err := replica.files.snapshots.Newest()
 		assert.Check(t, err)
 		found <- image
 	})
 	return <-found
 }
 
-func TestASnapshotIsFetchedInParts(t *testing.T) {
-	g, id := behind(t)
+func TestSnapshotIsDownloadedInParts(t *testing.T) {
+	g, id := groupWithLaggingReplica(t)
 	g.start(id)
 	g.waitCommands(id, 61)
 	names, err := g.configs[id].FS.List("data/snap")
@@ -67,26 +67,26 @@
 	g.waitCommands(id, 61)
 }
 
-// The disk is full in the middle of the transfer; what was received stays, and
-// is not sent again. That holds for as long as the same snapshot is offered:
-// TestATransferOfAnOlderSnapshotEnds has the order in which it is not.
-func TestATransferGoesOnWhereItWas(t *testing.T) { untilUndisturbed(t, transferGoesOn) }
+// The receiver's disk becomes full in the middle of a transfer. The received
+// bytes are kept and are not sent again, as long as the same snapshot is offered;
+// TestNewerSnapshotReplacesTransfer covers the case that it is not.
+func TestInterruptedTransferResumes(t *testing.T) { retryIfDisturbed(t, checkTransferResumes) }
 
-func transferGoesOn(t *testing.T) (undisturbed bool) {
-	g, _, _ := memoryGroup(t, 3)
-	disks, parts := g.watched()
-	id := g.fallsBehind()
+func checkTransferResumes(t *testing.T) (undisturbed bool) {
+	g, _, _ := newMemoryGroup(t, 3)
+	disks, parts := g.useRecordingDisks()
+	id := g.makeReplicaLag()
 	leader := g.leader()
-	g.wait("the leader's snapshot is saved", func() bool { return savesNothing(leader) })
-	image, term := newest(t, leader), leader.Status().Term
+	g.waitFor("the leader's snapshot is saved", func() bool { return isSnapshotIdle(leader) })
+	image, term := newestSnapshot(t, leader), leader.Status().Term
 	bytes := leader.BytesSent()
 	disks[id].SetCapacity(disks[id].Used() + 2_200_000)
 	g.start(id)
-	g.wait("parts are there", func() bool { return len(parts.sentTo(id, 0)) >= 8 })
+	g.waitFor("parts were sent", func() bool { return len(parts.sentTo(id, 0)) >= 8 })
 	g.kill(id)
 	before := parts.sentTo(id, 0)
-	t.Logf("%d bytes sent until the disk was full and the replica ended", leader.BytesSent()-bytes)
-	if !allOf(image, before) {
+	t.Logf("%d bytes sent until the disk was full and the replica was stopped", leader.BytesSent()-bytes)
+	if !allFrom(image, before) {
 		return false
 	}
 	received := disks[id].received(t, image)
@@ -96,30 +96,31 @@
 	g.waitCommands(id, 61)
 	sent := parts.sentTo(id, len(before))
 	for _, part := range sent {
-		assert.Assert(t, part.index != image.Index || part.offset >= received, "sent again: %v, %d bytes were there", part, received)
+		assert.Assert(t, part.index != image.Index || part.offset >= received, "sent again: %v, %d bytes had been received", part, received)
 	}
-	if !allOf(image, sent) && (leader.Status().Term != term || newest(t, leader) != image) {
+	if !allFrom(image, sent) && (leader.Status().Term != term || newestSnapshot(t, leader) != image) {
 		return false
 	}
-	assert.Assert(t, allOf(image, sent), "%v", sent)
-	assertSent(t, leader.BytesSent()-bytes, image)
+	assert.Assert(t, allFrom(image, sent), "%v", sent)
+	assertSentBytes(t, leader.BytesSent()-bytes, image)
 	return true
 }
 
-// savesNothing reports whether a replica saves no snapshot and has no reason to.
-func savesNothing(replica *Replica) bool {
+// isSnapshotIdle reports whether a replica is not saving a snapshot and none is
+// due.
+func isSnapshotIdle(replica *Replica) bool {
 	answer := make(chan bool, 1)
 	replica.Post(func() {
 		c := &replica.control
-		answer <- !c.snapshotting && c.core.Status().Applied < c.lastSnapshot+replica.config.SnapshotEntries
+		answer <- !c.snapshotInProgress && c.core.Status().Applied < c.lastSnapshotIndex+replica.config.SnapshotEntries
 	})
 	return <-answer
 }
 
-// Snapshots are taken while commands are applied; each must hold just what its
-// index says, or a restart applies a command twice or not at all.
-func TestSnapshotsUnderLoadHoldWhatTheirIndexSays(t *testing.T) {
-	g, disks, _ := memoryGroup(t, 3)
+// Snapshots are taken while commands are applied. Each must contain exactly the
+// commands up to its index, or a restart applies a command twice or not at all.
+func TestSnapshotsUnderLoadMatchTheirIndex(t *testing.T) {
+	g, disks, _ := newMemoryGroup(t, 3)
 	for id, config := range g.configs {
 		config.SnapshotEntries, config.RetainEntries = 7, 3
 		g.configs[id] = config
@@ -137,7 +138,7 @@
 			running.Go(func() {
 				for i := range each {
 					command := fmt.Sprint(round, proposer, i)
-					if g.proposeAnywhere(command) {
+					if g.proposeToAny(command) {
 						mu.Lock()
 						acknowledged[command] = true
 						mu.Unlock()
@@ -159,27 +160,28 @@
 	g.propose("last")
 	assert.Assert(t, len(acknowledged) > rounds*proposers*each/2, "%d acknowledged", len(acknowledged))
 	for id := range disks {
-		g.wait("the last command", func() bool { return slices.Contains(g.commands(id), "last") })
+		g.waitFor("the last command", func() bool { return slices.Contains(g.commands(id), "last") })
 		seen := map[string]bool{}
 		for _, command := range g.commands(id) {
 			assert.Assert(t, !seen[command], "%q was applied twice", command)
 			seen[command] = true
 		}
 		for command := range acknowledged {
-			assert.Assert(t, seen[command], "%q was acknowledged and is not there", command)
+			assert.Assert(t, seen[command], "%q was acknowledged but was not applied", command)
 		}
 	}
 }
 
-// proposeAnywhere proposes at whoever leads, and reports whether the command
-// was acknowledged. Without an answer it may be there all the same.
-func (g *testGroup) proposeAnywhere(command string) bool {
+// proposeToAny proposes a command to whichever replica is the leader, and reports
+// whether it was acknowledged. A command that was not acknowledged may be
+// committed all the same.
+func (g *testGroup) proposeToAny(command string) bool {
 	ctx := testContext(g.t)
 	for ctx.Err() == nil {
 		for _, replica := range g.replicas {
 			_, err := replica.Propose(ctx, []byte(command))
-			var elsewhere *NotLeaderError
-			if !errors.As(err, &elsewhere) && !errors.Is(err, ErrNotMember) {
+			var notLeader *NotLeaderError
+			if !errors.As(err, &notLeader) && !errors.Is(err, ErrNotMember) {
 				return err == nil
 			}
 		}
--- a/internal/replica/trust_test.go
+++ b/internal/replica/trustsynced_test.go
@@ -7,10 +7,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// All members lose power and one its disk. Without TrustSynced no member could
-// ever vote again, since each would wait for the word of the lost one.
-func TestAPowerCutOfAllWithOneDiskLostLeavesAGroupWhereStorageIsTrusted(t *testing.T) {
-	g, disks, _ := memoryGroup(t, 3)
+// All members lose power and one also loses its disk. Without TrustSynced no
+// member could ever vote again, since each would wait for an answer of the lost
+// one.
+func TestTrustSyncedGroupSurvivesPowerLossWithOneDiskLost(t *testing.T) {
+	g, disks, _ := newMemoryGroup(t, 3)
 	for id, config := range g.configs {
 		config.TrustSynced = true
 		g.configs[id] = config
--- a/internal/replica/writer.go
+++ b/internal/replica/writer.go
@@ -8,155 +8,163 @@
 	"github.com/quartzdock/quartzdock/internal/storage"
 )
 
-// writeJob is one write: a Ready's facts, or the removal of log segments.
+// writeJob is one job of the writer: to write the data of a Ready, to remove old
+// log segments or to probe the disk.
 type writeJob struct {
 	ready consensus.Ready
-	// compactTo removes the log before a snapshot's index.
+	// compactTo, if not zero, is the index of a snapshot; the log before it is
+	// removed.
 	compactTo uint64
-	// probe asks only whether the log has room again.
+	// probe only checks whether there is space for the log again.
 	probe bool
-	// proven: this run knows that its disk is whole, and notes its writes.
-	proven bool
+	// verified is set if the disk is known to be complete. The write is then
+	// recorded in the data folder's note of the last write.
+	verified bool
 }
 
 type writeResult struct {
 	job writeJob
 	err error
-	// low: the write succeeded, but there is no space for a further segment.
-	low bool
+	// lowSpace is set if the write succeeded, but there is no space for another
+	// log segment.
+	lowSpace bool
 }
 
-// runWriter writes and syncs, one job after the other.
+// runWriter runs the write jobs, one after the other.
 func (r *Replica) runWriter() {
-	defer r.ended.Done()
-	for job := range r.writes {
+	defer r.goroutines.Done()
+	for job := range r.writeJobs {
 		result := writeResult{job: job}
 		switch {
 		case job.probe:
-			result.err = r.files.ensureRoom()
+			result.err = r.files.reserveSpace()
 		case job.compactTo > 0:
 			result.err = r.files.log.Compact(job.compactTo)
 		default:
 			result = r.write(job)
 		}
-		if job.proven {
+		if job.verified {
 			r.files.folder.NoteWrite(r.files.log.Newest())
 		}
 		select {
-		case r.written <- result:
+		case r.writeResults <- result:
 		case <-r.stopping:
 			return
 		}
 	}
 }
 
-// write makes a Ready's facts durable and looks ahead for space.
+// write makes the data of a Ready durable and reserves space for the next
+// writes.
 func (r *Replica) write(job writeJob) writeResult {
 	if err := r.files.write(job.ready); err != nil {
 		return writeResult{job: job, err: err}
 	}
-	err := r.files.ensureRoom()
+	err := r.files.reserveSpace()
 	if errors.Is(err, storage.ErrDiskFull) {
-		return writeResult{job: job, low: true}
+		return writeResult{job: job, lowSpace: true}
 	}
 	return writeResult{job: job, err: err}
 }
 
-// write hands a job to the writer.
-func (c *control) write(job writeJob) {
-	c.writing = true
-	job.proven = c.core.Proven()
-	c.r.writes <- job
+// startWrite passes a job to the writer.
+func (c *control) startWrite(job writeJob) {
+	c.writeInFlight = true
+	job.verified = c.core.Proven()
+	c.r.writeJobs <- job
 }
 
-// finishWrite takes in the end of a write. Any error but a full disk ends the
-// replica before anything is acknowledged.
-func (c *control) finishWrite(result writeResult) {
-	full := errors.Is(result.err, storage.ErrDiskFull)
-	if result.err != nil && !full {
+// completeWrite handles the result of a write job. Any error except a full disk
+// stops the replica before anything is acknowledged.
+func (c *control) completeWrite(result writeResult) {
+	diskFull := errors.Is(result.err, storage.ErrDiskFull)
+	if result.err != nil && !diskFull {
 		c.r.fail(result.err)
 		return
 	}
-	c.writing = false
+	c.writeInFlight = false
 	ready := result.job.ready
 	switch {
 	case result.job.probe:
-		c.setSpace(full, c.full && full)
+		c.setDiskSpace(diskFull, c.diskFull && diskFull)
 	case result.job.compactTo > 0:
-	case full && ready.Snapshot != nil:
-		c.repeatLater(result.job)
-	case full:
-		c.setSpace(true, true)
+	case diskFull && ready.Snapshot != nil:
+		c.retryWrite(result.job)
+	case diskFull:
+		c.setDiskSpace(true, true)
 		ready.Entries = nil
-		c.finish(ready)
+		c.completeReady(ready)
 	default:
-		if result.low {
-			c.setSpace(true, c.full)
+		if result.lowSpace {
+			c.setDiskSpace(true, c.diskFull)
 		}
-		c.finish(ready)
+		c.completeReady(ready)
 	}
 }
 
-// repeatLater writes an installed snapshot again, which the core waits for.
-func (c *control) repeatLater(job writeJob) {
-	c.writing = true
-	time.AfterFunc(diskFullRetry, func() {
-		c.r.Post(func() { c.r.writes <- job })
+// retryWrite retries to write an installed snapshot after an interval. The core
+// waits for it.
+func (c *control) retryWrite(job writeJob) {
+	c.writeInFlight = true
+	time.AfterFunc(diskFullRetryInterval, func() {
+		c.r.Post(func() { c.r.writeJobs <- job })
 	})
 }
 
-// setSpace notes what the disk has space for: low refuses changes, full holds
-// entries back as well.
-func (c *control) setSpace(low, full bool) {
-	c.full = full
-	c.probeAt = c.r.Now() + diskFullRetry
-	if c.low == low {
+// setDiskSpace records whether there is enough disk space. With lowSpace,
+// proposals are rejected; with diskFull, the core holds back entries too.
+func (c *control) setDiskSpace(lowSpace, diskFull bool) {
+	c.diskFull = diskFull
+	c.nextProbeAt = c.r.Now() + diskFullRetryInterval
+	if c.lowSpace == lowSpace {
 		return
 	}
-	c.low = low
-	c.r.full.Store(low)
-	if low {
+	c.lowSpace = lowSpace
+	c.r.diskFull.Store(lowSpace)
+	if lowSpace {
 		c.r.config.Logger.Warn("the disk is full; changes are refused", "folder", c.r.config.DataDir)
 	} else {
 		c.r.config.Logger.Info("the disk has space again; changes are accepted", "folder", c.r.config.DataDir)
 	}
 }
 
-// probeDisk tries from time to time whether a full disk has space again.
+// probeDisk checks at intervals whether a full disk has space again.
 func (c *control) probeDisk(now time.Duration) {
-	if c.low && !c.writing && now >= c.probeAt {
-		c.write(writeJob{probe: true})
+	if c.lowSpace && !c.writeInFlight && now >= c.nextProbeAt {
+		c.startWrite(writeJob{probe: true})
 	}
 }
 
-// maybeSnapshot starts a snapshot when enough was applied and all of it is
-// durable here. The state is encoded and saved in the background. It is called
-// between two Ready, when the state machine is where the core says it is.
+// maybeSnapshot starts a snapshot if enough commands were applied and all of them
+// are durable on this replica. The state is encoded and saved in the background.
+// It is called between two Readys, when the state machine has exactly the state
+// of the core's applied index.
 func (c *control) maybeSnapshot() {
-	if c.writing || c.snapshotting || c.core.Installing() || c.r.Now() < c.snapshotAt {
+	if c.writeInFlight || c.snapshotInProgress || c.core.Installing() || c.r.Now() < c.nextSnapshotAt {
 		return
 	}
 	status := c.core.Status()
-	due := status.Applied >= c.lastSnapshot+c.r.config.SnapshotEntries || c.appliedBytes >= max(c.r.config.SnapshotBytes, c.snapshotSize)
-	if !due || status.Applied == c.lastSnapshot || status.Applied > status.Durable {
+	due := status.Applied >= c.lastSnapshotIndex+c.r.config.SnapshotEntries || c.appliedBytes >= max(c.r.config.SnapshotBytes, c.snapshotSize)
+	if !due || status.Applied == c.lastSnapshotIndex || status.Applied > status.Durable {
 		return
 	}
-	c.snapshotting = true
-	c.lastSnapshot = status.Applied
+	c.snapshotInProgress = true
+	c.lastSnapshotIndex = status.Applied
 	c.appliedBytes = 0
-	meta, encode := c.core.SnapshotMeta(), c.freeze()
-	c.r.ended.Go(func() {
+	meta, encode := c.core.SnapshotMeta(), c.snapshotEncoder()
+	c.r.goroutines.Go(func() {
 		data, err := encode()
 		snapshot := consensus.Snapshot{Meta: meta, Data: data}
 		if err == nil {
 			err = c.r.files.saveSnapshot(snapshot)
 		}
-		c.r.Post(func() { c.finishSnapshot(snapshot, err) })
+		c.r.Post(func() { c.completeSnapshot(snapshot, err) })
 	})
 }
 
-// freeze returns what encodes the state of this moment.
-func (c *control) freeze() func() ([]byte, error) {
+// snapshotEncoder returns a function that encodes the current state. If the state
+// machine is not a Freezer, the state is encoded at once.
+func (c *control) snapshotEncoder() func() ([]byte, error) {
 	if machine, ok := c.r.config.Machine.(Freezer); ok {
 		return machine.Freeze()
 	}
@@ -164,37 +172,39 @@
 	return func() ([]byte, error) { return data, err }
 }
 
-// snapshotRetry is when a snapshot that found no space is tried again.
-const snapshotRetry = 10 * time.Second
+// snapshotRetryInterval is the time after which a snapshot that failed for lack
+// of disk space is tried again.
+const snapshotRetryInterval = 10 * time.Second
 
-func (c *control) finishSnapshot(snapshot consensus.Snapshot, err error) {
-	c.snapshotting = false
+func (c *control) completeSnapshot(snapshot consensus.Snapshot, err error) {
+	c.snapshotInProgress = false
 	switch {
 	case errors.Is(err, storage.ErrDiskFull):
-		c.snapshotAt = c.r.Now() + snapshotRetry
-		c.lastSnapshot = 0
-		c.r.config.Logger.Warn("no disk space for a snapshot; the log grows on", "folder", c.r.config.DataDir)
+		c.nextSnapshotAt = c.r.Now() + snapshotRetryInterval
+		c.lastSnapshotIndex = 0
+		c.r.config.Logger.Warn("no disk space for a snapshot; the log keeps growing", "folder", c.r.config.DataDir)
 	case err != nil:
 		c.r.fail(err)
 	default:
-		// A replica that is further behind gets the snapshot, which is smaller
-		// than the entries would be.
+		// Retain no more entries than the size of the snapshot. A replica that is
+		// further behind gets the snapshot, which is smaller than its entries.
 		c.snapshotSize = int64(len(snapshot.Data))
-		retained := c.core.EntriesWithin(snapshot.Meta.Index, max(len(snapshot.Data), leastRetainedBytes))
+		retained := c.core.EntriesWithin(snapshot.Meta.Index, max(len(snapshot.Data), minRetainedBytes))
 		c.core.Compact(snapshot.Meta, min(retained, c.r.config.RetainEntries))
 		c.compactTo = max(c.compactTo, snapshot.Meta.Index)
 	}
 }
 
-// leastRetainedBytes of entries stay in memory where there are so many.
-const leastRetainedBytes = 64 << 10
+// minRetainedBytes is the size of the entries that stay in memory even if the
+// snapshot is smaller.
+const minRetainedBytes = 64 << 10
 
-// maybeCompact removes the log that a snapshot covers.
+// maybeCompact removes the part of the log that a saved snapshot covers.
 func (c *control) maybeCompact() {
-	if c.compactTo == 0 || c.writing {
+	if c.compactTo == 0 || c.writeInFlight {
 		return
 	}
 	index := c.compactTo
 	c.compactTo = 0
-	c.write(writeJob{compactTo: index})
+	c.startWrite(writeJob{compactTo: index})
 }
