--- a/internal/replica/faults_test.go
+++ b/internal/replica/faults_test.go
@@ -20,21 +20,21 @@
 
 // failures records the errors passed to OnFailure.
 type failures struct {
-	mu    sync.Mutex
-	found map[topology.ReplicaID]error
+	mu        sync.Mutex
+	byReplica map[topology.ReplicaID]error
 }
 
 func (f *failures) errorOf(id topology.ReplicaID) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.found[id]
+	return f.byReplica[id]
 }
 
 // newMemoryGroup returns a group whose disks are in memory, the disks, and the
 // errors that stopped its replicas.
 func newMemoryGroup(t *testing.T, size int) (*testGroup, map[topology.ReplicaID]*vfs.Memory, *failures) {
 	disks := map[topology.ReplicaID]*vfs.Memory{}
-	failed := &failures{found: map[topology.ReplicaID]error{}}
+	failed := &failures{byReplica: map[topology.ReplicaID]error{}}
 	g := newTestGroup(t, size, func(config *Config) {
 		id := config.ID
 		disks[id] = vfs.NewMemory(uint64(id))
@@ -43,7 +43,7 @@
 		config.OnFailure = func(err error) {
 			failed.mu.Lock()
 			defer failed.mu.Unlock()
-			failed.found[id] = err
+			failed.byReplica[id] = err
 		}
 	})
 	return g, disks, failed
@@ -264,10 +264,10 @@
 	g.kill(leader.Status().ID)
 	g.kill(lost)
 	g.propose("after")
-	remaining := g.commands(4)
+	commands := g.commands(4)
 	assert.Assert(t, len(acknowledged) > 0)
 	applied := map[string]bool{}
-	for _, command := range remaining {
+	for _, command := range commands {
 		applied[command] = true
 	}
 	for _, command := range acknowledged {
--- a/internal/replica/replacedtransfer_test.go
+++ b/internal/replica/replacedtransfer_test.go
@@ -161,10 +161,10 @@
 	leader := g.leader()
 	g.waitFor("the leader's snapshot is saved", func() bool { return isSnapshotIdle(leader) })
 	first, term := newestSnapshot(t, leader), leader.Status().Term
-	slow := disks[leader.Status().ID]
-	release := slow.blockSaves()
+	leaderDisk := disks[leader.Status().ID]
+	release := leaderDisk.blockSaves()
 	defer release()
-	for !slow.isBlocking() {
+	for !leaderDisk.isBlocking() {
 		if !leader.IsLeader() {
 			return false
 		}
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -16,11 +16,12 @@
 
 // Replica is a running member of a group.
 type Replica struct {
-	config       Config
-	started      time.Time
-	incarnation  topology.Incarnation
-	files        *files
-	status       atomic.Pointer[consensus.Status]
+	config      Config
+	started     time.Time
+	incarnation topology.Incarnation
+	files       *files
+	status      atomic.Pointer[consensus.Status]
+	// diskFull is set while proposals are rejected for lack of disk space.
 	diskFull     atomic.Bool
 	events       eventQueue
 	inbox        chan envelope
