--- a/internal/agent/continuity.go
+++ b/internal/agent/continuity.go
@@ -91,7 +91,7 @@
 		shard.ended.Store(true)
 		control.unanswered.note(shard)
 	}
-	control.grants.EndContinued(control.unanswered.under)
+	control.grants.RevokeContinued(control.unanswered.under)
 }
 
 // continues says whether a request that was admitted at an ended epoch may go
--- a/internal/agent/grants.go
+++ b/internal/agent/grants.go
@@ -20,14 +20,14 @@
 		Backend:    control.mine.self,
 		Owned:      control.mine.owned,
 		Closing:    control.closing,
-		Lingers:    control.lingers,
+		Draining:   control.lingers,
 		LeaseUntil: control.holder.ValidUntil(),
 		Repeat:     control.state == stateUnreachable,
 	}, control.now())
 	if next == nil {
 		return
 	}
-	control.grantsPossibleUntil.Store(int64(control.grants.AllEndBy()))
+	control.grantsPossibleUntil.Store(int64(control.grants.AllExpiredBy()))
 	control.background.Go(func() { control.sendGrants(next) })
 }
 
@@ -51,7 +51,7 @@
 func (control *controlLoop) grantsAnswered(sent *grants.Message, reading backendapi.Reading, received time.Duration, err error) {
 	outcome := control.grants.Answered(sent, reading, received, err)
 	switch {
-	case outcome.Taken:
+	case outcome.Accepted:
 		control.begin(outcome.Granted)
 		if control.state == stateUnreachable {
 			control.fire(eventAnswered)
@@ -73,7 +73,7 @@
 // signalRelease renews at once, with Release set, when a lease was given up
 // and the back end can't act on its grants any more.
 func (control *controlLoop) signalRelease(now time.Duration) {
-	until := control.grants.AllEndBy()
+	until := control.grants.AllExpiredBy()
 	control.grantsPossibleUntil.Store(int64(until))
 	if control.wantLease.Load() || control.releaseSignalled || now < until {
 		return
--- a/internal/agent/release.go
+++ b/internal/agent/release.go
@@ -123,13 +123,13 @@
 // grantGone says that the back end can't act on the shard's grant any more.
 func (control *controlLoop) grantGone(running *release, now time.Duration) bool {
 	gone := !control.grants.MayHold(running.shard) || now >= running.grantEndsBy
-	return gone && !control.grants.Ending()
+	return gone && !control.grants.RevocationPending()
 }
 
 func (control *controlLoop) beginTransfer(running *release) {
 	running.stage = stageTransferring
 	control.endAll(running)
-	running.grantEndsBy = control.grants.AllEndBy()
+	running.grantEndsBy = control.grants.AllExpiredBy()
 	if !control.grants.Replaced() {
 		control.config.Log.Info("release waits until the back end has replaced an earlier process's grants or they have ended",
 			slog.String("shard", running.shard.String()), slog.Duration("at_most", running.grantEndsBy-control.now()))
--- a/internal/agent/silence_test.go
+++ b/internal/agent/silence_test.go
@@ -103,7 +103,7 @@
 // grantsEndBy is when the agent takes all grants for ended.
 func (r *rig) grantsEndBy() (ends time.Duration) {
 	r.controls(func(control *controlLoop) bool {
-		ends = control.grants.AllEndBy()
+		ends = control.grants.AllExpiredBy()
 		return true
 	})
 	return ends
--- a/internal/configlease/grantor.go
+++ b/internal/configlease/grantor.go
@@ -69,9 +69,9 @@
 
 func (l *gatewayLeases) confirm(version routeconfig.Version) { l.confirmed = max(l.confirmed, version) }
 
-// InForceInTime reports whether an accepted version may be acknowledged at now: no gateway
+// MayAcknowledge reports whether an accepted version may be acknowledged at now: no gateway
 // will use an older one after ApplyWithin.
-func (g *Grantor) InForceInTime(version routeconfig.Version, now time.Duration) bool {
+func (g *Grantor) MayAcknowledge(version routeconfig.Version, now time.Duration) bool {
 	latest := now + g.terms.ApplyWithin
 	if g.earlierLeasesEnd > latest {
 		return false
@@ -104,8 +104,8 @@
 	return names
 }
 
-// Forget drops the gateways whose leases have all ended.
-func (g *Grantor) Forget(now time.Duration) {
+// Expire drops the gateways whose leases have all ended.
+func (g *Grantor) Expire(now time.Duration) {
 	for gateway, known := range g.gateways {
 		if !slices.ContainsFunc(known.grants, func(lease grant) bool { return lease.until > now }) {
 			delete(g.gateways, gateway)
--- a/internal/configlease/grantor_test.go
+++ b/internal/configlease/grantor_test.go
@@ -31,21 +31,21 @@
 	g := settled()
 	g.Grant(one, 1, 1, start)
 	g.Grant(two, 1, 1, start)
-	assert.Assert(t, !g.InForceInTime(2, start))
+	assert.Assert(t, !g.MayAcknowledge(2, start))
 	g.Grant(one, 2, 2, start+1)
-	assert.Assert(t, !g.InForceInTime(2, start+1))
+	assert.Assert(t, !g.MayAcknowledge(2, start+1))
 	assert.DeepEqual(t, g.Lagging(2, start+1), []string{"two"})
 	g.Confirm(two, 2)
 	g.Confirm(two, 1) // late
-	assert.Assert(t, g.InForceInTime(2, start+2))
+	assert.Assert(t, g.MayAcknowledge(2, start+2))
 }
 
 // A gateway that sends no more reports delays an acknowledgement for a bounded time.
 func TestSilentGatewayDelaysAcknowledgementForBoundedTime(t *testing.T) {
 	g := settled()
 	g.Grant(one, 1, 1, start)
-	assert.Assert(t, !g.InForceInTime(2, start+terms.AcknowledgeWithin-1))
-	assert.Assert(t, g.InForceInTime(2, start+terms.AcknowledgeWithin))
+	assert.Assert(t, !g.MayAcknowledge(2, start+terms.AcknowledgeWithin-1))
+	assert.Assert(t, g.MayAcknowledge(2, start+terms.AcknowledgeWithin))
 }
 
 // A gateway that goes on reporting without confirming gets the new version with each answer,
@@ -54,18 +54,18 @@
 	g := settled()
 	g.Grant(one, 1, 1, start)
 	for at := start; at < start+terms.AcknowledgeWithin; at += 50 * time.Millisecond {
-		assert.Assert(t, !g.InForceInTime(2, at))
+		assert.Assert(t, !g.MayAcknowledge(2, at))
 		g.Grant(one, 1, 2, at)
 	}
-	assert.Assert(t, g.InForceInTime(2, start+terms.AcknowledgeWithin))
+	assert.Assert(t, g.MayAcknowledge(2, start+terms.AcknowledgeWithin))
 }
 
 // A new leader doesn't know which gateways got leases from its predecessors.
 func TestNewLeaderAssumesLeaseForEveryGateway(t *testing.T) {
 	g := configlease.NewGrantor(terms, start)
-	assert.Assert(t, !g.InForceInTime(2, start))
-	assert.Assert(t, !g.InForceInTime(2, start+terms.AcknowledgeWithin-1))
-	assert.Assert(t, g.InForceInTime(2, start+terms.AcknowledgeWithin))
+	assert.Assert(t, !g.MayAcknowledge(2, start))
+	assert.Assert(t, !g.MayAcknowledge(2, start+terms.AcknowledgeWithin-1))
+	assert.Assert(t, g.MayAcknowledge(2, start+terms.AcknowledgeWithin))
 }
 
 // A confirmation of a restarted gateway doesn't count for its previous process, which may
@@ -74,9 +74,9 @@
 	g := settled()
 	g.Grant(one, 1, 1, start)
 	g.Grant(configlease.Gateway{Node: "one", Boot: 2}, 2, 2, start+1)
-	assert.Assert(t, !g.InForceInTime(2, start+1))
-	g.Forget(start + terms.Validity())
-	assert.Assert(t, g.InForceInTime(2, start+terms.Validity()))
+	assert.Assert(t, !g.MayAcknowledge(2, start+1))
+	g.Expire(start + terms.Validity())
+	assert.Assert(t, g.MayAcknowledge(2, start+terms.Validity()))
 	assert.Equal(t, len(g.Lagging(2, start)), 0)
 }
 
@@ -129,9 +129,9 @@
 			case 3: // the session ends, and the answers in flight are lost
 				gateway.answers = nil
 			case 4:
-				g.Forget(now)
+				g.Expire(now)
 			}
-			if _, done := acknowledged[current]; !done && g.InForceInTime(current, now) {
+			if _, done := acknowledged[current]; !done && g.MayAcknowledge(current, now) {
 				acknowledged[current] = now
 			}
 			for version, at := range acknowledged {
@@ -151,6 +151,6 @@
 		g.Grant(configlease.Gateway{Node: string(rune('a' + i)), Boot: uint64(i)}, 1, 2, start)
 	}
 	for b.Loop() {
-		g.InForceInTime(2, start)
+		g.MayAcknowledge(2, start)
 	}
 }
--- a/internal/configlease/standings.go
+++ b/internal/configlease/standings.go
@@ -9,9 +9,9 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// Standing is the state of the log of one controller that does not lead, including
+// LogState is the state of the log of one controller that does not lead, including
 // uncommitted entries, when it answered a gateway.
-type Standing struct {
+type LogState struct {
 	// Asked is when the gateway sent its question, by its own clock; the answer is from a
 	// later moment.
 	Asked time.Duration
@@ -24,7 +24,7 @@
 	EvacuationsIndex uint64
 }
 
-// Standings collects the answers of the controllers of a group while there is no leader. The
+// LogStates collects the answers of the controllers of a group while there is no leader. The
 // zero value is ready to use. It is not safe for concurrent use.
 //
 // An accepted change is in the logs of a majority of the voters. So if a majority of the
@@ -37,14 +37,14 @@
 // majority must have the same voters in their logs: memberships change by one voter at a
 // time, each committed before the next, so that no later membership was committed before that
 // moment either, and majorities of this membership and the next share a member.
-type Standings struct {
-	newest map[topology.ReplicaID]Standing
+type LogStates struct {
+	newest map[topology.ReplicaID]LogState
 }
 
-// Take records an answer. It replaces an earlier answer of the same member.
-func (s *Standings) Take(answer Standing) {
+// Record records an answer. It replaces an earlier answer of the same member.
+func (s *LogStates) Record(answer LogState) {
 	if s.newest == nil {
-		s.newest = map[topology.ReplicaID]Standing{}
+		s.newest = map[topology.ReplicaID]LogState{}
 	}
 	if known, ok := s.newest[answer.Member]; !ok || answer.Asked >= known.Asked {
 		s.newest[answer.Member] = answer
@@ -54,7 +54,7 @@
 // NothingNewerSince returns the latest moment before which nothing newer than a version and an
 // index of evacuated zones was accepted, according to a majority of the voters that a member
 // names. It returns false if there is no such majority.
-func (s *Standings) NothingNewerSince(by topology.ReplicaID, version routeconfig.Version, evacuationsIndex uint64) (time.Duration, bool) {
+func (s *LogStates) NothingNewerSince(by topology.ReplicaID, version routeconfig.Version, evacuationsIndex uint64) (time.Duration, bool) {
 	voters := s.newest[by].Voters
 	var asked []time.Duration
 	for member, answer := range s.newest {
--- a/internal/configlease/standings_test.go
+++ b/internal/configlease/standings_test.go
@@ -23,20 +23,20 @@
 // Half of a group of even size is no majority, and an answer counts from when the question was
 // sent.
 func TestMajorityIsAsOldAsItsOldestAnswer(t *testing.T) {
-	var s configlease.Standings
+	var s configlease.LogStates
 	voters := votersUpTo(4)
 	for i, asked := range []time.Duration{second, 3 * second} {
-		s.Take(configlease.Standing{Asked: asked, Member: voters[i], Voters: voters, Version: 1})
+		s.Record(configlease.LogState{Asked: asked, Member: voters[i], Voters: voters, Version: 1})
 	}
 	_, ok := s.NothingNewerSince(1, 1, 0)
 	assert.Assert(t, !ok, "two of four")
-	s.Take(configlease.Standing{Asked: 2 * second, Member: 3, Voters: voters, Version: 1})
+	s.Record(configlease.LogState{Asked: 2 * second, Member: 3, Voters: voters, Version: 1})
 	since, ok := s.NothingNewerSince(1, 1, 0)
 	assert.Assert(t, ok && since == second)
-	s.Take(configlease.Standing{Asked: 4 * second, Member: 4, Voters: voters, Version: 1})
+	s.Record(configlease.LogState{Asked: 4 * second, Member: 4, Voters: voters, Version: 1})
 	since, _ = s.NothingNewerSince(1, 1, 0)
 	assert.Equal(t, since, 2*second, "three of them have answered since")
-	s.Take(configlease.Standing{Asked: 5 * second, Member: 3, Voters: voters, Version: 1, EvacuationsIndex: 7})
+	s.Record(configlease.LogState{Asked: 5 * second, Member: 3, Voters: voters, Version: 1, EvacuationsIndex: 7})
 	since, _ = s.NothingNewerSince(1, 1, 0)
 	assert.Equal(t, since, second)
 }
@@ -53,8 +53,8 @@
 			logs[i] = 1
 		}
 		committed, committedAt := routeconfig.Version(1), map[routeconfig.Version]time.Duration{}
-		var s configlease.Standings
-		var inFlight []configlease.Standing
+		var s configlease.LogStates
+		var inFlight []configlease.LogState
 		serving, until := routeconfig.Version(1), time.Duration(0)
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "milliseconds")) * time.Millisecond
@@ -76,11 +76,11 @@
 				logs[i] = min(logs[i], committed)
 			case 2: // a voter answers a question that was sent a while before
 				asked := now - time.Duration(rapid.IntRange(0, 900).Draw(t, "way"))*time.Millisecond
-				inFlight = append(inFlight, configlease.Standing{Asked: asked, Member: voters[i], Voters: voters, Version: logs[i]})
+				inFlight = append(inFlight, configlease.LogState{Asked: asked, Member: voters[i], Voters: voters, Version: logs[i]})
 			case 3: // an answer arrives, in any order
 				if len(inFlight) > 0 {
 					at := rapid.IntRange(0, len(inFlight)-1).Draw(t, "answer")
-					s.Take(inFlight[at])
+					s.Record(inFlight[at])
 					if since, ok := s.NothingNewerSince(inFlight[at].Member, serving, 0); ok {
 						until = max(until, since+terms.ApplyWithin)
 					}
--- a/internal/controller/relay_serve.go
+++ b/internal/controller/relay_serve.go
@@ -44,7 +44,7 @@
 		c.replica.Post(func() { c.takeMember(message.Member) })
 	case message.Subscribers != nil:
 		c.subscribers.edit(func(tracker *inforce.Tracker) {
-			tracker.TakeReport(*member, message.Subscribers, c.now())
+			tracker.ApplyReport(*member, message.Subscribers, c.now())
 		})
 		for _, load := range message.Subscribers.Loads {
 			c.takeRouterLoad(load.Router, &load.Load)
--- a/internal/fleetcontroller/inforce.go
+++ b/internal/fleetcontroller/inforce.go
@@ -57,7 +57,7 @@
 func (c *Controller) acknowledgeInForce(now time.Duration) {
 	control := &c.control
 	control.pendingAcks = slices.DeleteFunc(control.pendingAcks, func(ack pendingAck) bool {
-		if !control.inForce.InForceInTime(ack.version, now) {
+		if !control.inForce.MayAcknowledge(ack.version, now) {
 			return false
 		}
 		c.metrics.inForceWait.Observe((now - ack.since).Seconds())
--- a/internal/fleetcontroller/operatorstate.go
+++ b/internal/fleetcontroller/operatorstate.go
@@ -26,8 +26,8 @@
 // operatorState reports the state set by operators that this controller has
 // (configlease.Standings), as of a time after the call. It returns nil if that can't be
 // determined, or not within operatorStateTimeout.
-func (c *Controller) operatorState() *fleetwire.Standing {
-	result := make(chan *fleetwire.Standing, 1)
+func (c *Controller) operatorState() *fleetwire.OperatorState {
+	result := make(chan *fleetwire.OperatorState, 1)
 	c.replica.Post(func() { result <- c.readOperatorState() })
 	limit := time.NewTimer(operatorStateTimeout)
 	defer limit.Stop()
@@ -41,12 +41,12 @@
 }
 
 // readOperatorState runs on the control goroutine.
-func (c *Controller) readOperatorState() *fleetwire.Standing {
+func (c *Controller) readOperatorState() *fleetwire.OperatorState {
 	log, ok := c.replica.Log()
 	if !ok || c.hasUnappliedOperatorCommands(&log) {
 		return nil
 	}
-	standing := &fleetwire.Standing{
+	standing := &fleetwire.OperatorState{
 		Member: c.replica.Status().ID, Version: c.control.state.Version(), EvacuationsIndex: c.control.state.EvacuationsIndex(),
 		For: c.config.Configuration.ApplyWithin,
 	}
--- a/internal/fleetcontroller/operatorstate_test.go
+++ b/internal/fleetcontroller/operatorstate_test.go
@@ -48,7 +48,7 @@
 	g.change(documentChange(3, 0, 1))
 	_, leader := g.evacuate("a", true)
 	other := (leader + 1) % members
-	var reported *fleetwire.Standing
+	var reported *fleetwire.OperatorState
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		reported = g.redirect(other).Standing
 		if reported == nil || reported.EvacuationsIndex == 0 {
--- a/internal/fleetcontroller/publish.go
+++ b/internal/fleetcontroller/publish.go
@@ -146,7 +146,7 @@
 		quarantineIndex:   control.state.Quarantine().Index,
 		term:              control.leadership.Term(),
 		instancesRevision: control.planner.Revision(),
-		complete:          control.planner.Complete(c.replica.Now()),
+		complete:          control.planner.AllReported(c.replica.Now()),
 		members:           len(members.Members),
 	}
 	now := c.replica.Now()
--- a/internal/fleetcontroller/quarantine.go
+++ b/internal/fleetcontroller/quarantine.go
@@ -11,7 +11,7 @@
 // crashed. The control goroutine owns it. One change is proposed at a time; further events
 // are collected in pending.
 type quarantineState struct {
-	reviewer   quarantine.Desk
+	reviewer   quarantine.Timers
 	pending    quarantine.Change
 	proposing  bool
 	nextReview time.Duration
@@ -33,7 +33,7 @@
 	}
 	set := c.control.state.Quarantine()
 	for _, ended := range reported.Ended {
-		if set.Knows(ended.Life) && c.control.published.quarantineIndex == set.Index {
+		if set.HasCounted(ended.Life) && c.control.published.quarantineIndex == set.Index {
 			known = append(known, ended.Life)
 		}
 	}
@@ -53,7 +53,7 @@
 		return
 	}
 	state.nextReview = now + quarantineReviewInterval
-	due := state.reviewer.Review(c.control.state.Quarantine(), c.config.Quarantine, now)
+	due := state.reviewer.Due(c.control.state.Quarantine(), c.config.Quarantine, now)
 	state.pending.Add(&due)
 	c.proposeQuarantine()
 }
--- a/internal/fleetcontroller/sessions.go
+++ b/internal/fleetcontroller/sessions.go
@@ -96,7 +96,7 @@
 		c.control.newestSessions[s.node] = max(c.control.newestSessions[s.node], s.number)
 		if c.control.planner != nil {
 			s.mutex.Lock()
-			s.knownInstance = c.control.planner.Known(s.node)
+			s.knownInstance = c.control.planner.InstanceAt(s.node)
 			s.mutex.Unlock()
 			s.notify()
 		}
--- a/internal/fleetcontroller/statemachine.go
+++ b/internal/fleetcontroller/statemachine.go
@@ -71,7 +71,7 @@
 	c.acknowledgeInForce(now)
 	if now >= control.nextMemberCheck {
 		control.nextMemberCheck = now + memberCheckInterval
-		control.inForce.Forget(now)
+		control.inForce.Expire(now)
 		c.removeDeadMember(status, now)
 	}
 }
@@ -119,7 +119,7 @@
 	planner := c.control.planner
 	batch := planner.Tick(now)
 	if batch == nil {
-		c.requestReports(planner.Concerned())
+		c.requestReports(planner.TakeNodesToReport())
 		return
 	}
 	c.metrics.countMoves(batch)
@@ -136,7 +136,7 @@
 		if c.control.planner == planner {
 			planner.BatchDone()
 			c.publish()
-			c.requestReports(planner.Concerned())
+			c.requestReports(planner.TakeNodesToReport())
 		}
 	})
 }
--- a/internal/fleetstate/state.go
+++ b/internal/fleetstate/state.go
@@ -286,7 +286,7 @@
 // unchanged.
 func (s *State) Decode(data []byte) error {
 	var snapshot image
-	if err := gobcheck.Whole(data); err != nil {
+	if err := gobcheck.CheckLengths(data); err != nil {
 		return fmt.Errorf("decode fleet state: %w", err)
 	}
 	source := bytes.NewReader(data)
--- a/internal/fleetwire/messages.go
+++ b/internal/fleetwire/messages.go
@@ -239,13 +239,13 @@
 	// Controllers are the session addresses of the group's members.
 	Controllers []string
 	// Standing is nil if the controller can't determine it.
-	Standing *Standing
+	Standing *OperatorState
 }
 
-// Standing reports which state set by operators a controller has that doesn't lead. It
+// OperatorState reports which state set by operators a controller has that doesn't lead. It
 // asserts that at the time of the answer the controller's log holds no newer operator
 // command, committed or not.
-type Standing struct {
+type OperatorState struct {
 	// Member is the controller, and Voters lists all voters, by the newest membership in its
 	// log.
 	Member topology.ReplicaID
@@ -291,9 +291,9 @@
 	ReportNow bool
 }
 
-// PeerWord is the state that a gateway passes on to another gateway that has no contact with
+// RelayedState is the state that a gateway passes on to another gateway that has no contact with
 // the leader.
-type PeerWord struct {
+type RelayedState struct {
 	// Age is the time since the sending gateway was last up to date with the leader.
 	Age time.Duration
 	// For is how long, counted from that time, the receiver may serve requests by this state.
--- a/internal/fleetwire/pack.go
+++ b/internal/fleetwire/pack.go
@@ -88,7 +88,7 @@
 	compressed := bytes.NewReader(packed)
 	encoded, err := io.ReadAll(io.LimitReader(flate.NewReader(compressed), unpackLimit(len(packed))))
 	if err == nil {
-		err = gobcheck.Whole(encoded)
+		err = gobcheck.CheckLengths(encoded)
 	}
 	if err != nil {
 		return value, fmt.Errorf("unpack: %w", err)
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -21,13 +21,13 @@
 	// holdRecheckInterval is how often a waiting request is reconsidered if no new view
 	// arrives.
 	holdRecheckInterval = 40 * time.Millisecond
-	// handOverTime is how long it takes until released keys have another owner: a report, a
+	// ownerChangeTime is how long it takes until released keys have another owner: a report, a
 	// log entry, a view and a grant.
-	handOverTime = 150 * time.Millisecond
-	// sameOwnerAgain is when a key's owner that did not hold the key is asked again if no
+	ownerChangeTime = 150 * time.Millisecond
+	// sameOwnerRetryInterval is when a key's owner that did not hold the key is asked again if no
 	// new view arrives. The owner itself waits for the key (egress.awaitKey), so its refusal
 	// means that the key has been missing for a while.
-	sameOwnerAgain = 200 * time.Millisecond
+	sameOwnerRetryInterval = 200 * time.Millisecond
 	// maxAttempts bounds how many gateways one request is offered to. After maxRefusals
 	// refusals for lack of capacity the request is refused.
 	maxAttempts = 8
@@ -63,7 +63,7 @@
 	result := notRun(reasonNoInstance)
 	sends, refusals := 0, 0
 	for range maxAttempts {
-		if g.views.load().evacuatedWholly(c.service.Name) {
+		if g.views.load().fullyEvacuated(c.service.Name) {
 			return notRun(reasonEvacuated)
 		}
 		trial, refusal := g.admitSuspect(ctx, c)
@@ -72,7 +72,7 @@
 		}
 		target, ok := g.choose(c, key, hasKey, tried)
 		if !ok {
-			g.trialEnds(c, trial, result)
+			g.reportTrialEnd(c, trial, result)
 			if !g.awaitNewView(ctx, holdUntil) {
 				return result
 			}
@@ -80,9 +80,9 @@
 			continue
 		}
 		result = g.attempt(ctx, c, target, trial)
-		g.trialEnds(c, trial, result)
+		g.reportTrialEnd(c, trial, result)
 		if result.Outcome == outcomeAnswered {
-			g.noteAnswered(c.digest)
+			g.clearAnsweredSuspect(c.digest)
 		}
 		if result.Outcome != outcomeNotRun {
 			c.possiblyRun = result
@@ -93,10 +93,10 @@
 		if result.Reason.isCapacity() {
 			refusals++
 		}
-		if result.Reason == reasonEnded {
-			g.quarantine.expect(c.digest(), steady.Now())
+		if result.Reason == reasonBackendTerminated {
+			g.quarantine.expectCrash(c.digest(), steady.Now())
 		}
-		if endedUnder(c, result, trial) {
+		if finalAfterTermination(c, result, trial) {
 			return result
 		}
 		if refusals == maxRefusals || g.isFinal(ctx, c, result, sends) {
@@ -110,11 +110,11 @@
 	return result
 }
 
-// endedUnder reports whether a request is given up because its back end terminated. That is
+// finalAfterTermination reports whether a request is given up because its back end terminated. That is
 // so if the request is the likely cause: it ran alone, or on trial. A request with a key is
 // given up as well, because its key has no owner for longer than the request should wait.
-func endedUnder(c *call, result *forwardResult, trial uint64) bool {
-	return result.Reason == reasonEnded && (result.AtWork <= 1 || trial != 0 || c.service.Keyed)
+func finalAfterTermination(c *call, result *forwardResult, trial uint64) bool {
+	return result.Reason == reasonBackendTerminated && (result.RequestsRunning <= 1 || trial != 0 || c.service.Keyed)
 }
 
 // isFinal reports whether no further attempt follows a result.
@@ -140,8 +140,8 @@
 	if sends >= c.route.Attempts || steady.Until(c.deadline) < minSlotWait {
 		return true
 	}
-	allowed := g.budgets.repeat(c.service.Name, len(g.views.load().byID), steady.Now())
-	g.metrics.repeat(c.service.Name, allowed)
+	allowed := g.budgets.allowRetry(c.service.Name, len(g.views.load().byID), steady.Now())
+	g.metrics.retry(c.service.Name, allowed)
 	return !allowed
 }
 
@@ -152,7 +152,7 @@
 	if left <= 0 || ctx.Err() != nil {
 		return false
 	}
-	g.views.load().await(ctx.Done(), min(left, holdRecheckInterval))
+	g.views.load().awaitNewer(ctx.Done(), min(left, holdRecheckInterval))
 	return ctx.Err() == nil
 }
 
@@ -162,7 +162,7 @@
 // waiting time, the request is refused at once with a Retry-After time, as waiting would be
 // in vain.
 func (g *Gateway) awaitOwner(ctx context.Context, service string, key keyspace.Key, tried string, failed *forwardResult, until time.Time) bool {
-	pause := sameOwnerAgain
+	pause := sameOwnerRetryInterval
 	switch failed.Reason {
 	case reasonNotOwner, reasonNotAdmitted, reasonEvacuated:
 	case reasonOwnerLost:
@@ -183,7 +183,7 @@
 		if owner, ok := v.owner(service, key); ok && owner.ID != tried {
 			break
 		}
-		v.await(ctx.Done(), steady.Until(retryAt))
+		v.awaitNewer(ctx.Done(), steady.Until(retryAt))
 	}
 	return ctx.Err() == nil
 }
@@ -228,10 +228,10 @@
 	var cost float64
 	if candidate.Node == g.config.Name {
 		load := g.slots.load()
-		cost = load.expected(load.running+load.waiting, c.route.TargetLatency)
+		cost = load.expectedSeconds(load.running+load.waiting, c.route.TargetLatency)
 	} else {
 		peer := g.peers.get(candidate.Address)
-		expected, avoided := peer.expected(c.route.TargetLatency, now)
+		expected, avoided := peer.expectedSeconds(c.route.TargetLatency, now)
 		cost = expected
 		if c.route.Repetition == routeconfig.RepeatableTransfer {
 			cost += peer.linkBacklog(now).Seconds()
@@ -292,11 +292,11 @@
 	}
 	request.Header.Set(names.Deadline, milliseconds(max(steady.Until(c.deadline), time.Millisecond)))
 	peer := g.peers.get(target.Address)
-	peer.begin()
+	peer.beginAttempt()
 	result := peer.send(ctx, request)
 	now := steady.Reading()
-	peer.end(result, now)
+	peer.endAttempt(result, now)
 	c.recordAttempt(target.ID, target.Node, result, now.Sub(began))
-	g.metrics.peerTry(result)
+	g.metrics.peerAttempt(result)
 	return result
 }
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -9,15 +9,15 @@
 const (
 	// budgetBuckets is the number of buckets in the sliding window of a retry budget.
 	budgetBuckets = 20
-	// ownShare is the fraction of the configured ratio that one gateway uses. The rest
+	// gatewayRatioFraction is the fraction of the configured ratio that one gateway uses. The rest
 	// covers retries by other gateways and the calls that retried requests make, which count
 	// as retries too.
-	ownShare = 0.4
-	// ownSlack is the most retries that a gateway may make in a window in addition to the
+	gatewayRatioFraction = 0.4
+	// maxGatewaySlack is the most retries that a gateway may make in a window in addition to the
 	// ratio. All gateways together use fleetSlackFraction of the fleet's slack, whatever their
 	// number. The rest is for gateways that know of fewer others and for the calls that
 	// retried requests make.
-	ownSlack           = 1.5
+	maxGatewaySlack    = 1.5
 	fleetSlackFraction = 0.6
 )
 
@@ -44,16 +44,16 @@
 	return &retryBudgets{config: config, began: steady.Now(), byService: map[string]*serviceBudget{}}
 }
 
-// request counts a caller's request.
-func (b *retryBudgets) request(service string, now steady.Instant) {
+// countRequest counts a caller's request.
+func (b *retryBudgets) countRequest(service string, now steady.Instant) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.currentBucket(service, now).requests++
 }
 
-// repeat reports whether a request may be retried, and counts the retry if so. The slack is
+// allowRetry reports whether a request may be retried, and counts the retry if so. The slack is
 // shared among all gateways, whose number is given.
-func (b *retryBudgets) repeat(service string, gateways int, now steady.Instant) bool {
+func (b *retryBudgets) allowRetry(service string, gateways int, now steady.Instant) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	bucket := b.currentBucket(service, now)
@@ -62,8 +62,8 @@
 		sum.requests += counts.requests
 		sum.retries += counts.retries
 	}
-	slack := min(ownSlack, b.config.Slack*fleetSlackFraction/float64(max(gateways, 1)))
-	if sum.retries+1 > sum.requests*b.config.Ratio*ownShare+slack {
+	slack := min(maxGatewaySlack, b.config.Slack*fleetSlackFraction/float64(max(gateways, 1)))
+	if sum.retries+1 > sum.requests*b.config.Ratio*gatewayRatioFraction+slack {
 		return false
 	}
 	bucket.retries++
--- a/internal/gateway/bufferedbytes_test.go
+++ b/internal/gateway/bufferedbytes_test.go
@@ -37,7 +37,7 @@
 		return response
 	}
 	slow := []*http.Response{send("r-1"), send("r-2")}
-	eventually(t, func() bool { return hops.near.held.held.Load() >= 2*int64(len(largeBody)) })
+	eventually(t, func() bool { return hops.near.held.count.Load() >= 2*int64(len(largeBody)) })
 	refused := send("r-3")
 	assert.Equal(t, refused.StatusCode, http.StatusServiceUnavailable)
 	assert.Assert(t, refused.Header.Get("Retry-After") != "")
@@ -46,6 +46,6 @@
 		assert.NilError(t, err)
 		assert.Equal(t, taken, int64(len(largeBody)))
 	}
-	eventually(t, func() bool { return hops.near.held.held.Load() == 0 })
+	eventually(t, func() bool { return hops.near.held.count.Load() == 0 })
 	assert.Equal(t, send("r-4").StatusCode, http.StatusOK)
 }
--- a/internal/gateway/choice_test.go
+++ b/internal/gateway/choice_test.go
@@ -10,38 +10,38 @@
 	"gotest.tools/v3/assert"
 )
 
-// choosingGateway returns a gateway that knows one instance in its own zone and one in
+// gatewayWithTwoZones returns a gateway that knows one instance in its own zone and one in
 // another.
-func choosingGateway(t *testing.T) *Gateway {
+func gatewayWithTwoZones(t *testing.T) *Gateway {
 	t.Helper()
 	g := &Gateway{
 		config: Config{Name: "chooser", Zone: "a"}.withDefaults(),
-		views:  newViews(),
+		views:  newViewStore(),
 		peers:  newPeerSet(),
-		slots:  newSlotGate(),
+		slots:  newSlotLimiter(),
 	}
 	g.session = newSessionClient(g)
-	g.vouch(time.Hour)
+	g.extendLease(time.Hour)
 	advance(t, g.views, viewOf(true,
 		fleetwire.Instance{ID: "near", Service: "s", Node: "node-near", Zone: "a", Address: "127.0.0.1:1", State: fleetwire.InstanceReady},
 		fleetwire.Instance{ID: "far", Service: "s", Node: "node-far", Zone: "b", Address: "127.0.0.1:2", State: fleetwire.InstanceReady},
 	))
-	t.Cleanup(func() { g.peers.follow(&view{}) })
+	t.Cleanup(func() { g.peers.pruneConnections(&view{}) })
 	return g
 }
 
 // setPeerLoad sets the load that the gateway knows of the instance at an address.
 func (g *Gateway) setPeerLoad(address string, running int, serviceTime time.Duration) {
-	load := peerLoad{running: running, slots: 10, serviceTime: serviceTime, shortService: serviceTime}
+	load := peerLoad{running: running, slots: 10, serviceTime: serviceTime, shortServiceTime: serviceTime}
 	known := g.peers.get(address)
 	known.mutex.Lock()
 	defer known.mutex.Unlock()
-	known.load, known.loadAt = load, steady.Reading()
+	known.load, known.loadReportedAt = load, steady.Reading()
 }
 
-// chosen returns the ID of the instance that the gateway chooses for a request of a route
+// chosenInstance returns the ID of the instance that the gateway chooses for a request of a route
 // with the given repetition.
-func chosen(g *Gateway, repetition routeconfig.Repetition) string {
+func chosenInstance(g *Gateway, repetition routeconfig.Repetition) string {
 	route := &routeconfig.Route{Repetition: repetition, TargetLatency: 500 * time.Millisecond}
 	found, _ := g.choose(&call{service: &routeconfig.Service{Name: "s"}, route: route}, 0, false, nil)
 	return found.ID
@@ -50,21 +50,21 @@
 // A somewhat faster back end in another zone does not justify cross-zone traffic while the
 // near one answers well within the target.
 func TestRequestStaysInZoneThatMeetsTarget(t *testing.T) {
-	g := choosingGateway(t)
+	g := gatewayWithTwoZones(t)
 	g.setPeerLoad("127.0.0.1:1", 2, 180*time.Millisecond)
 	g.setPeerLoad("127.0.0.1:2", 2, 100*time.Millisecond)
 	for range 50 {
-		assert.Equal(t, chosen(g, routeconfig.NonRepeatable), "near")
+		assert.Equal(t, chosenInstance(g, routeconfig.NonRepeatable), "near")
 	}
 }
 
 // A request goes to another zone if the back end in its own zone is too loaded to answer in
 // time.
 func TestRequestLeavesOverloadedZone(t *testing.T) {
-	g := choosingGateway(t)
+	g := gatewayWithTwoZones(t)
 	g.setPeerLoad("127.0.0.1:1", 10, 180*time.Millisecond)
 	g.setPeerLoad("127.0.0.1:2", 2, 100*time.Millisecond)
 	for range 50 {
-		assert.Equal(t, chosen(g, routeconfig.NonRepeatable), "far")
+		assert.Equal(t, chosenInstance(g, routeconfig.NonRepeatable), "far")
 	}
 }
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -165,9 +165,9 @@
 	DefaultWindow            = 10 * time.Second
 )
 
-// minKeyHold is the minimum of KeyHold. Renewals are sent at intervals of keysInterval, and
+// minKeyHold is the minimum of KeyHold. Renewals are sent at intervals of grantCheckInterval, and
 // one may take grantTimeout.
-const minKeyHold = grantTimeout + renewals*keysInterval/2
+const minKeyHold = grantTimeout + renewalsPerGrant*grantCheckInterval/2
 
 // maxAnswerHold is the maximum of AnswerHold: half of the time that a back end waits for an
 // answer.
--- a/internal/gateway/configurationlease.go
+++ b/internal/gateway/configurationlease.go
@@ -49,7 +49,7 @@
 
 // extendByPeer extends the lease by the state that another gateway returned to a request sent
 // at requestedAt. The caller has already applied that state.
-func (v *configurationLease) extendByPeer(state *fleetwire.PeerWord, requestedAt time.Time) {
+func (v *configurationLease) extendByPeer(state *fleetwire.RelayedState, requestedAt time.Time) {
 	asOf := requestedAt.Add(-lengthenedByDrift(state.Age))
 	v.extend(leaseState{currentAsOf: asOf, expiresAt: asOf.Add(shortenedByDrift(state.For))})
 }
@@ -60,8 +60,8 @@
 	defer v.updating.Unlock()
 	merged := extension
 	if previous := v.current.Load(); previous != nil {
-		merged.currentAsOf = later(previous.currentAsOf, extension.currentAsOf)
-		merged.expiresAt = later(previous.expiresAt, extension.expiresAt)
+		merged.currentAsOf = latest(previous.currentAsOf, extension.currentAsOf)
+		merged.expiresAt = latest(previous.expiresAt, extension.expiresAt)
 		merged.fromLeader = previous.fromLeader || extension.fromLeader
 		if !extension.controllerAsOf.After(previous.controllerAsOf) {
 			merged.controllerAsOf, merged.relayFor = previous.controllerAsOf, previous.relayFor
@@ -81,9 +81,9 @@
 	return time.Duration(float64(duration) * (1 + clockDrift))
 }
 
-// holds reports whether the gateway may route by its configuration. A request that arrived
+// valid reports whether the gateway may route by its configuration. A request that arrived
 // before now was sent before now, so the time spent on handling it does not matter.
-func (v *configurationLease) holds(now time.Time) bool {
+func (v *configurationLease) valid(now time.Time) bool {
 	state := v.current.Load()
 	return state != nil && now.Before(state.expiresAt)
 }
@@ -113,10 +113,10 @@
 
 // relay returns what another gateway may be given now. It is nil if no controller has
 // confirmed anything yet, or if the confirmation is too old to be useful.
-func (v *configurationLease) relay(now time.Time) *fleetwire.PeerWord {
+func (v *configurationLease) relay(now time.Time) *fleetwire.RelayedState {
 	state := v.current.Load()
 	if state == nil || state.controllerAsOf.IsZero() || now.Sub(state.controllerAsOf) >= shortenedByDrift(state.relayFor) {
 		return nil
 	}
-	return &fleetwire.PeerWord{Age: now.Sub(state.controllerAsOf), For: state.relayFor}
+	return &fleetwire.RelayedState{Age: now.Sub(state.controllerAsOf), For: state.relayFor}
 }
--- a/internal/gateway/configurationlease_test.go
+++ b/internal/gateway/configurationlease_test.go
@@ -10,10 +10,10 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// vouch extends the lease on the gateway's configuration for a time, as an answer of the
+// extendLease extends the lease on the gateway's configuration for a time, as an answer of the
 // leader does.
-func (g *Gateway) vouch(duration time.Duration) {
-	g.session.vouched.take(&fleetwire.Lease{SentAt: g.session.now(), ConfigurationFor: duration}, g.session.started)
+func (g *Gateway) extendLease(duration time.Duration) {
+	g.session.configurationLease.take(&fleetwire.Lease{SentAt: g.session.now(), ConfigurationFor: duration}, g.session.started)
 }
 
 // A lease counts from the time of the request, by the gateway's own clock, which may run
@@ -24,14 +24,14 @@
 		return &fleetwire.Lease{SentAt: sentAt, ConfigurationFor: 10 * time.Second}
 	}
 	v := &configurationLease{}
-	assert.Assert(t, !v.holds(epoch), "no lease was granted yet")
+	assert.Assert(t, !v.valid(epoch), "no lease was granted yet")
 	v.take(leaseFor(time.Second), epoch)
-	assert.Assert(t, v.holds(epoch.Add(10*time.Second)))
-	assert.Assert(t, !v.holds(epoch.Add(11*time.Second-time.Duration(clockDrift*float64(10*time.Second)))))
+	assert.Assert(t, v.valid(epoch.Add(10*time.Second)))
+	assert.Assert(t, !v.valid(epoch.Add(11*time.Second-time.Duration(clockDrift*float64(10*time.Second)))))
 	v.take(leaseFor(3*time.Second), epoch)
 	v.take(leaseFor(2*time.Second), epoch)
 	assert.Equal(t, v.currentAsOf(), epoch.Add(3*time.Second))
-	assert.Assert(t, v.holds(epoch.Add(12*time.Second)))
+	assert.Assert(t, v.valid(epoch.Add(12*time.Second)))
 	assert.Assert(t, v.remaining(epoch.Add(14*time.Second)) < 0)
 }
 
@@ -39,11 +39,11 @@
 // back end must get nothing once EvacuateWithin has passed since then, whichever process
 // hangs.
 func TestBackEndIsRefusedRequestsIfEvacuationMayBeMissed(t *testing.T) {
-	g := choosingGateway(t)
+	g := gatewayWithTwoZones(t)
 	g.config.EvacuateWithin = 5 * time.Second
-	g.session.vouched.current.Store(nil)
+	g.session.configurationLease.current.Store(nil)
 	assert.Assert(t, g.mayBeEvacuated(steady.Reading()))
-	g.vouch(time.Hour)
+	g.extendLease(time.Hour)
 	assert.Assert(t, !g.mayBeEvacuated(steady.Reading()))
 	assert.Assert(t, g.mayBeEvacuated(steady.Reading().Add(g.config.EvacuateWithin-1)))
 }
--- a/internal/gateway/crashnotices.go
+++ b/internal/gateway/crashnotices.go
@@ -48,7 +48,7 @@
 	n.queued = append(n.queued, crash)
 	n.queued = n.queued[max(0, len(n.queued)-maxNoticeCrashes):]
 	n.mutex.Unlock()
-	wakeUp(n.wake)
+	notify(n.wake)
 }
 
 func (n *crashNoticeQueue) drain() []quarantine.Ended {
@@ -67,7 +67,7 @@
 			return
 		case <-g.crashNotices.wake:
 		}
-		if !pauseFor(ctx, noticeBatchDelay) {
+		if !sleep(ctx, noticeBatchDelay) {
 			return
 		}
 		if crashes := g.crashNotices.drain(); len(crashes) > 0 {
@@ -86,7 +86,7 @@
 	remaining := g.peerAddresses()
 	for range noticeAttempts {
 		remaining = g.sendCrashesToPeers(ctx, remaining, body.Bytes())
-		if len(remaining) == 0 || !pauseFor(ctx, noticeRetryDelay) {
+		if len(remaining) == 0 || !sleep(ctx, noticeRetryDelay) {
 			return
 		}
 	}
@@ -125,13 +125,13 @@
 	defer cancel()
 	response, err := pool.Do(ctx, &http.Request{
 		Method: http.MethodPost, URL: &url.URL{Path: "/"}, Host: address, ContentLength: int64(len(body)),
-		Body: io.NopCloser(bytes.NewReader(body)), Header: http.Header{fieldTellsEnds: {"1"}, "User-Agent": {""}},
+		Body: io.NopCloser(bytes.NewReader(body)), Header: http.Header{fieldReportsTerminations: {"1"}, "User-Agent": {""}},
 	})
 	if err != nil {
 		return err
 	}
 	defer response.Body.Close()
-	if _, err := readAnswer(response); err != nil {
+	if _, err := readResponseBody(response); err != nil {
 		return err
 	}
 	if response.StatusCode != http.StatusNoContent {
@@ -144,14 +144,14 @@
 func (g *Gateway) receiveCrashes(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxNoticeBytes))
 	if err == nil {
-		err = gobcheck.Whole(body)
+		err = gobcheck.CheckLengths(body)
 	}
 	var crashes []quarantine.Ended
 	if err == nil {
 		err = gob.NewDecoder(bytes.NewReader(body)).Decode(&crashes)
 	}
 	if err != nil || len(crashes) > maxNoticeCrashes {
-		g.metrics.unread(unreadableCrashes)
+		g.metrics.countUnreadable(unreadableCrashes)
 		http.Error(w, "ends of back ends not read", http.StatusBadRequest)
 		return
 	}
--- a/internal/gateway/destinations_test.go
+++ b/internal/gateway/destinations_test.go
@@ -31,7 +31,7 @@
 			var runs atomic.Int32
 			hops := startTwoHops(t, twoHopsConfig{timeout: time.Second}, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				runs.Add(1)
-				answerWhole(w, r)
+				serveComplete(w, r)
 			}))
 			instances := []fleetwire.Instance{hops.near.views.load().byID["i"]}
 			if refuse != nil {
@@ -89,11 +89,11 @@
 // A back end that has just joined gets requests of other machines in its zone at once, even
 // if the known back ends there have free slots.
 func TestJoiningBackendIsChosen(t *testing.T) {
-	g := choosingGateway(t)
+	g := gatewayWithTwoZones(t)
 	g.setPeerLoad("127.0.0.1:1", 0, 20*time.Millisecond)
 	g.setPeerLoad("127.0.0.1:2", 0, 20*time.Millisecond)
 	advance(t, g.views, viewOf(false, fleetwire.Instance{
 		ID: "joined", Service: "s", Node: "node-joined", Zone: "a", Address: "127.0.0.1:3", State: fleetwire.InstanceReady,
 	}))
-	assert.Equal(t, chosen(g, routeconfig.NonRepeatable), "joined")
+	assert.Equal(t, chosenInstance(g, routeconfig.NonRepeatable), "joined")
 }
--- a/internal/gateway/due_test.go
+++ b/internal/gateway/due_test.go
@@ -18,10 +18,10 @@
 	began := steady.Reading()
 	c := &call{route: route, firstAttempt: began, deadline: began.Add(route.Timeout)}
 	assert.Equal(t, c.due(), c.deadline)
-	e := &egress{gateway: &Gateway{slots: lateGate(12)}}
+	e := &egress{gateway: &Gateway{slots: limiterWithServiceTime(12)}}
 	request := &forwardRequest{Due: c.due(), Target: route.TargetLatency, Deadline: c.deadline}
 	wanted := e.slotDemand(request)
-	assert.Assert(t, wanted.Patience+testServiceTime < route.Timeout, "it waits for %v and runs for %v", wanted.Patience, testServiceTime)
+	assert.Assert(t, wanted.InTimeWait+testServiceTime < route.Timeout, "it waits for %v and runs for %v", wanted.InTimeWait, testServiceTime)
 	c.deadline = began.Add(time.Minute)
 	assert.Equal(t, c.due(), began.Add(route.TargetLatency))
 }
--- a/internal/gateway/egress.go
+++ b/internal/gateway/egress.go
@@ -23,7 +23,7 @@
 	// backendIdleTimeout is shorter than the back end's own idle timeout, so that the back
 	// end never closes an idle connection first.
 	backendIdleTimeout = 4 * time.Second
-	backendDial        = 400 * time.Millisecond
+	backendDialTimeout = 400 * time.Millisecond
 	// responseMargin is how much earlier than the caller's deadline the egress gives up, so
 	// that its result still arrives.
 	responseMargin = 15 * time.Millisecond
@@ -35,8 +35,8 @@
 	maxResponseBody = 64 << 20
 )
 
-// errNoAnswer means that the received message is not a valid response to the request.
-var errNoAnswer = errors.New("not an answer to this request")
+// errInvalidResponse means that the received message is not a valid response to the request.
+var errInvalidResponse = errors.New("not an answer to this request")
 
 // egress passes requests on to the back end beside the gateway.
 type egress struct {
@@ -49,7 +49,7 @@
 		Address:        g.config.BackendAddress,
 		MaxConnections: extraBackendConnections,
 		MinWarm:        -1,
-		DialTimeout:    backendDial,
+		DialTimeout:    backendDialTimeout,
 		IdleTimeout:    backendIdleTimeout,
 	})
 	if err != nil {
@@ -70,9 +70,9 @@
 	result, used := e.attempt(ctx, request)
 	waited := steady.Elapsed(began) - used
 	e.gateway.tally.record(result, waited, used)
-	e.gateway.metrics.backendTry(result, waited, used)
+	e.gateway.metrics.backendAttempt(result, waited, used)
 	if result.Outcome == outcomeAnswered {
-		e.gateway.noteAnswered(request.digest)
+		e.gateway.clearAnsweredSuspect(request.digest)
 	}
 	if result.Outcome == outcomeNotRun && !result.Sent {
 		e.logRefusal(request, result.Reason)
@@ -102,7 +102,7 @@
 	answered := result.Outcome == outcomeAnswered
 	e.gateway.pacer.settle(reservation, answered, len(result.Body))
 	if answered {
-		result.kept = reservation
+		result.linkReservation = reservation
 	}
 	return result, used
 }
@@ -110,7 +110,7 @@
 // transferDemand is what a request with a large response demands of the link.
 func (e *egress) transferDemand(request *forwardRequest) overload.Transfer {
 	load := e.gateway.slots.load()
-	return overload.Transfer{Due: request.Due, Deadline: request.Deadline, Target: request.Target, Run: load.service(request.Target)}
+	return overload.Transfer{Due: request.Due, Deadline: request.Deadline, Target: request.Target, Run: load.serviceTimeFor(request.Target)}
 }
 
 // attemptInSlot waits for a slot, makes the attempt and releases the slot.
@@ -136,7 +136,7 @@
 	left := steady.Until(request.Deadline)
 	ctx, cancel := context.WithTimeout(ctx, min(e.gateway.config.HeartbeatInterval, time.Duration(maxKeyWaitFraction*float64(left))))
 	defer cancel()
-	e.gateway.keys.await(ctx, request.Instance, request.Key)
+	e.gateway.keys.awaitKey(ctx, request.Instance, request.Key)
 	return e.checkAdmission(request)
 }
 
@@ -168,7 +168,7 @@
 // before its caller's deadline.
 func (e *egress) slotDemand(request *forwardRequest) demand {
 	load := e.gateway.slots.load()
-	service := load.service(request.Target)
+	service := load.serviceTimeFor(request.Target)
 	reserved := time.Duration(serviceTimeMargin * float64(service))
 	untilDue := steady.Until(request.Due)
 	var minWait time.Duration
@@ -179,12 +179,12 @@
 		minWait = max(minWait, minSlotTurns*service/time.Duration(max(load.slots, 1)))
 	}
 	return demand{
-		Priority: request.Priority,
-		Due:      request.Due,
-		Target:   request.Target,
-		Patience: max(minWait, untilDue-reserved),
-		Latest:   steady.Until(request.Deadline) - responseMargin - reserved,
-		OnlyHere: request.HasKey,
+		Priority:   request.Priority,
+		Due:        request.Due,
+		Target:     request.Target,
+		InTimeWait: max(minWait, untilDue-reserved),
+		MaxWait:    steady.Until(request.Deadline) - responseMargin - reserved,
+		OnlyHere:   request.HasKey,
 	}
 }
 
@@ -198,8 +198,8 @@
 	if request.HasKey {
 		e.gateway.keyLoad.add(request.Key, load.serviceTime)
 	}
-	refusal := notRun(reasonNoRoom)
-	refusal.RetryAfter = e.gateway.slots.comeBackIn(request.Target)
+	refusal := notRun(reasonNoSlot)
+	refusal.RetryAfter = e.gateway.slots.retryAfter(request.Target)
 	return refusal
 }
 
@@ -217,12 +217,12 @@
 		return notRun(reasonEvacuated)
 	}
 	if e.gateway.mayBeEvacuated(now) {
-		return notRun(reasonOutdated)
+		return notRun(reasonStaleConfiguration)
 	}
 	if request.HasKey && !e.gateway.keys.holds(request.Instance, request.Key, now) {
 		return notRun(reasonNotOwner)
 	}
-	if e.gateway.refusesSuspect(request) {
+	if e.gateway.blocksSuspect(request) {
 		return notRun(reasonAwaitsTrial)
 	}
 	return nil
@@ -236,7 +236,7 @@
 	}
 	e.gateway.keyLoad.add(request.Key, used)
 	if result.Outcome == outcomeAnswered && result.Status < http.StatusInternalServerError {
-		e.gateway.keyLoad.ran(used)
+		e.gateway.keyLoad.addSuccessfulRun(used)
 	}
 }
 
@@ -244,19 +244,19 @@
 func (e *egress) exchange(ctx context.Context, request *forwardRequest) *forwardResult {
 	outgoing, err := e.newBackendRequest(request)
 	if err != nil {
-		return notRun(reasonBroken)
+		return notRun(reasonInterrupted)
 	}
-	e.gateway.atWork.begin(request)
-	defer e.gateway.atWork.end(request)
+	e.gateway.runs.begin(request)
+	defer e.gateway.runs.end(request)
 	response, err := e.pool.Do(ctx, outgoing)
 	if err != nil {
 		return e.classifyError(ctx, request, err)
 	}
 	defer response.Body.Close()
 	if response.Header.Get(e.gateway.config.Headers.RequestID) != request.ID {
-		return e.brokenExchange(request, errNoAnswer)
+		return e.brokenExchange(request, errInvalidResponse)
 	}
-	body, err := readAnswer(response)
+	body, err := readResponseBody(response)
 	if err != nil {
 		return e.classifyIncomplete(ctx, request, err)
 	}
@@ -284,9 +284,9 @@
 	return outgoing, nil
 }
 
-func readAnswer(response *http.Response) ([]byte, error) {
+func readResponseBody(response *http.Response) ([]byte, error) {
 	if response.ContentLength > maxResponseBody {
-		return nil, errNoAnswer
+		return nil, errInvalidResponse
 	}
 	if response.ContentLength > 0 {
 		body := make([]byte, response.ContentLength)
@@ -295,7 +295,7 @@
 		}
 		// One more read lets the connection see the end of the body.
 		if _, err := response.Body.Read(make([]byte, 1)); err != io.EOF {
-			return nil, errNoAnswer
+			return nil, errInvalidResponse
 		}
 		return body, nil
 	}
@@ -304,7 +304,7 @@
 
 // classifyError returns the result of an exchange that got no response.
 func (e *egress) classifyError(ctx context.Context, request *forwardRequest, err error) *forwardResult {
-	e.gateway.suspect(request.Instance, err)
+	e.gateway.handleBackendError(request.Instance, err)
 	if errors.Is(err, upstream.ErrNotSent) {
 		return notRun(reasonUnreachable)
 	}
@@ -318,12 +318,12 @@
 // whole response had arrived.
 func (e *egress) classifyIncomplete(ctx context.Context, request *forwardRequest, err error) *forwardResult {
 	result := e.brokenExchange(request, err)
-	if ctx.Err() != nil || errors.Is(err, errNoAnswer) {
+	if ctx.Err() != nil || errors.Is(err, errInvalidResponse) {
 		// The deadline passed, the caller disconnected, or the response was invalid.
 		return result
 	}
-	if atWork, ended := e.gateway.endedUnder(request); ended {
-		result.Reason, result.AtWork = reasonEnded, atWork
+	if atWork, ended := e.gateway.crashedDuring(request); ended {
+		result.Reason, result.RequestsRunning = reasonBackendTerminated, atWork
 	}
 	return result
 }
@@ -333,7 +333,7 @@
 func (e *egress) brokenExchange(request *forwardRequest, err error) *forwardResult {
 	e.gateway.config.Log.Info("exchange with back end broken off", "request", request.ID, "instance", request.Instance,
 		"gateway_stopping", e.gateway.admission.Stopping(), "deadline_in_ms", steady.Until(request.Deadline).Milliseconds(), "error", err)
-	return &forwardResult{Outcome: outcomeUnknown, Reason: reasonBroken, Sent: true}
+	return &forwardResult{Outcome: outcomeUnknown, Reason: reasonInterrupted, Sent: true}
 }
 
 // classifyResponse returns what a complete response proves about the request.
@@ -346,7 +346,7 @@
 	}
 	success := status >= http.StatusOK && status < http.StatusMultipleChoices
 	if success && (response.Header.Get(names.Seal) == "" || response.Header.Get("Content-Encoding") != "") {
-		return e.brokenExchange(request, errNoAnswer)
+		return e.brokenExchange(request, errInvalidResponse)
 	}
 	return &forwardResult{
 		Outcome: outcomeAnswered,
@@ -357,5 +357,5 @@
 	}
 }
 
-// refusedConnection reports whether nothing listens at an address.
-func refusedConnection(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+// isConnectionRefused reports whether nothing listens at an address.
+func isConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
--- a/internal/gateway/egress_test.go
+++ b/internal/gateway/egress_test.go
@@ -72,13 +72,13 @@
 	g := &Gateway{config: config.withDefaults()}
 	g.metrics = newGatewayMetrics(g.config.Registry)
 	g.pacer = newLinkPacer(0)
-	g.views = newViews()
-	g.slots = newSlotGate()
+	g.views = newViewStore()
+	g.slots = newSlotLimiter()
 	g.keyLoad = newKeyLoad()
 	g.registry = newRegistry(func() {})
 	g.session = newSessionClient(g)
-	g.vouch(time.Hour)
-	g.keys = newKeyKeeper(g)
+	g.extendLease(time.Hour)
+	g.keys = newGrantManager(g)
 	var err error
 	g.egress, err = newEgress(g)
 	assert.NilError(t, err)
--- a/internal/gateway/evacuation.go
+++ b/internal/gateway/evacuation.go
@@ -21,7 +21,7 @@
 // evacuated. An order that the gateway has not received yet may be as old as the last
 // confirmed state.
 func (g *Gateway) mayBeEvacuated(now time.Time) bool {
-	return now.Sub(g.session.vouched.currentAsOf()) >= time.Duration(unconfirmedGraceShare*float64(g.config.EvacuateWithin))
+	return now.Sub(g.session.configurationLease.currentAsOf()) >= time.Duration(unconfirmedGraceShare*float64(g.config.EvacuateWithin))
 }
 
 // evacuated reports whether the back end must not get requests because its zone is evacuated.
--- a/internal/gateway/evacuation_test.go
+++ b/internal/gateway/evacuation_test.go
@@ -16,20 +16,20 @@
 }
 
 func TestEvacuatedZoneIsNotSelected(t *testing.T) {
-	g := choosingGateway(t)
+	g := gatewayWithTwoZones(t)
 	advance(t, g.views, evacuationView(7, "a"))
 	for range 50 {
-		assert.Equal(t, chosen(g, routeconfig.NonRepeatable), "far")
+		assert.Equal(t, chosenInstance(g, routeconfig.NonRepeatable), "far")
 	}
 	advance(t, g.views, evacuationView(8, "a", "b"))
-	assert.Equal(t, chosen(g, routeconfig.NonRepeatable), "", "all zones are evacuated")
+	assert.Equal(t, chosenInstance(g, routeconfig.NonRepeatable), "", "all zones are evacuated")
 	advance(t, g.views, evacuationView(9))
-	assert.Equal(t, chosen(g, routeconfig.NonRepeatable), "near")
+	assert.Equal(t, chosenInstance(g, routeconfig.NonRepeatable), "near")
 }
 
 // A late message of an earlier leader must not undo a newer evacuation order.
 func TestOlderEvacuationSetIsIgnored(t *testing.T) {
-	g := choosingGateway(t)
+	g := gatewayWithTwoZones(t)
 	advance(t, g.views, evacuationView(7, "a"))
 	advance(t, g.views, evacuationView(6))
 	assert.Assert(t, g.views.load().evacuated("a"))
@@ -39,9 +39,9 @@
 // after the last message of a leader that did not have the order yet.
 func TestEvacuatedBackEndIsRefusedRequestsAfterGrace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := choosingGateway(t)
+		g := gatewayWithTwoZones(t)
 		g.config.EvacuateWithin = 5 * time.Second
-		assert.NilError(t, g.views.advance(evacuationView(7, "a"), steady.Reading()))
+		assert.NilError(t, g.views.apply(evacuationView(7, "a"), steady.Reading()))
 		assert.Assert(t, !g.evacuated(steady.Reading()), "requests in transit are still admitted")
 		time.Sleep(2500 * time.Millisecond)
 		assert.Assert(t, g.evacuated(steady.Reading()))
@@ -50,22 +50,22 @@
 
 // A gateway that has just started cannot know the age of the order.
 func TestRestartedGatewayInEvacuatedZoneAdmitsNothing(t *testing.T) {
-	g := choosingGateway(t)
+	g := gatewayWithTwoZones(t)
 	advance(t, g.views, evacuationView(7, "a"))
 	assert.Assert(t, g.evacuated(steady.Reading()))
 }
 
 // The back ends of a zone may have become cold while they were idle.
 func TestBackEndCountsAsColdAfterEvacuation(t *testing.T) {
-	g := choosingGateway(t)
+	g := gatewayWithTwoZones(t)
 	g.config.Service = "s"
-	g.views.prepare = g.prepare
+	g.views.beforeSwap = g.prepareView
 	advance(t, g.views, &fleetwire.View{Document: &routeconfig.Document{Version: 1, Services: []routeconfig.Service{
-		{Name: "s", WarmupRate: coldRate, Warmup: coldLength},
+		{Name: "s", WarmupRate: coldRate, Warmup: coldPeriod},
 	}}})
 	advance(t, g.views, evacuationView(7, "a"))
-	g.slots.tellWarmth(0)
+	g.slots.updateWarmupFromProbe(0)
 	advance(t, g.views, evacuationView(8))
-	cold, ask := g.slots.coldness()
+	cold, ask := g.slots.warmupState()
 	assert.Assert(t, cold && ask)
 }
--- a/internal/gateway/expiredlease_test.go
+++ b/internal/gateway/expiredlease_test.go
@@ -16,7 +16,7 @@
 // A gateway whose lease has expired must not respond that a route does not exist: a newer
 // configuration may have added it.
 func TestExpiredLeaseNeverYieldsNotFound(t *testing.T) {
-	g := choosingGateway(t)
+	g := gatewayWithTwoZones(t)
 	g.metrics = newGatewayMetrics(prometheus.NewRegistry())
 	advance(t, g.views, &fleetwire.View{Document: documentOf(3)})
 	g.session = newSessionClient(g)
@@ -26,10 +26,10 @@
 		return answer.Code
 	}
 	assert.Equal(t, status(), http.StatusServiceUnavailable, "no lease was granted yet")
-	g.vouch(time.Hour)
+	g.extendLease(time.Hour)
 	assert.Equal(t, status(), http.StatusNotFound)
-	g.session.vouched.current.Store(&leaseState{currentAsOf: steady.Reading().Add(-time.Second), expiresAt: steady.Reading()})
+	g.session.configurationLease.current.Store(&leaseState{currentAsOf: steady.Reading().Add(-time.Second), expiresAt: steady.Reading()})
 	assert.Equal(t, status(), http.StatusServiceUnavailable)
-	g.vouch(time.Hour)
+	g.extendLease(time.Hour)
 	assert.Equal(t, status(), http.StatusNotFound)
 }
--- a/internal/gateway/explain.go
+++ b/internal/gateway/explain.go
@@ -90,8 +90,8 @@
 	default:
 		load := e.gateway.slots.load()
 		fields = append(fields, "running", load.running, "waiting", load.waiting, "slots", load.slots,
-			"service_ms", load.service(request.Target).Milliseconds(), "due_in_ms", request.Due.Sub(now).Milliseconds(),
-			"deadline_in_ms", request.Deadline.Sub(now).Milliseconds(), "patience_ms", e.slotDemand(request).Patience.Milliseconds())
+			"service_ms", load.serviceTimeFor(request.Target).Milliseconds(), "due_in_ms", request.Due.Sub(now).Milliseconds(),
+			"deadline_in_ms", request.Deadline.Sub(now).Milliseconds(), "patience_ms", e.slotDemand(request).InTimeWait.Milliseconds())
 	}
 	e.gateway.config.Log.Info("try refused", fields...)
 }
@@ -114,7 +114,7 @@
 )
 
 // missingState returns why a key is not held, for a key for which holds returns false.
-func (k *keyKeeper) missingState(key keyspace.Key, now time.Time) keyState {
+func (k *grantManager) missingState(key keyspace.Key, now time.Time) keyState {
 	byHeartbeat := k.byHeartbeat()
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -123,17 +123,17 @@
 		return k.missingStateByHeartbeat(keyRange)
 	}
 	state := keyNotLeased
-	for _, held := range k.wanted {
+	for _, held := range k.leasedRanges {
 		if !held.Keys.Contains(keyRange) {
 			continue
 		}
 		state = keyNotGranted
 		for granted, grant := range k.grants {
-			if granted.fence != held.Fence || !granted.keys.Contains(keyRange) || grant.until.IsZero() {
+			if granted.fence != held.Fence || !granted.keys.Contains(keyRange) || grant.heldUntil.IsZero() {
 				continue
 			}
 			state = keyExpired
-			if now.Before(grant.until) {
+			if now.Before(grant.heldUntil) {
 				return keyRevoked
 			}
 		}
@@ -142,16 +142,16 @@
 }
 
 // missingStateByHeartbeat is missingState for back ends that get their keys by heartbeat.
-func (k *keyKeeper) missingStateByHeartbeat(keyRange keyspace.Range) keyState {
-	for _, held := range k.wanted {
+func (k *grantManager) missingStateByHeartbeat(keyRange keyspace.Range) keyState {
+	for _, held := range k.leasedRanges {
 		if !held.Keys.Contains(keyRange) {
 			continue
 		}
-		grant, offered := k.grants[heldKey{held.Keys, held.Fence}]
+		grant, offered := k.grants[fencedRange{held.Keys, held.Fence}]
 		switch {
 		case !offered || grant.sentAt.IsZero():
 			return keyNotOffered
-		case grant.untaken > 0:
+		case grant.unacceptedOffers > 0:
 			return keyNotAccepted
 		}
 		return keyExpired
--- a/internal/gateway/explain_test.go
+++ b/internal/gateway/explain_test.go
@@ -35,17 +35,17 @@
 // reported as different states.
 func TestMissingKeyStates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newKeyRig(t)
+		rig := newGrantRig(t)
 		keys := rig.g.keys
 		assert.Equal(t, keys.missingState(5, steady.Reading()), keyNotLeased)
-		rig.holder.setRefuse(context.DeadlineExceeded)
-		rig.lease(held(0, 9), nil)
+		rig.holder.setError(context.DeadlineExceeded)
+		rig.lease(leasedRange(0, 9), nil)
 		assert.Equal(t, keys.missingState(5, steady.Reading()), keyNotGranted)
-		rig.holder.setRefuse(nil)
+		rig.holder.setError(nil)
 		time.Sleep(time.Second)
 		assert.Assert(t, keys.holds("i-1", 5, steady.Reading()))
 		assert.Equal(t, keys.missingState(5, steady.Reading().Add(time.Minute)), keyExpired)
-		rig.lease([]fleetwire.Held{}, asked(0, 9))
+		rig.lease([]fleetwire.Held{}, releasable(0, 9))
 		assert.Equal(t, keys.missingState(5, steady.Reading()), keyNotLeased)
 	})
 }
@@ -55,12 +55,12 @@
 		rig := newHeartbeatRig(t)
 		keys := rig.g.keys
 		assert.Equal(t, keys.missingState(5, steady.Reading()), keyNotLeased)
-		rig.lease(held(0, 9), nil)
+		rig.lease(leasedRange(0, 9), nil)
 		assert.Equal(t, keys.missingState(5, steady.Reading()), keyNotOffered)
-		rig.beat(t, "i-1", nil)
+		rig.heartbeat(t, "i-1", nil)
 		assert.Assert(t, keys.holds("i-1", 5, steady.Reading()))
 		assert.Equal(t, keys.missingState(5, steady.Reading().Add(time.Minute)), keyExpired)
-		rig.beat(t, "i-1", nil)
+		rig.heartbeat(t, "i-1", nil)
 		assert.Equal(t, keys.missingState(5, steady.Reading()), keyNotAccepted)
 	})
 }
--- a/internal/gateway/fences.go
+++ b/internal/gateway/fences.go
@@ -85,7 +85,7 @@
 	var until time.Time
 	for _, unanswered := range t.unanswered {
 		if !unanswered.connectionEnded {
-			until = later(until, unanswered.notedAt.Add(maxGrantDelay))
+			until = latest(until, unanswered.notedAt.Add(maxGrantDelay))
 		}
 	}
 	return until
--- a/internal/gateway/fences_test.go
+++ b/internal/gateway/fences_test.go
@@ -20,12 +20,12 @@
 // lease fence again. A fence that the back end refused before must not be sent again.
 func TestAFenceThatWasRefusedIsNotSentAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newKeyRig(t)
-		rig.holder.setRefuse(errRefused)
-		rig.lease(held(0, 99), nil)
+		rig := newGrantRig(t)
+		rig.holder.setError(errRefused)
+		rig.lease(leasedRange(0, 99), nil)
 		time.Sleep(maxGrantDelay + 10*time.Second)
 		synctest.Wait()
-		rig.lease(held(0, 99), nil)
+		rig.lease(leasedRange(0, 99), nil)
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
 		orders := rig.holder.granted()
@@ -69,7 +69,7 @@
 	time.Sleep(h.pause)
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.holdsUntil = later(h.holdsUntil, steady.Reading().Add(time.Duration(float64(order.Hold)*(1+clockDrift))))
+	h.holdsUntil = latest(h.holdsUntil, steady.Reading().Add(time.Duration(float64(order.Hold)*(1+clockDrift))))
 	return nil
 }
 
@@ -82,13 +82,13 @@
 func TestAGrantThatAPauseHoldsUpEndsWithinTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const quotaPeriod = 100 * time.Millisecond
-		rig := newKeyRig(t)
+		rig := newGrantRig(t)
 		holder := &pausedHolder{pause: quotaPeriod}
 		rig.g.config.Keys = holder
 		// The lease's end is varied between two renewals.
 		for step := range 25 {
 			duration := 2*time.Second + time.Duration(step)*50*time.Millisecond
-			rig.g.keys.take(&fleetwire.Lease{SentAt: steady.Elapsed(rig.epoch), Duration: duration, Instance: "i-1", Held: held(0, 99)}, rig.epoch)
+			rig.g.keys.applyLease(&fleetwire.Lease{SentAt: steady.Elapsed(rig.epoch), Duration: duration, Instance: "i-1", Held: leasedRange(0, 99)}, rig.epoch)
 			rig.g.keys.mutex.Lock()
 			ends := rig.g.keys.leaseUntil
 			rig.g.keys.mutex.Unlock()
--- a/internal/gateway/firstattempts_test.go
+++ b/internal/gateway/firstattempts_test.go
@@ -30,8 +30,8 @@
 	)
 	synctest.Test(t, func(t *testing.T) {
 		random := rand.New(rand.NewPCG(7, 9))
-		g := lateGate(slots)
-		var estimates firstTries
+		g := limiterWithServiceTime(slots)
+		var estimates firstAttempts
 		var mutex sync.Mutex
 		var all sync.WaitGroup
 		send := func(first time.Time, work time.Duration) bool {
@@ -94,7 +94,7 @@
 	backend := startRawBackend(t, func(*http.Request) string { return "" })
 	g := gatewayWithBackend(t, backend)
 	g.egress.setSlots(18)
-	g.slots.decide(func(queue *overload.SlotQueue, _ time.Time) { queue.SetServiceTime(400 * time.Millisecond) })
+	g.slots.withQueue(func(queue *overload.SlotQueue, _ time.Time) { queue.SetServiceTime(400 * time.Millisecond) })
 	due := testRequest("due")
 	due.Due = steady.Reading()
 	for range 18 {
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -39,18 +39,18 @@
 	reasonNotOwner reason = "not-owner"
 	// reasonEvacuated: the back end's zone is evacuated.
 	reasonEvacuated reason = "zone-evacuated"
-	// reasonNoRoom: no slot became free in time.
-	reasonNoRoom reason = "no-room"
+	// reasonNoSlot: no slot became free in time.
+	reasonNoSlot reason = "no-room"
 	// reasonLinkFull: the machine's network link could not send the response in time.
 	reasonLinkFull reason = "link-full"
 	// reasonRefused: the back end itself refused to run the request.
 	reasonRefused reason = "refused-by-back-end"
 	// reasonUnreachable: no byte of the request could be sent.
 	reasonUnreachable reason = "unreachable"
-	// reasonBroken: the exchange was interrupted, or the response was invalid.
-	reasonBroken reason = "broken-off"
-	// reasonEnded: the back end terminated while it was running the request.
-	reasonEnded reason = "back-end-ended"
+	// reasonInterrupted: the exchange was interrupted, or the response was invalid.
+	reasonInterrupted reason = "broken-off"
+	// reasonBackendTerminated: the back end terminated while it was running the request.
+	reasonBackendTerminated reason = "back-end-ended"
 	// reasonTimeout: no response before the deadline.
 	reasonTimeout reason = "timeout"
 	// reasonStopping: the gateway is stopping, and the request's deadline is after the end
@@ -60,10 +60,10 @@
 	reasonNoInstance reason = "no-instance"
 	// reasonNoConfiguration: the gateway knows no configuration yet.
 	reasonNoConfiguration reason = "no-configuration"
-	// reasonOutdated: the leader has not confirmed the gateway's configuration for so long
+	// reasonStaleConfiguration: the leader has not confirmed the gateway's configuration for so long
 	// that another one may have been in force for long, or that the zone may have been
 	// evacuated.
-	reasonOutdated reason = "configuration-may-be-old"
+	reasonStaleConfiguration reason = "configuration-may-be-old"
 	// reasonNoMemory: the gateway buffers as many bytes as it may.
 	reasonNoMemory reason = "no-memory"
 	// reasonRouteChanged: the route no longer allows requests to run more than once, but the
@@ -72,36 +72,36 @@
 	// reasonAwaitsTrial: back ends have terminated while running the request, and it got no
 	// trial run before its deadline.
 	reasonAwaitsTrial reason = "awaits-trial"
-	// reasonHeldBack: so many back ends have terminated while running the request that it is
+	// reasonQuarantined: so many back ends have terminated while running the request that it is
 	// not sent any more.
-	reasonHeldBack reason = "held-back"
+	reasonQuarantined reason = "held-back"
 	// reasonNoRoute: no route matches the request's host and path.
 	reasonNoRoute reason = "no-route"
 )
 
 // reasons is the set of known reasons.
 var reasons = map[reason]bool{
-	reasonNone:            true,
-	reasonNotAdmitted:     true,
-	reasonOwnerLost:       true,
-	reasonNotOwner:        true,
-	reasonEvacuated:       true,
-	reasonNoRoom:          true,
-	reasonLinkFull:        true,
-	reasonRefused:         true,
-	reasonUnreachable:     true,
-	reasonBroken:          true,
-	reasonEnded:           true,
-	reasonTimeout:         true,
-	reasonStopping:        true,
-	reasonNoInstance:      true,
-	reasonNoConfiguration: true,
-	reasonOutdated:        true,
-	reasonNoMemory:        true,
-	reasonRouteChanged:    true,
-	reasonNoRoute:         true,
-	reasonAwaitsTrial:     true,
-	reasonHeldBack:        true,
+	reasonNone:               true,
+	reasonNotAdmitted:        true,
+	reasonOwnerLost:          true,
+	reasonNotOwner:           true,
+	reasonEvacuated:          true,
+	reasonNoSlot:             true,
+	reasonLinkFull:           true,
+	reasonRefused:            true,
+	reasonUnreachable:        true,
+	reasonInterrupted:        true,
+	reasonBackendTerminated:  true,
+	reasonTimeout:            true,
+	reasonStopping:           true,
+	reasonNoInstance:         true,
+	reasonNoConfiguration:    true,
+	reasonStaleConfiguration: true,
+	reasonNoMemory:           true,
+	reasonRouteChanged:       true,
+	reasonNoRoute:            true,
+	reasonAwaitsTrial:        true,
+	reasonQuarantined:        true,
 }
 
 // known reports whether a reason sent by a peer is one of reasons. Unknown ones would create
@@ -114,7 +114,7 @@
 
 // isCapacity reports whether a request was refused because a resource that it needs is
 // exhausted.
-func (r reason) isCapacity() bool { return r == reasonNoRoom || r == reasonLinkFull }
+func (r reason) isCapacity() bool { return r == reasonNoSlot || r == reasonLinkFull }
 
 // forwardRequest is one attempt of a request at one back end.
 type forwardRequest struct {
@@ -170,14 +170,14 @@
 	// Stream is the body if it is passed on while it is being received; Body is nil then.
 	Stream *responseStream
 	Load   peerLoad
-	// AtWork is how many requests the back end was running when it terminated.
-	AtWork int
+	// RequestsRunning is how many requests the back end was running when it terminated.
+	RequestsRunning int
 	// loadRead says that a peer reported a load that could be parsed.
 	loadRead bool
 	// RetryAfter is when the same gateway may be able to serve the request, if that is
 	// known: the gateway is stopping, or many requests were refused before.
 	RetryAfter time.Duration
-	// kept is the link capacity that is reserved for a large response of the back end beside
+	// linkReservation is the link capacity that is reserved for a large response of the back end beside
 	// this gateway.
-	kept overload.Kept
+	linkReservation overload.Reservation
 }
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -20,15 +20,15 @@
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		result := decodeResult(answerOf(text), nil)
+		result := decodeResult(answerWithLoad(text), nil)
 		if !result.loadRead {
 			assert.Equal(t, result.Load, peerLoad{})
 			return
 		}
 		assert.Equal(t, formatLoad(result.Load), text)
 		p := &peer{}
-		p.end(result, steady.Reading())
-		seconds, _ := p.expected(time.Second, steady.Reading())
+		p.endAttempt(result, steady.Reading())
+		seconds, _ := p.expectedSeconds(time.Second, steady.Reading())
 		if !(seconds >= 0) || math.IsInf(seconds, 0) {
 			t.Fatalf("estimated duration %v s for load report %q", seconds, text)
 		}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -21,36 +21,36 @@
 	config   Config
 	views    *viewStore
 	registry *registry
-	keys     *keyKeeper
+	keys     *grantManager
 	keyLoad  *keyLoad
-	slots    *slotGate
-	// firstTries counts the first attempts of this gateway's own callers.
-	firstTries   firstTries
+	slots    *slotLimiter
+	// firstAttempts counts the first attempts of this gateway's own callers.
+	firstTries   firstAttempts
 	peers        *peerSet
 	budgets      *retryBudgets
 	pacer        *linkPacer
-	held         heldBytes
+	held         bufferedBytes
 	egress       *egress
-	atWork       runTracker
+	runs         runTracker
 	quarantine   quarantineTracker
 	crashNotices *crashNoticeQueue
 	session      *sessionClient
-	tally        tally
+	tally        attemptCounters
 	metrics      *gatewayMetrics
 
-	callers *httpserver.Server
-	inbound *httpserver.Server
-	cancel  context.CancelFunc
-	ended   sync.WaitGroup
-	probing atomic.Bool
+	callers    *httpserver.Server
+	inbound    *httpserver.Server
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+	probing    atomic.Bool
 
 	// admission decides which requests may still start during a planned stop. active counts
-	// requests of callers in progress, and peerActive those of other gateways. lastCaller is
+	// requests of callers in progress, and activePeers those of other gateways. lastCaller is
 	// when the latest request of a caller arrived.
-	admission  plannedstop.Admission
-	active     atomic.Int64
-	peerActive atomic.Int64
-	lastCaller steady.Atomic
+	admission     plannedstop.Admission
+	activeCallers atomic.Int64
+	activePeers   atomic.Int64
+	lastCaller    steady.Atomic
 }
 
 const (
@@ -66,9 +66,9 @@
 		return nil, fmt.Errorf("gateway: configuration: %w", err)
 	}
 	g.metrics = newGatewayMetrics(g.config.Registry)
-	g.views = newViews()
-	g.views.prepare = g.prepare
-	g.slots = newSlotGate()
+	g.views = newViewStore()
+	g.views.beforeSwap = g.prepareView
+	g.slots = newSlotLimiter()
 	g.crashNotices = newCrashNoticeQueue()
 	g.keyLoad = newKeyLoad()
 	g.peers = newPeerSet()
@@ -76,13 +76,13 @@
 	g.pacer = newLinkPacer(g.config.LinkBytesPerSecond)
 	g.held.limit = g.config.HeldBytes
 	g.registry = newRegistry(g.instanceChanged)
-	g.registry.told = g.slots.hearWarmth
-	g.registry.interval = g.config.HeartbeatInterval
+	g.registry.onWarmup = g.slots.updateWarmupFromHeartbeat
+	g.registry.heartbeatInterval = g.config.HeartbeatInterval
 	g.registry.current = fleetwire.Instance{Node: g.config.Name, Address: g.config.PeerListen, Zone: g.config.Zone}
-	g.keys = newKeyKeeper(g)
-	g.registry.lookAgain = g.probe
-	g.registry.yields = g.keys.yield
-	g.registry.replaced = g.handleCrash
+	g.keys = newGrantManager(g)
+	g.registry.reprobe = g.probeBackend
+	g.registry.stopGrants = g.keys.stopGrants
+	g.registry.onReplaced = g.handleCrash
 	g.session = newSessionClient(g)
 	g.registry.leaderAnswered = g.session.heardFromLeader
 	var err error
@@ -104,7 +104,7 @@
 	g.background(func() { g.session.run(ctx) })
 	g.background(func() { g.keys.run(ctx) })
 	g.background(func() { g.watchSilence(ctx) })
-	g.background(func() { g.watchWarmth(ctx) })
+	g.background(func() { g.monitorWarmup(ctx) })
 	g.background(func() { g.refreshFromPeersLoop(ctx) })
 	g.background(func() { g.sendCrashNotices(ctx) })
 	g.background(func() { g.watchSuspensions(ctx) })
@@ -115,15 +115,15 @@
 }
 
 func (g *Gateway) background(run func()) {
-	g.ended.Add(1)
+	g.goroutines.Add(1)
 	go func() {
-		defer g.ended.Done()
+		defer g.goroutines.Done()
 		run()
 	}()
 }
 
-// each calls a function at a fixed interval until the context is canceled.
-func each(ctx context.Context, interval time.Duration, function func()) {
+// runEvery calls a function at a fixed interval until the context is canceled.
+func runEvery(ctx context.Context, interval time.Duration, function func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -143,7 +143,7 @@
 		return nil, err
 	}
 	settings := g.config.Pipelining
-	settings.Repeatable, settings.Observer = g.mayRepeat, pipelineObserver{g}
+	settings.Repeatable, settings.Observer = g.mayRunAgain, pipelineObserver{g}
 	return httpserver.NewPipelined(newHTTPServer(g.callerHandler), listener.(*net.TCPListener), 0, settings), nil
 }
 
@@ -164,7 +164,7 @@
 // Ready reports whether the gateway can serve callers.
 func (g *Gateway) Ready() bool {
 	v := g.views.load()
-	return !g.admission.Stopping() && v.table != nil && len(v.byID) > 0 && g.session.vouched.holds(steady.Reading())
+	return !g.admission.Stopping() && v.table != nil && len(v.byID) > 0 && g.session.configurationLease.valid(steady.Reading())
 }
 
 // Heartbeat handles a heartbeat of the back end beside the gateway. Its return acknowledges
@@ -182,7 +182,7 @@
 	if !g.registry.heartbeat(registration, g.drainGrace(), now) {
 		return nil, nil
 	}
-	g.keys.stay(registration.ID)
+	g.keys.resumeGrants(registration.ID)
 	return g.keys.heartbeat(registration, now), nil
 }
 
@@ -202,24 +202,24 @@
 		g.egress.setSlots(instance.Slots)
 	}
 	g.config.Log.Info("back end", "instance", instance.ID, "service", instance.Service, "state", int(instance.State), "leaving", instance.Leaving, "cold", instance.Cold)
-	g.session.report()
+	g.session.requestReport()
 	g.keys.signal()
 }
 
-// suspect examines an error of a request to the back end. If another instance answered, the
+// handleBackendError examines an error of a request to the back end. If another instance answered, the
 // current one was replaced; if the connection was refused, the address is checked again.
-func (g *Gateway) suspect(instance string, err error) {
+func (g *Gateway) handleBackendError(instance string, err error) {
 	switch {
 	case errors.Is(err, ErrOtherInstance):
-		g.registry.displaced(instance)
-	case refusedConnection(err):
-		g.probe(instance)
+		g.registry.markDisplaced(instance)
+	case isConnectionRefused(err):
+		g.probeBackend(instance)
 	}
 }
 
-// probe checks whether anything listens at the back end's address. If nothing does, the back
+// probeBackend checks whether anything listens at the back end's address. If nothing does, the back
 // end gets no new requests until something listens again; its process may still be alive.
-func (g *Gateway) probe(instance string) {
+func (g *Gateway) probeBackend(instance string) {
 	if !g.probing.CompareAndSwap(false, true) {
 		return
 	}
@@ -227,14 +227,14 @@
 		defer g.probing.Store(false)
 		const probeDelay = 50 * time.Millisecond
 		time.Sleep(probeDelay)
-		conn, err := net.DialTimeout("tcp", g.config.BackendAddress, backendDial)
+		conn, err := net.DialTimeout("tcp", g.config.BackendAddress, backendDialTimeout)
 		if err == nil {
 			_ = conn.Close()
-			g.registry.reached(instance)
+			g.registry.markReachable(instance)
 			return
 		}
-		if refusedConnection(err) {
-			g.registry.lost(instance)
+		if isConnectionRefused(err) {
+			g.registry.markUnreachable(instance)
 		}
 	}()
 }
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -25,14 +25,14 @@
 	fieldTransfer = fieldPrefix + "Transfer"
 	// fieldTrial is the number of the trial under which a suspected request runs.
 	fieldTrial = fieldPrefix + "Trial"
-	// fieldAtWork is how many requests the back end was running when it terminated.
-	fieldAtWork = fieldPrefix + "At-Work"
-	// fieldTellsEnds marks a message about terminated back ends.
-	fieldTellsEnds = fieldPrefix + "Tells-Ends"
-	// fieldAsksWord requests a fleetwire.PeerWord and names the version that the sender has.
-	fieldAsksWord = fieldPrefix + "Asks-Word"
-	fieldOutcome  = fieldPrefix + "Outcome"
-	fieldReason   = fieldPrefix + "Reason"
+	// fieldRequestsRunning is how many requests the back end was running when it terminated.
+	fieldRequestsRunning = fieldPrefix + "At-Work"
+	// fieldReportsTerminations marks a message about terminated back ends.
+	fieldReportsTerminations = fieldPrefix + "Tells-Ends"
+	// fieldKnownVersion requests a fleetwire.RelayedState and names the version that the sender has.
+	fieldKnownVersion = fieldPrefix + "Asks-Word"
+	fieldOutcome      = fieldPrefix + "Outcome"
+	fieldReason       = fieldPrefix + "Reason"
 	// fieldSent says that the request was sent to the back end.
 	fieldSent = fieldPrefix + "Sent"
 	fieldLoad = fieldPrefix + "Load"
@@ -102,13 +102,13 @@
 	buffer = append(buffer, ',')
 	buffer = strconv.AppendInt(buffer, load.serviceTime.Microseconds(), 10)
 	buffer = append(buffer, ',')
-	buffer = strconv.AppendInt(buffer, load.shortService.Microseconds(), 10)
+	buffer = strconv.AppendInt(buffer, load.shortServiceTime.Microseconds(), 10)
 	buffer = append(buffer, ',')
-	buffer = strconv.AppendInt(buffer, load.shortUpTo.Microseconds(), 10)
+	buffer = strconv.AppendInt(buffer, load.shortMaxTarget.Microseconds(), 10)
 	buffer = append(buffer, ',')
 	buffer = strconv.AppendInt(buffer, load.linkBacklog.Microseconds(), 10)
 	buffer = append(buffer, ',')
-	buffer = strconv.AppendInt(buffer, int64(math.Round(load.bears*warmupRateUnit)), 10)
+	buffer = strconv.AppendInt(buffer, int64(math.Round(load.coldRate*warmupRateUnit)), 10)
 	return string(buffer)
 }
 
@@ -146,10 +146,10 @@
 	}
 	return peerLoad{
 		running: int(numbers[0]), waiting: int(numbers[1]), slots: int(numbers[2]),
-		serviceTime:  time.Duration(numbers[3]) * time.Microsecond,
-		shortService: time.Duration(numbers[4]) * time.Microsecond,
-		shortUpTo:    time.Duration(numbers[5]) * time.Microsecond,
-		linkBacklog:  time.Duration(numbers[6]) * time.Microsecond,
-		bears:        float64(numbers[7]) / warmupRateUnit,
+		serviceTime:      time.Duration(numbers[3]) * time.Microsecond,
+		shortServiceTime: time.Duration(numbers[4]) * time.Microsecond,
+		shortMaxTarget:   time.Duration(numbers[5]) * time.Microsecond,
+		linkBacklog:      time.Duration(numbers[6]) * time.Microsecond,
+		coldRate:         float64(numbers[7]) / warmupRateUnit,
 	}, true
 }
--- a/internal/gateway/ingress.go
+++ b/internal/gateway/ingress.go
@@ -79,13 +79,13 @@
 
 // callerHandler handles the requests of callers.
 func (g *Gateway) callerHandler(w http.ResponseWriter, r *http.Request) {
-	g.active.Add(1)
-	defer g.active.Add(-1)
+	g.activeCallers.Add(1)
+	defer g.activeCallers.Add(-1)
 	g.closeWhileStopping(w, r)
 	began := steady.Reading()
 	g.lastCaller.Store(steady.At(began))
 	v := g.views.load()
-	route := v.find(r)
+	route := v.findRoute(r)
 	if why := g.checkCallerRequest(r, v, route, began); why != reasonNone {
 		g.metrics.request("", outcomeNotRun, why)
 		g.writeRefusal(w, r, why, retryAfter(notRun(why)), nil)
@@ -125,9 +125,9 @@
 		return reasonNoMemory
 	case v.table == nil:
 		return reasonNoConfiguration
-	case !g.session.vouched.holds(now):
+	case !g.session.configurationLease.valid(now):
 		// Another configuration with other routes may have been in force for long.
-		return reasonOutdated
+		return reasonStaleConfiguration
 	case route != nil && !route.Repetition.MayRepeat() && httpserver.MayRunBeside(r):
 		// The route has changed since the request was accepted as one that may run twice.
 		return reasonRouteChanged
@@ -174,7 +174,7 @@
 	if limit := began.Add(route.Timeout); limit.Before(c.deadline) {
 		c.deadline, c.limitedByRoute = limit, true
 	}
-	g.budgets.request(c.service.Name, steady.At(began))
+	g.budgets.countRequest(c.service.Name, steady.At(began))
 	return c, 0
 }
 
@@ -199,8 +199,8 @@
 			g.streamResponse(w, c, result)
 			return
 		}
-		if g.writeAnswer(c.request.Context(), w, result.Status, result.Body) {
-			g.pacer.sent(result.kept)
+		if g.writeResponse(c.request.Context(), w, result.Status, result.Body) {
+			g.pacer.completed(result.linkReservation)
 		}
 		return
 	case outcomeNotRun:
@@ -227,8 +227,8 @@
 	// retryJitter spreads the return of callers if it is known when the gateway can serve
 	// again.
 	retryJitter = 200 * time.Millisecond
-	// longestRetry bounds Retry-After: the load half a minute ahead can't be predicted.
-	longestRetry = 30 * time.Second
+	// maxRetryAfter bounds Retry-After: the load half a minute ahead can't be predicted.
+	maxRetryAfter = 30 * time.Second
 )
 
 // retryAfter returns when a refused request should come back, with jitter so that callers
@@ -240,13 +240,13 @@
 	switch result.Reason {
 	case reasonStopping, reasonOwnerLost:
 		base = retryJitter
-	case reasonNoRoom:
+	case reasonNoSlot:
 		base = max(minRetryWhenFull, retryServiceTimes*result.Load.serviceTime)
 	case reasonLinkFull:
 		// The link's present backlog has been sent by then.
 		base = max(minRetryWhenFull, result.Load.linkBacklog)
 	}
-	return min(result.RetryAfter+base/2+time.Duration(rand.Float64()*float64(base)), longestRetry)
+	return min(result.RetryAfter+base/2+time.Duration(rand.Float64()*float64(base)), maxRetryAfter)
 }
 
 // writeRefusal answers a request that has not run and will not run.
--- a/internal/gateway/keyearliergrants.go
+++ b/internal/gateway/keyearliergrants.go
@@ -22,19 +22,19 @@
 }
 
 // add adds the grants that an incarnation may still hold.
-func (e *earlierIncarnationGrants) add(grants map[heldKey]*grant, fences *fenceTracker, now time.Time) {
+func (e *earlierIncarnationGrants) add(grants map[fencedRange]*grant, fences *fenceTracker, now time.Time) {
 	for _, sent := range grants {
-		if !sent.bound.Over(now) {
+		if !sent.bound.Expired(now) {
 			e.grants = append(e.grants, sent)
 		}
 	}
-	e.unreadUntil = later(e.unreadUntil, fences.unreadUntil())
+	e.unreadUntil = latest(e.unreadUntil, fences.unreadUntil())
 }
 
 // expired reports whether earlier incarnations hold nothing any more.
 func (e *earlierIncarnationGrants) expired(now time.Time) bool {
 	for _, sent := range e.grants {
-		if !sent.bound.Over(now) {
+		if !sent.bound.Expired(now) {
 			return false
 		}
 	}
@@ -42,43 +42,43 @@
 	return !now.Before(e.unreadUntil)
 }
 
-// earlierProcessUntil is the time at which every grant of an earlier process of this gateway
+// earlierProcessExpiresAt is the time at which every grant of an earlier process of this gateway
 // has expired, by call or by heartbeat: it is not known which of them the configuration of
 // that time used.
-func (k *keyKeeper) earlierProcessUntil() time.Time {
+func (k *grantManager) earlierProcessExpiresAt() time.Time {
 	config := &k.gateway.config
-	byCall, byHeartbeat := config.KeyHold+transit, config.HeartbeatInterval+answerVoid
-	return k.started.Add(keyhold.Longest(max(byCall, byHeartbeat)))
+	byCall, byHeartbeat := config.KeyHold+maxTransitDelay, config.HeartbeatInterval+answerValidity
+	return k.started.Add(keyhold.WithDrift(max(byCall, byHeartbeat)))
 }
 
 // earlierProcessExpired reports whether every grant of an earlier process of this gateway has
 // expired.
-func (k *keyKeeper) earlierProcessExpired(now time.Time) bool {
-	return !now.Before(k.earlierProcessUntil())
+func (k *grantManager) earlierProcessExpired(now time.Time) bool {
+	return !now.Before(k.earlierProcessExpiresAt())
 }
 
 // refusesEarlierProcesses reports whether the back end has confirmed a grant of all of a range
 // to this process, so that it refuses unread grants of earlier processes; or whether no such
 // grant can be unread any more. The caller has the mutex.
-func (k *keyKeeper) refusesEarlierProcesses(held fleetwire.Held, now time.Time) bool {
+func (k *grantManager) refusesEarlierProcesses(held fleetwire.Held, now time.Time) bool {
 	return k.confirmedGrantOf(held) || k.noUnreadOrders(now)
 }
 
 // noUnreadOrders reports whether no order of an earlier process can be queued, unread, at the
 // back end any more. A back end that gets its keys by heartbeat is sent no orders.
-func (k *keyKeeper) noUnreadOrders(now time.Time) bool {
+func (k *grantManager) noUnreadOrders(now time.Time) bool {
 	return k.byHeartbeat() || !now.Before(k.started.Add(maxGrantDelay))
 }
 
 // mayHoldKeys reports whether the back end may hold keys at all.
-func (k *keyKeeper) mayHoldKeys() bool {
+func (k *grantManager) mayHoldKeys() bool {
 	service := k.gateway.views.load().service(k.gateway.registry.snapshot().Service)
 	return service == nil || service.Keyed
 }
 
-// earlierOver reports whether everything that was granted to incarnations before an instance,
+// earlierExpired reports whether everything that was granted to incarnations before an instance,
 // or by an earlier process of this gateway, has expired.
-func (k *keyKeeper) earlierOver(instance string, now time.Time) bool {
+func (k *grantManager) earlierExpired(instance string, now time.Time) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if k.instance != "" && k.instance != instance {
@@ -92,9 +92,9 @@
 	return expired
 }
 
-// yield stops grants to an incarnation until it sends a heartbeat again, and reports whether
+// stopGrants stops grants to an incarnation until it sends a heartbeat again, and reports whether
 // everything that it was granted has expired.
-func (k *keyKeeper) yield(former string, now time.Time) bool {
+func (k *grantManager) stopGrants(former string, now time.Time) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if former == k.instance && !k.grantsStopped {
@@ -106,17 +106,17 @@
 
 // noActiveGrants reports whether every grant of this process has expired. The caller has the
 // mutex.
-func (k *keyKeeper) noActiveGrants(now time.Time) bool {
+func (k *grantManager) noActiveGrants(now time.Time) bool {
 	for _, sent := range k.grants {
-		if !sent.bound.Over(now) {
+		if !sent.bound.Expired(now) {
 			return false
 		}
 	}
 	return true
 }
 
-// stay resumes grants to an instance that has sent a heartbeat again.
-func (k *keyKeeper) stay(instance string) {
+// resumeGrants resumes grants to an instance that has sent a heartbeat again.
+func (k *grantManager) resumeGrants(instance string) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if k.grantsStopped && instance == k.instance {
@@ -127,16 +127,16 @@
 
 // allGrantsExpired reports whether every grant of this process and earlier ones has expired,
 // except for unanswered grants. The caller has the mutex.
-func (k *keyKeeper) allGrantsExpired(now time.Time) bool {
+func (k *grantManager) allGrantsExpired(now time.Time) bool {
 	return k.noActiveGrants(now) && k.earlierProcessExpired(now)
 }
 
 // syncIncarnation starts over if another incarnation is the current one, and retries a
 // candidate that waits to replace it. It reports whether the manager's incarnation is the
 // current one. The caller has the mutex.
-func (k *keyKeeper) syncIncarnation(current fleetwire.Instance, now time.Time) bool {
+func (k *grantManager) syncIncarnation(current fleetwire.Instance, now time.Time) bool {
 	if k.gateway.registry.hasWaitingCandidate() && k.allGrantsExpired(now) {
-		go k.gateway.registry.retry(now)
+		go k.gateway.registry.retryCandidate(now)
 	}
 	if k.instance != "" && current.ID != k.instance {
 		k.reset("", now)
--- a/internal/gateway/keyhandover_test.go
+++ b/internal/gateway/keyhandover_test.go
@@ -150,7 +150,7 @@
 	case h.refusesConnections:
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, syscall.ECONNREFUSED)
 	case h.unresponsive:
-		return nil, errNoAnswer
+		return nil, errInvalidResponse
 	}
 	return h.former, nil
 }
@@ -184,7 +184,7 @@
 // handoverRig is the grant manager of one gateway with the leader's planner, and another
 // gateway whose back end is always healthy.
 type handoverRig struct {
-	*keyRig
+	*grantRig
 	t      *testing.T
 	holder *addressBackend
 	// listener listens on the back end's address; it is closed while the back end refuses
@@ -205,13 +205,13 @@
 }
 
 func newHandoverRig(t *testing.T, grants routeconfig.GrantMode) *handoverRig {
-	r := &handoverRig{keyRig: newKeyRig(t), t: t, state: fleetstate.New(), incarnation: "i-1", sequence: 1}
+	r := &handoverRig{grantRig: newGrantRig(t), t: t, state: fleetstate.New(), incarnation: "i-1", sequence: 1}
 	r.holder = &addressBackend{former: &backendProcess{}}
 	r.g.config.Keys = r.holder
 	r.g.config.BackendAddress = freeAddress(t)
 	r.listen()
-	r.g.registry.interval = heartbeatInterval
-	r.g.registry.yields, r.g.registry.lookAgain = r.g.keys.yield, r.g.probe
+	r.g.registry.heartbeatInterval = heartbeatInterval
+	r.g.registry.stopGrants, r.g.registry.reprobe = r.g.keys.stopGrants, r.g.probeBackend
 	r.g.registry.current.Node = "node-1"
 	r.setGrants(grants, 1)
 	document := &routeconfig.Document{Version: 1, Services: []routeconfig.Service{{Name: "s", Keyed: true, Grants: grants}}}
@@ -315,9 +315,9 @@
 	if r.cutOff {
 		return
 	}
-	report := r.g.session.build()
+	report := r.g.session.buildReport()
 	report.SentAt = steady.Elapsed(r.epoch)
-	r.g.keys.take(r.planner.Report(report, r.now()), r.epoch)
+	r.g.keys.applyLease(r.planner.Report(report, r.now()), r.epoch)
 }
 
 // setRefusing sets whether connections at the address are refused; if so, the gateway finds
@@ -329,7 +329,7 @@
 	}
 	r.holder.set(func() { r.holder.refusesConnections = true })
 	_ = r.listener.Close()
-	r.g.suspect("i-1", syscall.ECONNREFUSED)
+	r.g.handleBackendError("i-1", syscall.ECONNREFUSED)
 }
 
 // listen opens the back end's address; connections are not accepted, which is enough for the
--- a/internal/gateway/keyheartbeats.go
+++ b/internal/gateway/keyheartbeats.go
@@ -20,9 +20,9 @@
 	// MaxOfferedRanges bounds the ranges of an answer, so that it stays below the 4 KiB that a
 	// back end reads: each takes at most 52 bytes, including a handover.
 	MaxOfferedRanges = 64
-	// answerVoid is how long after a heartbeat's arrival a back end may still accept its
+	// answerValidity is how long after a heartbeat's arrival a back end may still accept its
 	// answer: it waits for one second, on a clock that may run slow.
-	answerVoid = time.Second + time.Duration(clockDrift*float64(time.Second)) + cpuQuotaPause
+	answerValidity = time.Second + time.Duration(clockDrift*float64(time.Second)) + cpuQuotaPause
 	// reportedRangeGrace is how much longer than a heartbeat interval a range named by a
 	// heartbeat counts as held while this process has no lease to offer it under. The back end
 	// itself refuses requests for keys that it does not hold.
@@ -111,7 +111,7 @@
 }
 
 // byHeartbeat reports whether the back end gets its keys by heartbeat.
-func (k *keyKeeper) byHeartbeat() bool {
+func (k *grantManager) byHeartbeat() bool {
 	v := k.gateway.views.load()
 	if v.table == nil {
 		return false
@@ -123,7 +123,7 @@
 // heartbeat records what a back end holds and has released according to its newest heartbeat,
 // and returns what it is to hold. It returns once the back end has to be told something or the
 // answer has to be sent; nil renews nothing.
-func (k *keyKeeper) heartbeat(registration Registration, arrived time.Time) *KeyOffer {
+func (k *grantManager) heartbeat(registration Registration, arrived time.Time) *KeyOffer {
 	if !k.byHeartbeat() {
 		return nil
 	}
@@ -143,7 +143,7 @@
 
 // recordHeartbeat records the ranges of a heartbeat and numbers it; ok is false if the
 // heartbeat is not about the keys that are granted here.
-func (k *keyKeeper) recordHeartbeat(instance string, held []HeldRange, freed []FreedRange, arrived time.Time) (number uint64, ok bool) {
+func (k *grantManager) recordHeartbeat(instance string, held []HeldRange, freed []FreedRange, arrived time.Time) (number uint64, ok bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if instance != k.instance || k.grantsStopped || k.gateway.registry.unreachable() {
@@ -159,7 +159,7 @@
 
 // answerHeartbeat returns what a back end is to hold from the arrival of a heartbeat on; nil
 // if a later heartbeat has arrived or there is nothing to renew.
-func (k *keyKeeper) answerHeartbeat(instance string, number uint64, held []HeldRange, arrived time.Time) *KeyOffer {
+func (k *grantManager) answerHeartbeat(instance string, number uint64, held []HeldRange, arrived time.Time) *KeyOffer {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if instance != k.instance || k.grantsStopped || number != k.heartbeatCount || k.gateway.registry.unreachable() {
@@ -176,7 +176,7 @@
 }
 
 // recordFreed stores the released ranges. They replace stored ranges that they overlap.
-func (k *keyKeeper) recordFreed(freed []FreedRange, now time.Time) {
+func (k *grantManager) recordFreed(freed []FreedRange, now time.Time) {
 	k.fromHeartbeats.freed = slices.DeleteFunc(k.fromHeartbeats.freed, func(old timedFreedRange) bool {
 		replaced := slices.ContainsFunc(freed, func(row FreedRange) bool { return row.Keys.Overlaps(old.Keys) })
 		return replaced || now.After(old.freedAt.Add(maxGrantDelay))
@@ -188,7 +188,7 @@
 
 // recordAccepted compares what the back end holds with what it was offered. A range that the
 // back end has not accepted is offered again under a higher fence.
-func (k *keyKeeper) recordAccepted(held []HeldRange) {
+func (k *grantManager) recordAccepted(held []HeldRange) {
 	for _, sent := range k.grants {
 		if sent.confirmedAt.IsZero() && covered(sent.Keys, held) {
 			sent.confirmedAt = sent.sentAt
@@ -199,16 +199,16 @@
 		owner, sub := decomposeFence(row.Fence)
 		k.fences.recordConfirmed(row.Keys, owner, sub)
 	}
-	for _, wanted := range k.wanted {
-		sent, offered := k.grants[heldKey{wanted.Keys, wanted.Fence}]
+	for _, wanted := range k.leasedRanges {
+		sent, offered := k.grants[fencedRange{wanted.Keys, wanted.Fence}]
 		if !offered || sent.sentAt.IsZero() || covered(wanted.Keys, held) {
 			continue
 		}
 		sent.confirmedAt = time.Time{}
-		sent.untaken++
+		sent.unacceptedOffers++
 		k.gateway.metrics.grant(errOfferNotAccepted)
 		k.fences.retireFence(wanted.Fence, sent.subFence)
-		if sent.untaken == unacceptedOffersLogged {
+		if sent.unacceptedOffers == unacceptedOffersLogged {
 			k.gateway.config.Log.Warn("keys not taken by back end", "instance", k.instance, "first", wanted.Keys.First, "last", wanted.Keys.Last,
 				"fence", uint64(composeFence(wanted.Fence, sent.subFence)))
 		}
@@ -234,7 +234,7 @@
 
 // recordDropped finds the ranges that the back end has released: an earlier answer omitted
 // them, and it no longer names them.
-func (k *keyKeeper) recordDropped(held []HeldRange, now time.Time) {
+func (k *grantManager) recordDropped(held []HeldRange, now time.Time) {
 	for _, pending := range k.releases {
 		stillHeld := slices.ContainsFunc(held, func(row HeldRange) bool { return row.Keys.Overlaps(pending.held.Keys) })
 		pending.droppedByBackend = !stillHeld && !pending.omittedAt.IsZero()
@@ -243,7 +243,7 @@
 }
 
 // recordOmitted marks the ranges that the answer being sent omits.
-func (k *keyKeeper) recordOmitted(now time.Time) {
+func (k *grantManager) recordOmitted(now time.Time) {
 	for _, pending := range k.releases {
 		if pending.omittedAt.IsZero() {
 			pending.omittedAt = now
@@ -253,7 +253,7 @@
 
 // completeReleases completes the releases of ranges that the back end has dropped, once it
 // can't accept an answer that offered them any more.
-func (k *keyKeeper) completeReleases(now time.Time) {
+func (k *grantManager) completeReleases(now time.Time) {
 	for _, pending := range k.releases {
 		if pending.done || !pending.droppedByBackend || k.grantInFlight(pending.held) || now.Before(k.answersExpireAt(pending.held)) || k.fences.hasUnanswered(pending.held.Keys, pending.held.Fence) {
 			continue
@@ -262,17 +262,17 @@
 		pending.handover = k.handoverOf(pending.held.Keys)
 		k.gateway.metrics.release(nil)
 		k.gateway.recordKeysFree(k.instance, pending.held.Keys, proofNoLongerReported)
-		k.gateway.session.report()
+		k.gateway.session.requestReport()
 	}
 }
 
 // answersExpireAt is the time from which the back end can't accept any answer that offered a
 // key of a range, whichever process sent it.
-func (k *keyKeeper) answersExpireAt(held fleetwire.Held) time.Time {
-	expiry := k.started.Add(answerVoid)
+func (k *grantManager) answersExpireAt(held fleetwire.Held) time.Time {
+	expiry := k.started.Add(answerValidity)
 	for key, sent := range k.grants {
 		if key.keys.Overlaps(held.Keys) {
-			expiry = later(expiry, sent.offeredAt.Add(answerVoid))
+			expiry = latest(expiry, sent.offeredAt.Add(answerValidity))
 		}
 	}
 	return expiry
@@ -280,7 +280,7 @@
 
 // handoverOf returns the handover data of a range, if the back end released all of the range
 // at once.
-func (k *keyKeeper) handoverOf(keys keyspace.Range) string {
+func (k *grantManager) handoverOf(keys keyspace.Range) string {
 	for _, freed := range k.fromHeartbeats.freed {
 		if freed.Keys.Contains(keys) {
 			return freed.Handover
@@ -291,12 +291,12 @@
 
 // buildOffer returns what the back end is to hold under the current lease, or nil if too
 // little of the lease remains.
-func (k *keyKeeper) buildOffer(now time.Time) *KeyOffer {
+func (k *grantManager) buildOffer(now time.Time) *KeyOffer {
 	hold := k.maxGrantDuration(now)
 	if hold < minGrantDuration {
 		return nil
 	}
-	wanted := k.wanted
+	wanted := k.leasedRanges
 	if len(wanted) > MaxOfferedRanges {
 		k.gateway.config.Log.Warn("more ranges than an answer holds", "instance", k.instance, "ranges", len(wanted), "offered", MaxOfferedRanges)
 		wanted = wanted[:MaxOfferedRanges]
@@ -310,8 +310,8 @@
 }
 
 // offerRange records and returns one range of an offer.
-func (k *keyKeeper) offerRange(held fleetwire.Held, hold time.Duration, now time.Time) OfferedRange {
-	key := heldKey{held.Keys, held.Fence}
+func (k *grantManager) offerRange(held fleetwire.Held, hold time.Duration, now time.Time) OfferedRange {
+	key := fencedRange{held.Keys, held.Fence}
 	sent, ok := k.grants[key]
 	if !ok {
 		sent = &grant{Held: held}
@@ -322,15 +322,15 @@
 	k.fromHeartbeats.freed = slices.DeleteFunc(k.fromHeartbeats.freed, func(row timedFreedRange) bool { return row.Keys.Overlaps(held.Keys) })
 	sent.sentAt, sent.offeredAt = now, now
 	sent.subFence = k.fences.subFences[held.Fence]
-	sent.until = now.Add(hold)
-	sent.bound.Given(now, hold)
+	sent.heldUntil = now.Add(hold)
+	sent.bound.Extend(now, hold)
 	if accepted {
-		sent.confirmedAt, sent.untaken = now, 0
+		sent.confirmedAt, sent.unacceptedOffers = now, 0
 	}
 	// Requests are sent at once for a range that is offered for the first time. One that was
 	// not accepted gets none until the back end names it.
-	if accepted || sent.untaken == 0 {
-		k.fromHeartbeats.served = append(k.fromHeartbeats.served, servedRange{held.Keys, sent.until})
+	if accepted || sent.unacceptedOffers == 0 {
+		k.fromHeartbeats.served = append(k.fromHeartbeats.served, servedRange{held.Keys, sent.heldUntil})
 	}
 	offered := OfferedRange{Keys: held.Keys, Fence: composeFence(held.Fence, sent.subFence)}
 	if !accepted {
@@ -348,7 +348,7 @@
 		until := now.Add(grace)
 		for _, known := range previous {
 			if known.keys.Contains(row.Keys) {
-				until = later(until, known.until)
+				until = latest(until, known.until)
 			}
 		}
 		served = append(served, servedRange{row.Keys, until})
@@ -358,7 +358,7 @@
 
 // servesByHeartbeat reports whether requests for a key may be sent, according to the last
 // heartbeat.
-func (k *keyKeeper) servesByHeartbeat(key keyspace.Key, now time.Time) bool {
+func (k *grantManager) servesByHeartbeat(key keyspace.Key, now time.Time) bool {
 	return slices.ContainsFunc(k.fromHeartbeats.served, func(served servedRange) bool {
 		return served.keys.First <= key && key <= served.keys.Last && now.Before(served.until)
 	})
--- a/internal/gateway/keyheartbeats_test.go
+++ b/internal/gateway/keyheartbeats_test.go
@@ -15,26 +15,26 @@
 )
 
 // newHeartbeatRig is a rig whose back end gets its keys by heartbeat.
-func newHeartbeatRig(t *testing.T) *keyRig {
-	rig := newKeyRig(t)
+func newHeartbeatRig(t *testing.T) *grantRig {
+	rig := newGrantRig(t)
 	rig.setGrants(routeconfig.GrantByHeartbeat, 1)
 	return rig
 }
 
-func (r *keyRig) setGrants(mode routeconfig.GrantMode, version routeconfig.Version) {
+func (r *grantRig) setGrants(mode routeconfig.GrantMode, version routeconfig.Version) {
 	// A view with only a document is always accepted.
-	_ = r.g.views.advance(&fleetwire.View{Document: &routeconfig.Document{
+	_ = r.g.views.apply(&fleetwire.View{Document: &routeconfig.Document{
 		Version: version, Services: []routeconfig.Service{{Name: "s", Keyed: true, Grants: mode}},
 	}}, time.Time{})
 }
 
-// beat sends the next heartbeat of an instance.
-func (r *keyRig) beat(t *testing.T, instance string, held []HeldRange, freed ...FreedRange) *KeyOffer {
+// heartbeat sends the next heartbeat of an instance.
+func (r *grantRig) heartbeat(t *testing.T, instance string, held []HeldRange, freed ...FreedRange) *KeyOffer {
 	r.sequence++
 	return r.heartbeatWith(t, instance, r.sequence, held, freed)
 }
 
-func (r *keyRig) heartbeatWith(t *testing.T, instance string, sequence uint64, held []HeldRange, freed []FreedRange) *KeyOffer {
+func (r *grantRig) heartbeatWith(t *testing.T, instance string, sequence uint64, held []HeldRange, freed []FreedRange) *KeyOffer {
 	offer, err := r.g.Heartbeat(Registration{
 		ID: instance, Service: "s", Slots: 4, State: fleetwire.InstanceReady, Sequence: sequence, Held: held, Freed: freed,
 	})
@@ -49,10 +49,10 @@
 func TestAHeartbeatIsAnsweredWithAllThatTheLeaseLists(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
-		assert.Assert(t, rig.beat(t, "i-1", nil) == nil, "no lease yet: nothing is renewed")
-		rig.lease(held(0, 99), nil)
+		assert.Assert(t, rig.heartbeat(t, "i-1", nil) == nil, "no lease yet: nothing is renewed")
+		rig.lease(leasedRange(0, 99), nil)
 		assert.Assert(t, !rig.g.keys.holds("i-1", 5, steady.Reading()), "the back end is not told yet")
-		offer := rig.beat(t, "i-1", nil)
+		offer := rig.heartbeat(t, "i-1", nil)
 		assert.DeepEqual(t, offer.Held, []OfferedRange{{Keys: keyspace.Range{First: 0, Last: 99}, Fence: composeFence(7, 0)}})
 		assert.Assert(t, offer.Hold <= rig.g.keys.grantDuration())
 		assert.Assert(t, rig.g.keys.holds("i-1", 5, steady.Reading()))
@@ -60,7 +60,7 @@
 		assert.Equal(t, len(rig.holder.granted()), 0, "the back end is not called")
 		// No further report is answered: the lease ends, and nothing is renewed.
 		time.Sleep(8 * time.Second)
-		assert.Assert(t, rig.beat(t, "i-1", nil) == nil)
+		assert.Assert(t, rig.heartbeat(t, "i-1", nil) == nil)
 		assert.Assert(t, !rig.g.keys.holds("i-1", 5, steady.Reading()))
 	})
 }
@@ -71,10 +71,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
 		draw := rand.New(rand.NewPCG(1, 2))
-		rig.lease(held(0, 99), nil)
+		rig.lease(leasedRange(0, 99), nil)
 		leaseEnds := rig.g.keys.leaseUntil
 		for steady.Reading().Before(leaseEnds) {
-			if offer := rig.beat(t, "i-1", nil); offer != nil {
+			if offer := rig.heartbeat(t, "i-1", nil); offer != nil {
 				slow := steady.Reading().Add(time.Duration(float64(offer.Hold) * 1.02))
 				assert.Assert(t, !slow.After(leaseEnds), "held for %v beyond the lease", slow.Sub(leaseEnds))
 			}
@@ -86,9 +86,9 @@
 func TestALateOrRepeatedHeartbeatRenewsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
-		rig.lease(held(0, 99), nil)
+		rig.lease(leasedRange(0, 99), nil)
 		rig.sequence = 9
-		assert.Assert(t, rig.beat(t, "i-1", nil) != nil)
+		assert.Assert(t, rig.heartbeat(t, "i-1", nil) != nil)
 		for _, late := range []uint64{10, 9, 3} {
 			assert.Assert(t, rig.heartbeatWith(t, "i-1", late, nil, nil) == nil, "sequence %d", late)
 		}
@@ -100,27 +100,27 @@
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
 		rig.g.config.KeyHold = 5 * time.Second // the grants don't expire during the test
-		rig.lease(held(0, 99), nil)
-		rig.beat(t, "i-1", nil)
+		rig.lease(leasedRange(0, 99), nil)
+		rig.heartbeat(t, "i-1", nil)
 		time.Sleep(time.Second)
 		fence := composeFence(7, 0)
-		rig.beat(t, "i-1", heldUnderFence(0, 99, fence))
+		rig.heartbeat(t, "i-1", heldUnderFence(0, 99, fence))
 		time.Sleep(time.Second)
-		rig.lease(held(0, 39), asked(40, 99))
+		rig.lease(leasedRange(0, 39), releasable(40, 99))
 		assert.Assert(t, rig.g.keys.holds("i-1", 50, steady.Reading()), "served until the back end is told")
 		// A heartbeat that was sent before does not name them: its sender has not received the
 		// answer that omits them.
-		offer := rig.beat(t, "i-1", heldUnderFence(0, 39, fence))
+		offer := rig.heartbeat(t, "i-1", heldUnderFence(0, 39, fence))
 		assert.Equal(t, len(offer.Held), 1)
 		assert.Assert(t, !rig.g.keys.holds("i-1", 50, steady.Reading()))
-		assert.Equal(t, len(rig.g.keys.promises(0)), 0)
+		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 0)
 		// It still serves requests for some of them.
-		rig.beat(t, "i-1", append(heldUnderFence(0, 39, fence), heldUnderFence(90, 99, fence)...))
+		rig.heartbeat(t, "i-1", append(heldUnderFence(0, 39, fence), heldUnderFence(90, 99, fence)...))
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
-		assert.Equal(t, len(rig.g.keys.promises(0)), 0)
-		rig.beat(t, "i-1", heldUnderFence(0, 39, fence), FreedRange{keyspace.Range{First: 40, Last: 99}, "left"})
-		released := rig.g.keys.promises(0)
+		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 0)
+		rig.heartbeat(t, "i-1", heldUnderFence(0, 39, fence), FreedRange{keyspace.Range{First: 40, Last: 99}, "left"})
+		released := rig.g.keys.reportReleases(0)
 		assert.Equal(t, len(released), 1)
 		assert.Equal(t, released[0].Handover, "left")
 	})
@@ -131,21 +131,21 @@
 func TestKeysAreNotReleasedWhileAnOlderAnswerMayStillBeAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
-		time.Sleep(2 * answerVoid)
-		rig.lease(held(0, 99), nil)
-		rig.beat(t, "i-1", nil)
+		time.Sleep(2 * answerValidity)
+		rig.lease(leasedRange(0, 99), nil)
+		rig.heartbeat(t, "i-1", nil)
 		offered := steady.Reading()
-		rig.lease(held(0, 39), asked(40, 99))
-		rig.beat(t, "i-1", nil)
+		rig.lease(leasedRange(0, 39), releasable(40, 99))
+		rig.heartbeat(t, "i-1", nil)
 		time.Sleep(100 * time.Millisecond)
-		rig.beat(t, "i-1", heldUnderFence(0, 39, composeFence(7, 0)))
-		assert.Equal(t, len(rig.g.keys.promises(0)), 0)
-		time.Sleep(answerVoid - steady.Elapsed(offered) - time.Millisecond)
+		rig.heartbeat(t, "i-1", heldUnderFence(0, 39, composeFence(7, 0)))
+		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 0)
+		time.Sleep(answerValidity - steady.Elapsed(offered) - time.Millisecond)
 		synctest.Wait()
-		assert.Equal(t, len(rig.g.keys.promises(0)), 0)
-		time.Sleep(2 * keysInterval)
+		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 0)
+		time.Sleep(2 * grantCheckInterval)
 		synctest.Wait()
-		assert.Equal(t, len(rig.g.keys.promises(0)), 1)
+		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 1)
 	})
 }
 
@@ -154,18 +154,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
 		time.Sleep(10 * time.Second)
-		rig.lease(held(0, 99), nil)
-		offer := rig.beat(t, "i-1", nil)
+		rig.lease(leasedRange(0, 99), nil)
+		offer := rig.heartbeat(t, "i-1", nil)
 		until := steady.Reading().Add(time.Duration(float64(offer.Hold) * 1.02))
-		rig.lease(nil, asked(0, 99))
+		rig.lease(nil, releasable(0, 99))
 		for steady.Reading().Before(until) {
-			assert.Equal(t, len(rig.g.keys.promises(0)), 0)
-			time.Sleep(keysInterval)
+			assert.Equal(t, len(rig.g.keys.reportReleases(0)), 0)
+			time.Sleep(grantCheckInterval)
 			synctest.Wait()
 		}
 		time.Sleep(time.Second)
 		synctest.Wait()
-		assert.Equal(t, len(rig.g.keys.promises(0)), 1)
+		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 1)
 	})
 }
 
@@ -174,18 +174,18 @@
 func TestARangeThatIsNotAcceptedIsOfferedUnderAHigherFence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
-		rig.lease(held(0, 99), nil)
-		before := rig.beat(t, "i-1", nil).Held[0].Fence
+		rig.lease(leasedRange(0, 99), nil)
+		before := rig.heartbeat(t, "i-1", nil).Held[0].Fence
 		for range 5 {
 			time.Sleep(time.Second)
-			rig.lease(held(0, 99), nil)
-			offer := rig.beat(t, "i-1", nil)
+			rig.lease(leasedRange(0, 99), nil)
+			offer := rig.heartbeat(t, "i-1", nil)
 			assert.Assert(t, offer.Held[0].Fence > before, "%d after %d", offer.Held[0].Fence, before)
 			before = offer.Held[0].Fence
 			assert.Assert(t, !rig.g.keys.holds("i-1", 5, steady.Reading()))
 		}
-		rig.lease(held(0, 99), nil)
-		offer := rig.beat(t, "i-1", heldUnderFence(0, 99, before))
+		rig.lease(leasedRange(0, 99), nil)
+		offer := rig.heartbeat(t, "i-1", heldUnderFence(0, 99, before))
 		assert.Equal(t, offer.Held[0].Fence, before, "accepted: renewed under the same fence")
 		assert.Assert(t, rig.g.keys.holds("i-1", 5, steady.Reading()))
 	})
@@ -196,8 +196,8 @@
 func TestARestartedGatewayServesTheRangesThatItsBackEndNames(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
-		rig.g.keys.take(&fleetwire.Lease{Instance: "i-1"}, rig.epoch)
-		assert.Assert(t, rig.beat(t, "i-1", heldUnderFence(0, 99, composeFence(7, 0))) == nil)
+		rig.g.keys.applyLease(&fleetwire.Lease{Instance: "i-1"}, rig.epoch)
+		assert.Assert(t, rig.heartbeat(t, "i-1", heldUnderFence(0, 99, composeFence(7, 0))) == nil)
 		assert.Assert(t, rig.g.keys.holds("i-1", 5, steady.Reading()))
 		assert.Assert(t, !rig.g.keys.holds("i-1", 100, steady.Reading()))
 		time.Sleep(2 * (DefaultHeartbeatInterval + reportedRangeGrace))
@@ -209,32 +209,32 @@
 func TestKeysAreNotReleasedWhileAnAnswerOfAnEarlierProcessMayBeAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
-		rig.lease(nil, asked(0, 99))
-		rig.beat(t, "i-1", nil)
-		rig.beat(t, "i-1", nil)
-		assert.Equal(t, len(rig.g.keys.promises(0)), 0)
-		time.Sleep(answerVoid + keysInterval)
+		rig.lease(nil, releasable(0, 99))
+		rig.heartbeat(t, "i-1", nil)
+		rig.heartbeat(t, "i-1", nil)
+		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 0)
+		time.Sleep(answerValidity + grantCheckInterval)
 		synctest.Wait()
-		assert.Equal(t, len(rig.g.keys.promises(0)), 1)
+		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 1)
 	})
 }
 
 func TestTheNextIncarnationIsNotOfferedKeysOfTheFormerOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
-		rig.lease(held(0, 99), nil)
-		rig.beat(t, "i-1", nil)
-		assert.Assert(t, rig.beat(t, "i-2", nil) == nil)
+		rig.lease(leasedRange(0, 99), nil)
+		rig.heartbeat(t, "i-1", nil)
+		assert.Assert(t, rig.heartbeat(t, "i-2", nil) == nil)
 		assert.Assert(t, !rig.g.keys.holds("i-2", 5, steady.Reading()))
-		assert.Assert(t, rig.beat(t, "i-1", heldUnderFence(0, 99, composeFence(7, 0))) == nil, "a heartbeat of the former incarnation")
+		assert.Assert(t, rig.heartbeat(t, "i-1", heldUnderFence(0, 99, composeFence(7, 0))) == nil, "a heartbeat of the former incarnation")
 	})
 }
 
 func TestInvalidKeyRangesAreRefusedAndChangeNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
-		rig.lease(held(0, 99), nil)
-		rig.beat(t, "i-1", nil)
+		rig.lease(leasedRange(0, 99), nil)
+		rig.heartbeat(t, "i-1", nil)
 		refused := []Registration{
 			{Held: heldUnderFence(50, 40, 1)},
 			{Held: heldUnderFence(0, keyspace.LastKey+1, 1)},
@@ -248,10 +248,10 @@
 			assert.Assert(t, errors.As(err, &wrong), "case %d: %v", i, err)
 		}
 		// Ranges that were never held or granted are ignored.
-		rig.beat(t, "i-1", append(heldUnderFence(0, 99, composeFence(7, 0)), heldUnderFence(200, 300, 12345)...), FreedRange{keyspace.Range{First: 400, Last: 500}, "x"})
+		rig.heartbeat(t, "i-1", append(heldUnderFence(0, 99, composeFence(7, 0)), heldUnderFence(200, 300, 12345)...), FreedRange{keyspace.Range{First: 400, Last: 500}, "x"})
 		assert.Assert(t, rig.g.keys.holds("i-1", 5, steady.Reading()))
 		assert.Assert(t, !rig.g.keys.holds("i-1", 250, steady.Reading()), "not offered")
-		assert.Equal(t, len(rig.g.keys.promises(0)), 0)
+		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 0)
 	})
 }
 
@@ -260,9 +260,9 @@
 func TestAHeartbeatMayNameARangeUnderTwoFences(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
-		rig.lease(held(0, 99), nil)
-		rig.beat(t, "i-1", nil)
-		offer := rig.beat(t, "i-1", append(heldUnderFence(0, 99, composeFence(7, 0)), heldUnderFence(50, 99, composeFence(6, 0))...))
+		rig.lease(leasedRange(0, 99), nil)
+		rig.heartbeat(t, "i-1", nil)
+		offer := rig.heartbeat(t, "i-1", append(heldUnderFence(0, 99, composeFence(7, 0)), heldUnderFence(50, 99, composeFence(6, 0))...))
 		assert.Equal(t, len(offer.Held), 1)
 		assert.Assert(t, rig.g.keys.holds("i-1", 60, steady.Reading()))
 	})
@@ -273,38 +273,38 @@
 func TestAnOldHandoverIsNotPassedOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
-		time.Sleep(2 * answerVoid)
-		rig.lease(held(0, 39), nil)
-		rig.beat(t, "i-1", heldUnderFence(0, 39, composeFence(7, 0)), FreedRange{keyspace.Range{First: 40, Last: 99}, "old"})
-		rig.lease(held(0, 99), nil)
-		rig.beat(t, "i-1", heldUnderFence(0, 39, composeFence(7, 0)))
-		time.Sleep(2 * answerVoid)
-		rig.lease(held(0, 39), asked(40, 99))
-		rig.beat(t, "i-1", heldUnderFence(0, 99, composeFence(7, 0)))
-		rig.beat(t, "i-1", heldUnderFence(0, 39, composeFence(7, 0)))
-		time.Sleep(2 * answerVoid)
+		time.Sleep(2 * answerValidity)
+		rig.lease(leasedRange(0, 39), nil)
+		rig.heartbeat(t, "i-1", heldUnderFence(0, 39, composeFence(7, 0)), FreedRange{keyspace.Range{First: 40, Last: 99}, "old"})
+		rig.lease(leasedRange(0, 99), nil)
+		rig.heartbeat(t, "i-1", heldUnderFence(0, 39, composeFence(7, 0)))
+		time.Sleep(2 * answerValidity)
+		rig.lease(leasedRange(0, 39), releasable(40, 99))
+		rig.heartbeat(t, "i-1", heldUnderFence(0, 99, composeFence(7, 0)))
+		rig.heartbeat(t, "i-1", heldUnderFence(0, 39, composeFence(7, 0)))
+		time.Sleep(2 * answerValidity)
 		synctest.Wait()
-		assert.Equal(t, len(rig.g.keys.promises(0)), 1)
-		assert.Equal(t, rig.g.keys.promises(0)[0].Handover, "")
+		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 1)
+		assert.Equal(t, rig.g.keys.reportReleases(0)[0].Handover, "")
 	})
 }
 
 // A later configuration may change how the keys of a service are granted.
 func TestAServiceChangesHowItsKeysAreGranted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newKeyRig(t)
+		rig := newGrantRig(t)
 		rig.setGrants(routeconfig.GrantByCall, 1)
-		rig.lease(held(0, 99), nil)
+		rig.lease(leasedRange(0, 99), nil)
 		assert.Assert(t, rig.g.keys.holds("i-1", 5, steady.Reading()))
 		called := rig.holder.granted()
 		rig.setGrants(routeconfig.GrantByHeartbeat, 2)
-		offer := rig.beat(t, "i-1", heldUnderFence(0, 99, called[len(called)-1].Fence))
+		offer := rig.heartbeat(t, "i-1", heldUnderFence(0, 99, called[len(called)-1].Fence))
 		assert.Assert(t, offer.Held[0].Fence >= called[len(called)-1].Fence)
 		assert.Assert(t, rig.g.keys.holds("i-1", 5, steady.Reading()))
 		time.Sleep(3 * time.Second)
 		assert.Equal(t, len(rig.holder.granted()), len(called), "no further calls")
 		rig.setGrants(routeconfig.GrantByCall, 3)
-		rig.lease(held(0, 99), nil)
+		rig.lease(leasedRange(0, 99), nil)
 		assert.Assert(t, len(rig.holder.granted()) > len(called))
 		assert.Assert(t, rig.g.keys.holds("i-1", 5, steady.Reading()))
 	})
@@ -319,7 +319,7 @@
 			many = append(many, fleetwire.Held{Keys: keyspace.Range{First: i * 2, Last: i * 2}, Fence: 7})
 		}
 		rig.lease(many, nil)
-		offer := rig.beat(t, "i-1", nil)
+		offer := rig.heartbeat(t, "i-1", nil)
 		assert.Equal(t, len(offer.Held), MaxOfferedRanges)
 		assert.Assert(t, !rig.g.keys.holds("i-1", 399, steady.Reading()), "no requests for ranges that are not offered")
 	})
@@ -327,7 +327,7 @@
 
 // leaseUnderHigherFence applies a lease that lists a range under a higher fence than before,
 // as after ranges were joined, and that asks for the release of a part of it at once.
-func leaseUnderHigherFence(rig *keyRig) {
+func leaseUnderHigherFence(rig *grantRig) {
 	joined := fleetwire.Held{Keys: keyspace.Range{First: 0, Last: 199}, Fence: 9}
 	part := fleetwire.Held{Keys: keyspace.Range{First: 40, Last: 49}, Fence: 9, MayCover: true}
 	rig.lease([]fleetwire.Held{
@@ -343,32 +343,32 @@
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
 		time.Sleep(20 * time.Second)
-		rig.lease(held(0, 99), nil)
-		rig.beat(t, "i-1", nil)
-		rig.beat(t, "i-1", heldUnderFence(0, 99, composeFence(7, 0)))
+		rig.lease(leasedRange(0, 99), nil)
+		rig.heartbeat(t, "i-1", nil)
+		rig.heartbeat(t, "i-1", heldUnderFence(0, 99, composeFence(7, 0)))
 		leaseUnderHigherFence(rig)
-		assert.Equal(t, len(rig.g.keys.promises(0)), 0, "the back end still holds it")
-		rig.beat(t, "i-1", heldUnderFence(0, 99, composeFence(7, 0)))
-		assert.Equal(t, len(rig.g.keys.promises(0)), 0)
-		rig.beat(t, "i-1", append(heldUnderFence(0, 39, composeFence(9, 0)), heldUnderFence(50, 199, composeFence(9, 0))...))
-		time.Sleep(2 * answerVoid)
+		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 0, "the back end still holds it")
+		rig.heartbeat(t, "i-1", heldUnderFence(0, 99, composeFence(7, 0)))
+		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 0)
+		rig.heartbeat(t, "i-1", append(heldUnderFence(0, 39, composeFence(9, 0)), heldUnderFence(50, 199, composeFence(9, 0))...))
+		time.Sleep(2 * answerValidity)
 		synctest.Wait()
-		assert.Equal(t, len(rig.g.keys.promises(0)), 1)
+		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 1)
 	})
 }
 
 func TestARangeGrantedByCallUnderAnEarlierFenceIsNotReleasedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newKeyRig(t)
+		rig := newGrantRig(t)
 		time.Sleep(20 * time.Second)
-		rig.lease(held(0, 99), nil)
-		rig.holder.setRefuse(errors.New("no answer"))
+		rig.lease(leasedRange(0, 99), nil)
+		rig.holder.setError(errors.New("no answer"))
 		leaseUnderHigherFence(rig)
-		assert.Equal(t, len(rig.g.keys.promises(0)), 0, "the back end still holds it")
-		rig.holder.setRefuse(nil)
+		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 0, "the back end still holds it")
+		rig.holder.setError(nil)
 		time.Sleep(time.Second)
 		synctest.Wait()
-		assert.Equal(t, len(rig.g.keys.promises(0)), 1)
+		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 1)
 		assert.Equal(t, len(rig.holder.released()), 1)
 	})
 }
--- a/internal/gateway/keyload.go
+++ b/internal/gateway/keyload.go
@@ -28,17 +28,17 @@
 	l.mutex.Unlock()
 }
 
-// ran counts a successful run. Failed runs are left out, as they may be short because they
+// addSuccessfulRun counts a successful run. Failed runs are left out, as they may be short because they
 // failed.
-func (l *keyLoad) ran(used time.Duration) {
+func (l *keyLoad) addSuccessfulRun(used time.Duration) {
 	l.mutex.Lock()
 	l.successfulRuns++
 	l.successfulRunTime += used
 	l.mutex.Unlock()
 }
 
-// take moves the sums into a report and resets them.
-func (l *keyLoad) take(report *fleetwire.Report) {
+// moveTo moves the sums into a report and resets them.
+func (l *keyLoad) moveTo(report *fleetwire.Report) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	report.Runs, report.RunMicros = l.successfulRuns, uint64(l.successfulRunTime.Microseconds())
--- a/internal/gateway/keynews.go
+++ b/internal/gateway/keynews.go
@@ -25,11 +25,11 @@
 
 // maxAnswerDelay is how long the answer to a heartbeat may be delayed. The caller has the
 // mutex.
-func (k *keyKeeper) maxAnswerDelay(now time.Time) time.Duration {
+func (k *grantManager) maxAnswerDelay(now time.Time) time.Duration {
 	delay := min(k.gateway.config.AnswerHold, k.gateway.config.HeartbeatInterval/2)
-	for _, wanted := range k.wanted {
-		if sent, ok := k.grants[heldKey{wanted.Keys, wanted.Fence}]; ok {
-			delay = min(delay, sent.until.Sub(now)-minRemainingAtAnswer)
+	for _, wanted := range k.leasedRanges {
+		if sent, ok := k.grants[fencedRange{wanted.Keys, wanted.Fence}]; ok {
+			delay = min(delay, sent.heldUntil.Sub(now)-minRemainingAtAnswer)
 		}
 	}
 	return delay
@@ -37,7 +37,7 @@
 
 // awaitChange returns once the answer to a heartbeat has something to tell the back end, the
 // answer has to be sent, or a later heartbeat has arrived; and which of these it was.
-func (k *keyKeeper) awaitChange(number uint64, held []HeldRange, arrived time.Time) (reason string) {
+func (k *grantManager) awaitChange(number uint64, held []HeldRange, arrived time.Time) (reason string) {
 	k.mutex.Lock()
 	timer := time.NewTimer(k.maxAnswerDelay(arrived))
 	k.mutex.Unlock()
@@ -60,8 +60,8 @@
 
 // matchesLease reports whether a back end holds exactly what the lease lists. The caller has
 // the mutex.
-func (k *keyKeeper) matchesLease(held []HeldRange) bool {
-	for _, wanted := range k.wanted {
+func (k *grantManager) matchesLease(held []HeldRange) bool {
+	for _, wanted := range k.leasedRanges {
 		if !covered(wanted.Keys, held) {
 			return false
 		}
@@ -69,7 +69,7 @@
 	for _, row := range held {
 		owner, _ := decomposeFence(row.Fence)
 		listed := func(wanted fleetwire.Held) bool { return wanted.Fence == owner && wanted.Keys.Contains(row.Keys) }
-		if !slices.ContainsFunc(k.wanted, listed) {
+		if !slices.ContainsFunc(k.leasedRanges, listed) {
 			return false
 		}
 	}
--- a/internal/gateway/keynews_test.go
+++ b/internal/gateway/keynews_test.go
@@ -19,7 +19,7 @@
 }
 
 // heartbeatAsync sends a heartbeat and waits for its answer in the background.
-func (r *keyRig) heartbeatAsync(t *testing.T, held []HeldRange) <-chan heartbeatResult {
+func (r *grantRig) heartbeatAsync(t *testing.T, held []HeldRange) <-chan heartbeatResult {
 	r.sequence++
 	sequence, began, done := r.sequence, steady.Reading(), make(chan heartbeatResult, 1)
 	go func() { done <- heartbeatResult{r.heartbeatWith(t, "i-1", sequence, held, nil), steady.Elapsed(began)} }()
@@ -28,11 +28,11 @@
 }
 
 // newRigInSync returns a rig whose back end holds what its lease lists.
-func newRigInSync(t *testing.T) *keyRig {
+func newRigInSync(t *testing.T) *grantRig {
 	rig := newHeartbeatRig(t)
-	time.Sleep(2 * answerVoid)
-	rig.lease(held(0, 99), nil)
-	rig.beat(t, "i-1", nil)
+	time.Sleep(2 * answerValidity)
+	rig.lease(leasedRange(0, 99), nil)
+	rig.heartbeat(t, "i-1", nil)
 	return rig
 }
 
@@ -43,7 +43,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		rig := newRigInSync(t)
 		done := rig.heartbeatAsync(t, heldUnderFence(0, 99, composeFence(7, 0)))
-		rig.lease(held(0, 39), asked(40, 99))
+		rig.lease(leasedRange(0, 39), releasable(40, 99))
 		result := <-done
 		assert.Assert(t, result.after <= promptly, "%v", result.after)
 		assert.DeepEqual(t, result.offer.Held, []OfferedRange{{Keys: keyspace.Range{First: 0, Last: 39}, Fence: composeFence(7, 0)}})
@@ -56,7 +56,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		rig := newRigInSync(t)
 		done := rig.heartbeatAsync(t, heldUnderFence(0, 99, composeFence(7, 0)))
-		rig.lease(append(held(0, 99), held(200, 299)...), nil)
+		rig.lease(append(leasedRange(0, 99), leasedRange(200, 299)...), nil)
 		result := <-done
 		assert.Assert(t, result.after <= promptly, "%v", result.after)
 		assert.Equal(t, len(result.offer.Held), 2)
@@ -91,8 +91,8 @@
 		result := <-rig.heartbeatAsync(t, heldUnderFence(0, 99, composeFence(7, 0)))
 		assert.Equal(t, result.after, DefaultAnswerHold)
 		rig.g.keys.mutex.Lock()
-		sent := rig.g.keys.grants[heldKey{keyspace.Range{First: 0, Last: 99}, 7}]
-		assert.Equal(t, sent.until, arrived.Add(result.offer.Hold))
+		sent := rig.g.keys.grants[fencedRange{keyspace.Range{First: 0, Last: 99}, 7}]
+		assert.Equal(t, sent.heldUntil, arrived.Add(result.offer.Hold))
 		assert.Equal(t, sent.offeredAt, arrived)
 		rig.g.keys.mutex.Unlock()
 	})
@@ -105,7 +105,7 @@
 		rig := newRigInSync(t)
 		result := <-rig.heartbeatAsync(t, heldUnderFence(0, 99, composeFence(7, 0)))
 		time.Sleep(result.offer.Hold - DefaultAnswerHold - minRemainingAtAnswer)
-		rig.g.keys.take(&fleetwire.Lease{SentAt: steady.Elapsed(rig.epoch), Duration: 8 * time.Second, Instance: "i-1", Held: held(0, 99)}, rig.epoch)
+		rig.g.keys.applyLease(&fleetwire.Lease{SentAt: steady.Elapsed(rig.epoch), Duration: 8 * time.Second, Instance: "i-1", Held: leasedRange(0, 99)}, rig.epoch)
 		late := <-rig.heartbeatAsync(t, heldUnderFence(0, 99, composeFence(7, 0)))
 		assert.Assert(t, late.offer != nil)
 		assert.Equal(t, late.after, time.Duration(0))
--- a/internal/gateway/keyorders_test.go
+++ b/internal/gateway/keyorders_test.go
@@ -38,15 +38,15 @@
 func TestAReleaseThatIsAnsweredWhileAnotherIncarnationWaitsDoesNotCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newIncarnationRig(t)
-		rig.lease(held(0, 9), nil)
+		rig.lease(leasedRange(0, 9), nil)
 		rig.nextHeartbeat()
 		assert.Assert(t, rig.g.keys.grantsStopped)
 		over := rig.g.keys.allGrantsExpired(steady.Reading())
 		assert.Assert(t, !over)
-		rig.lease(nil, held(0, 9))
+		rig.lease(nil, leasedRange(0, 9))
 		synctest.Wait()
 		assert.Assert(t, !rig.g.keys.allGrantsExpired(steady.Reading()))
-		assert.Equal(t, len(rig.g.keys.promises(0)), 0, "reported as released because of the other incarnation's answer")
+		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 0, "reported as released because of the other incarnation's answer")
 	})
 }
 
@@ -59,9 +59,9 @@
 		advance(t, rig.g.views, &fleetwire.View{Document: &routeconfig.Document{Version: 1, Services: []routeconfig.Service{{Name: "s", Keyed: true, WarmupRate: coldRate}}}})
 		rig.g.registry.unverified = true
 		time.Sleep(5 * time.Second)
-		rig.lease(nil, asked(0, 9))
+		rig.lease(nil, releasable(0, 9))
 		assert.Equal(t, len(rig.holder.granted()), 0)
-		assert.Equal(t, len(rig.g.keys.promises(0)), 0, "a grant of the earlier process may be unread at the back end")
+		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 0, "a grant of the earlier process may be unread at the back end")
 	})
 }
 
@@ -70,22 +70,22 @@
 // last longer.
 func TestAnEarlierProcessMayHaveOfferedByHeartbeat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newKeyRig(t)
-		offered := keyhold.Longest(rig.g.config.HeartbeatInterval + answerVoid)
+		rig := newGrantRig(t)
+		offered := keyhold.WithDrift(rig.g.config.HeartbeatInterval + answerValidity)
 		time.Sleep(offered - 500*time.Millisecond)
-		assert.Assert(t, !rig.g.session.build().EarlierOver, "before the first view: offers last %v", offered)
+		assert.Assert(t, !rig.g.session.buildReport().EarlierOver, "before the first view: offers last %v", offered)
 		rig.setGrants(routeconfig.GrantByHeartbeat, 1)
-		assert.Assert(t, !rig.g.session.build().EarlierOver)
+		assert.Assert(t, !rig.g.session.buildReport().EarlierOver)
 	})
 }
 
 // The same, if the configuration has changed from heartbeats to calls in the meantime.
 func TestAnEarlierProcessMayHaveOfferedBeforeAChangeOfConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newKeyRig(t)
+		rig := newGrantRig(t)
 		rig.setGrants(routeconfig.GrantByCall, 2)
-		time.Sleep(keyhold.Longest(rig.g.config.HeartbeatInterval+answerVoid) - 500*time.Millisecond)
-		assert.Assert(t, !rig.g.session.build().EarlierOver)
+		time.Sleep(keyhold.WithDrift(rig.g.config.HeartbeatInterval+answerValidity) - 500*time.Millisecond)
+		assert.Assert(t, !rig.g.session.buildReport().EarlierOver)
 	})
 }
 
@@ -166,20 +166,20 @@
 // flight: the process is stalled before it sends it.
 func TestAReleaseByHeartbeatWaitsForAGrantInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newKeyRig(t)
+		rig := newGrantRig(t)
 		holder := &addressBackend{former: &backendProcess{}}
 		holder.setStall(3 * time.Second)
 		defer time.Sleep(4 * time.Second) // until the grant in flight has ended
 		rig.g.config.Keys = holder
-		rig.lease(held(0, 9), nil)
+		rig.lease(leasedRange(0, 9), nil)
 		rig.setGrants(routeconfig.GrantByHeartbeat, 1)
-		rig.lease(nil, held(0, 9))
-		rig.beat(t, "i-1", nil)
+		rig.lease(nil, leasedRange(0, 9))
+		rig.heartbeat(t, "i-1", nil)
 		time.Sleep(1300 * time.Millisecond)
-		rig.beat(t, "i-1", nil)
-		rig.lease(nil, held(0, 9))
-		assert.Assert(t, rig.g.keys.grants[heldKey{held(0, 9)[0].Keys, 7}].bound.Sending())
-		assert.Equal(t, len(rig.g.keys.promises(0)), 0, "a grant is in flight")
+		rig.heartbeat(t, "i-1", nil)
+		rig.lease(nil, leasedRange(0, 9))
+		assert.Assert(t, rig.g.keys.grants[fencedRange{leasedRange(0, 9)[0].Keys, 7}].bound.InFlight())
+		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 0, "a grant is in flight")
 	})
 }
 
@@ -188,19 +188,19 @@
 // again.
 func TestALateHeartbeatDoesNotEndAnUnreachableIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newKeyRig(t)
-		rig.g.registry.interval = 1300 * time.Millisecond
-		rig.g.registry.yields = rig.g.keys.yield
+		rig := newGrantRig(t)
+		rig.g.registry.heartbeatInterval = 1300 * time.Millisecond
+		rig.g.registry.stopGrants = rig.g.keys.stopGrants
 		rig.setGrants(routeconfig.GrantByCall, 1)
 		time.Sleep(2 * time.Second)
-		rig.beat(t, "i-1", nil)
-		rig.lease(held(0, 9), nil)
-		rig.g.registry.lost("i-1")
-		rig.g.registry.lookAgain = rig.g.registry.reached // it listens again
+		rig.heartbeat(t, "i-1", nil)
+		rig.lease(leasedRange(0, 9), nil)
+		rig.g.registry.markUnreachable("i-1")
+		rig.g.registry.reprobe = rig.g.registry.markReachable // it listens again
 		rig.heartbeatWith(t, "i-0", 40, nil, nil)
 		time.Sleep(1200 * time.Millisecond)
 		for range 10 {
-			rig.beat(t, "i-1", nil)
+			rig.heartbeat(t, "i-1", nil)
 			time.Sleep(1300 * time.Millisecond)
 		}
 		assert.Equal(t, rig.g.registry.snapshot().ID, "i-1")
@@ -211,23 +211,23 @@
 // requested since, but before the keys were reported free, must be ignored.
 func TestALeaseRequestedBeforeTheKeysWereReportedFreeIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newKeyRig(t)
+		rig := newGrantRig(t)
 		rig.setGrants(routeconfig.GrantByCall, 1)
 		time.Sleep(2 * time.Second)
-		rig.lease(held(0, 9), nil)
-		rig.holder.setRefuse(ErrNotSent)
+		rig.lease(leasedRange(0, 9), nil)
+		rig.holder.setError(ErrNotSent)
 		time.Sleep(DefaultKeyHold + 300*time.Millisecond)
-		time.Sleep(keysInterval / 10)
+		time.Sleep(grantCheckInterval / 10)
 		read := steady.Reading()
 		time.Sleep(time.Millisecond)
 		asked := steady.Elapsed(rig.epoch)
-		assert.Equal(t, rig.g.session.build().Instance.State, fleetwire.InstanceReady)
+		assert.Equal(t, rig.g.session.buildReport().Instance.State, fleetwire.InstanceReady)
 		time.Sleep(time.Millisecond)
-		rig.g.registry.lost("i-1")
+		rig.g.registry.markUnreachable("i-1")
 		rig.g.keys.step(t.Context(), read)
 		assert.Assert(t, rig.g.registry.snapshot().Released)
-		rig.g.keys.take(&fleetwire.Lease{SentAt: asked, Duration: 8 * time.Second, Instance: "i-1", Held: held(0, 9)}, rig.epoch)
-		assert.Equal(t, rig.g.keys.rangesHeld(), 0)
+		rig.g.keys.applyLease(&fleetwire.Lease{SentAt: asked, Duration: 8 * time.Second, Instance: "i-1", Held: leasedRange(0, 9)}, rig.epoch)
+		assert.Equal(t, rig.g.keys.leasedRangeCount(), 0)
 	})
 }
 
@@ -237,23 +237,23 @@
 // the range.
 func TestASupersedingGrantIsNotSentAfterTheLastLeaseThatAllowsIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newKeyRig(t)
+		rig := newGrantRig(t)
 		rig.setGrants(routeconfig.GrantByCall, 1)
 		time.Sleep(2 * time.Second)
-		rig.lease(held(0, 9), nil)
-		rig.holder.setRefuse(errNoAnswer)
+		rig.lease(leasedRange(0, 9), nil)
+		rig.holder.setError(errInvalidResponse)
 		time.Sleep(time.Second)
-		rig.lease(nil, asked(0, 9))
-		key := heldKey{held(0, 9)[0].Keys, 7}
+		rig.lease(nil, releasable(0, 9))
+		key := fencedRange{leasedRange(0, 9)[0].Keys, 7}
 		until := rig.g.keys.releases[key].supersedeUntil
 		for !steady.Reading().After(until.Add(time.Second)) {
-			rig.lease(nil, held(0, 9))
-			time.Sleep(keysInterval)
+			rig.lease(nil, leasedRange(0, 9))
+			time.Sleep(grantCheckInterval)
 		}
 		rig.g.keys.mutex.Lock()
 		sent := rig.g.keys.grants[key]
 		if sent == nil {
-			sent = &grant{Held: held(0, 9)[0]}
+			sent = &grant{Held: leasedRange(0, 9)[0]}
 		}
 		sent.bound.Send(minGrantDuration) // as supersede has done before the end
 		rig.g.keys.mutex.Unlock()
@@ -288,12 +288,12 @@
 func TestKeysOfABackEndThatNeverAnsweredThisProcessAreNotFreeByExpiryAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newIncarnationRig(t)
-		rig.g.registry.lost("i-1")
+		rig.g.registry.markUnreachable("i-1")
 		rig.lease(nil, nil)
-		time.Sleep(maxGrantDelay - 2*keysInterval)
+		time.Sleep(maxGrantDelay - 2*grantCheckInterval)
 		synctest.Wait()
 		assert.Assert(t, !rig.g.registry.snapshot().Released)
-		time.Sleep(4 * keysInterval)
+		time.Sleep(4 * grantCheckInterval)
 		synctest.Wait()
 		assert.Assert(t, rig.g.registry.snapshot().Released)
 	})
--- a/internal/gateway/keyproof.go
+++ b/internal/gateway/keyproof.go
@@ -24,6 +24,6 @@
 
 // recordKeysFree counts and logs that the leader is told that keys of an instance are free.
 func (g *Gateway) recordKeysFree(instance string, keys keyspace.Range, proof freeProof) {
-	g.metrics.freed.WithLabelValues(string(proof)).Inc()
+	g.metrics.keysFreed.WithLabelValues(string(proof)).Inc()
 	g.config.Log.Info("keys are free", "instance", instance, "first", keys.First, "last", keys.Last, "proof", string(proof))
 }
--- a/internal/gateway/keyreleases.go
+++ b/internal/gateway/keyreleases.go
@@ -11,7 +11,7 @@
 
 // completeExpiredReleases completes the releases of ranges that the back end certainly no
 // longer holds because every grant of them has expired.
-func (k *keyKeeper) completeExpiredReleases(now time.Time) {
+func (k *grantManager) completeExpiredReleases(now time.Time) {
 	for _, pending := range k.releases {
 		if pending.done || pending.inFlight || !k.grantsExpired(pending.held, now) || k.fences.hasUnanswered(pending.held.Keys, pending.held.Fence) {
 			continue
@@ -21,13 +21,13 @@
 		}
 		pending.done = true
 		k.gateway.recordKeysFree(k.instance, pending.held.Keys, proofExpired)
-		k.gateway.session.report()
+		k.gateway.session.requestReport()
 	}
 }
 
 // startReleases sends the releases that the controller asked for. While one is sent, no grant
 // of its keys and no answer to a heartbeat that offered them may be in flight.
-func (k *keyKeeper) startReleases(ctx context.Context, now time.Time) {
+func (k *grantManager) startReleases(ctx context.Context, now time.Time) {
 	for _, pending := range k.releases {
 		if pending.done || pending.inFlight || now.Before(pending.nextAt) || k.grantInFlight(pending.held) || now.Before(k.answersExpireAt(pending.held)) {
 			continue
@@ -37,14 +37,14 @@
 			continue
 		}
 		pending.inFlight = true
-		k.releasedRanges = append(k.releasedRanges, releasedRange{heldKey{pending.held.Keys, pending.held.Fence}, now})
+		k.releasedRanges = append(k.releasedRanges, releasedRange{fencedRange{pending.held.Keys, pending.held.Fence}, now})
 		go k.sendRelease(ctx, k.instance, pending, composeFence(pending.held.Fence, k.fences.subFences[pending.held.Fence]))
 	}
 }
 
 // confirmedGrantOf reports whether the back end has confirmed a grant of all of a range under
 // its fence, so that it refuses those of earlier processes.
-func (k *keyKeeper) confirmedGrantOf(held fleetwire.Held) bool {
+func (k *grantManager) confirmedGrantOf(held fleetwire.Held) bool {
 	for key, sent := range k.grants {
 		if key.fence == held.Fence && key.keys.Contains(held.Keys) && !sent.confirmedAt.IsZero() {
 			return true
@@ -55,8 +55,8 @@
 
 // supersede grants a range that is to be released once more, under a higher fence than those
 // of the unanswered grants, so that the back end refuses these if they arrive late.
-func (k *keyKeeper) supersede(ctx context.Context, pending *pendingRelease, now time.Time) {
-	key := heldKey{pending.held.Keys, pending.held.Fence}
+func (k *grantManager) supersede(ctx context.Context, pending *pendingRelease, now time.Time) {
+	key := fencedRange{pending.held.Keys, pending.held.Fence}
 	sent, ok := k.grants[key]
 	if !ok {
 		sent = &grant{Held: pending.held}
@@ -70,9 +70,9 @@
 
 // grantInFlight reports whether a grant that may let the back end hold keys of a range is in
 // flight.
-func (k *keyKeeper) grantInFlight(held fleetwire.Held) bool {
+func (k *grantManager) grantInFlight(held fleetwire.Held) bool {
 	for key, sent := range k.grants {
-		if sent.bound.Sending() && key.mayHoldKeysOf(held) {
+		if sent.bound.InFlight() && key.mayHoldKeysOf(held) {
 			return true
 		}
 	}
@@ -81,9 +81,9 @@
 
 // grantsExpired reports whether every grant that may let the back end hold keys of a range, by
 // this process or an earlier one, has expired.
-func (k *keyKeeper) grantsExpired(held fleetwire.Held, now time.Time) bool {
+func (k *grantManager) grantsExpired(held fleetwire.Held, now time.Time) bool {
 	for key, sent := range k.grants {
-		if key.mayHoldKeysOf(held) && !sent.bound.Over(now) {
+		if key.mayHoldKeysOf(held) && !sent.bound.Expired(now) {
 			return false
 		}
 	}
@@ -91,7 +91,7 @@
 }
 
 // sendRelease sends one release and records its result.
-func (k *keyKeeper) sendRelease(ctx context.Context, instance string, pending *pendingRelease, fence keyspace.Fence) {
+func (k *grantManager) sendRelease(ctx context.Context, instance string, pending *pendingRelease, fence keyspace.Fence) {
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	handover, err := k.gateway.config.Keys.Release(ctx, ReleaseOrder{Instance: instance, Keys: pending.held.Keys, Fence: fence})
@@ -115,5 +115,5 @@
 		return
 	}
 	k.gateway.recordKeysFree(instance, pending.held.Keys, proofReleaseAnswered)
-	k.gateway.session.report()
+	k.gateway.session.requestReport()
 }
--- a/internal/gateway/keys.go
+++ b/internal/gateway/keys.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// renewals is the number of renewals within the duration of a grant, so that a few may be
+	// renewalsPerGrant is the number of renewals within the duration of a grant, so that a few may be
 	// lost.
-	renewals = 4
+	renewalsPerGrant = 4
 	// grantRetryDelay is the pause before a grant that failed is sent again.
 	grantRetryDelay = 150 * time.Millisecond
 	// minGrantDuration is the shortest grant worth sending.
@@ -27,39 +27,39 @@
 	// cpuQuotaPause is how long a process under a CPU quota may be throttled: the rest of the
 	// scheduler's period of 100 ms (Linux's default of cpu.cfs_period_us).
 	cpuQuotaPause = 100 * time.Millisecond
-	// transit is the longest time between preparing a grant and its arrival at the back end,
+	// maxTransitDelay is the longest time between preparing a grant and its arrival at the back end,
 	// and by how much a grant ends before the lease that it rests on. The back end counts the
 	// duration from the arrival, and this process may be stalled before it sends: with
 	// hundreds of processes on one machine, for almost a second.
-	transit      = time.Second
-	grantTimeout = 400 * time.Millisecond
+	maxTransitDelay = time.Second
+	grantTimeout    = 400 * time.Millisecond
 	// releaseTimeout bounds one release call; the back end answers once its work on the keys
 	// has ended.
-	releaseTimeout    = 4 * time.Second
-	releaseRetryDelay = 200 * time.Millisecond
-	keysInterval      = 100 * time.Millisecond
+	releaseTimeout     = 4 * time.Second
+	releaseRetryDelay  = 200 * time.Millisecond
+	grantCheckInterval = 100 * time.Millisecond
 )
 
-// heldKey identifies a range of keys granted under an owner's fence.
-type heldKey struct {
+// fencedRange identifies a range of keys granted under an owner's fence.
+type fencedRange struct {
 	keys  keyspace.Range
 	fence keyspace.Fence
 }
 
 // mayHoldKeysOf reports whether a grant of the range may still let the back end hold keys of
 // another one: it has the same fence or an earlier one of the same owner, and overlaps it.
-func (k heldKey) mayHoldKeysOf(held fleetwire.Held) bool {
+func (k fencedRange) mayHoldKeysOf(held fleetwire.Held) bool {
 	return k.fence <= held.Fence && k.keys.Overlaps(held.Keys)
 }
 
 // grant is the state of what was granted to the back end for one range.
 type grant struct {
 	fleetwire.Held
-	// until is the time until which the back end certainly holds the range; zero if it never
+	// heldUntil is the time until which the back end certainly holds the range; zero if it never
 	// confirmed. bound gives the time from which it certainly no longer holds it.
-	until  time.Time
-	bound  keyhold.Bound
-	sentAt time.Time
+	heldUntil time.Time
+	bound     keyhold.Bound
+	sentAt    time.Time
 	// offeredAt is when an answer to a heartbeat last offered the range.
 	offeredAt time.Time
 	// confirmedAt is when the last confirmed grant was sent.
@@ -70,9 +70,9 @@
 	outlastsLease bool
 	// subFence is the gateway's own part of the last fence that was sent (see composeFence).
 	subFence uint32
-	// untaken counts consecutive heartbeats that did not name the range although it had been
+	// unacceptedOffers counts consecutive heartbeats that did not name the range although it had been
 	// offered.
-	untaken int
+	unacceptedOffers int
 }
 
 // pendingRelease is the state of a range that the controller has asked to be released.
@@ -94,7 +94,7 @@
 // releasedRange is a range whose release was sent to the back end. Grants sent before do not
 // cover it any more, even if a later lease lists it again.
 type releasedRange struct {
-	heldKey
+	fencedRange
 	releasedAt time.Time
 }
 
@@ -102,9 +102,9 @@
 // lasts.
 const releasedRangeRetention = 30 * time.Second
 
-// keyKeeper grants the keys of the current lease to the back end and releases the keys that
+// grantManager grants the keys of the current lease to the back end and releases the keys that
 // the controller asks for.
-type keyKeeper struct {
+type grantManager struct {
 	gateway *Gateway
 	wake    chan struct{}
 	started time.Time
@@ -117,13 +117,13 @@
 	// ignoreLeasesBefore is the time after which a lease must have been requested to be
 	// applied.
 	ignoreLeasesBefore time.Time
-	wanted             []fleetwire.Held
-	grants             map[heldKey]*grant
-	releases           map[heldKey]*pendingRelease
+	leasedRanges       []fleetwire.Held
+	grants             map[fencedRange]*grant
+	releases           map[fencedRange]*pendingRelease
 	releasedRanges     []releasedRange
 	// reportedAt has when each range was last reported as released, on the clock of the
 	// reports.
-	reportedAt     map[heldKey]time.Duration
+	reportedAt     map[fencedRange]time.Duration
 	fences         fenceTracker
 	fromHeartbeats heartbeatKeys
 	// heartbeatCount counts the accepted heartbeats of all incarnations.
@@ -139,14 +139,14 @@
 	changed chan struct{}
 }
 
-func newKeyKeeper(g *Gateway) *keyKeeper {
-	return &keyKeeper{
+func newGrantManager(g *Gateway) *grantManager {
+	return &grantManager{
 		gateway:    g,
 		wake:       make(chan struct{}, 1),
 		started:    steady.Reading(),
-		grants:     map[heldKey]*grant{},
-		releases:   map[heldKey]*pendingRelease{},
-		reportedAt: map[heldKey]time.Duration{},
+		grants:     map[fencedRange]*grant{},
+		releases:   map[fencedRange]*pendingRelease{},
+		reportedAt: map[fencedRange]time.Duration{},
 		fences:     newFenceTracker(),
 		changed:    make(chan struct{}),
 	}
@@ -154,26 +154,26 @@
 
 // notifyWaiters wakes the callers that wait for a key or for a change of the lease. The caller
 // has the mutex.
-func (k *keyKeeper) notifyWaiters() {
+func (k *grantManager) notifyWaiters() {
 	close(k.changed)
 	k.changed = make(chan struct{})
 }
 
 // willReceive reports whether the back end is about to get a key: the lease lists it, or the
 // controllers have assigned it to the back end.
-func (k *keyKeeper) willReceive(instance string, key keyspace.Key) bool {
+func (k *grantManager) willReceive(instance string, key keyspace.Key) bool {
 	if owner, ok := k.gateway.views.load().owner(k.gateway.registry.snapshot().Service, key); ok && owner.ID == instance {
 		return true
 	}
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	single := keyspace.Range{First: key, Last: key}
-	return instance == k.instance && slices.ContainsFunc(k.wanted, func(held fleetwire.Held) bool { return held.Keys.Contains(single) })
+	return instance == k.instance && slices.ContainsFunc(k.leasedRanges, func(held fleetwire.Held) bool { return held.Keys.Contains(single) })
 }
 
-// await blocks until an instance holds a key, is no longer expected to get it, or the context
+// awaitKey blocks until an instance holds a key, is no longer expected to get it, or the context
 // ends.
-func (k *keyKeeper) await(ctx context.Context, instance string, key keyspace.Key) {
+func (k *grantManager) awaitKey(ctx context.Context, instance string, key keyspace.Key) {
 	for {
 		k.mutex.Lock()
 		changed := k.changed
@@ -189,8 +189,8 @@
 	}
 }
 
-// take puts a lease in force. Epoch is the zero of the clock that reports carry.
-func (k *keyKeeper) take(lease *fleetwire.Lease, epoch time.Time) {
+// applyLease puts a lease in force. Epoch is the zero of the clock that reports carry.
+func (k *grantManager) applyLease(lease *fleetwire.Lease, epoch time.Time) {
 	if lease.Instance == "" || lease.Instance != k.gateway.registry.snapshot().ID {
 		return
 	}
@@ -204,8 +204,8 @@
 	}
 	duration := time.Duration(float64(lease.Duration) * (1 - clockDrift))
 	k.leaseUntil = epoch.Add(lease.SentAt + duration)
-	maps.DeleteFunc(k.reportedAt, func(_ heldKey, at time.Duration) bool { return at <= lease.SentAt })
-	k.wanted = slices.DeleteFunc(slices.Clone(lease.Held), func(held fleetwire.Held) bool { return k.reportedSince(held, lease.SentAt) })
+	maps.DeleteFunc(k.reportedAt, func(_ fencedRange, at time.Duration) bool { return at <= lease.SentAt })
+	k.leasedRanges = slices.DeleteFunc(slices.Clone(lease.Held), func(held fleetwire.Held) bool { return k.reportedSince(held, lease.SentAt) })
 	k.applyReleases(lease.Release)
 	k.notifyWaiters()
 	k.signal()
@@ -213,23 +213,23 @@
 
 // reset starts over with another incarnation of the back end, which holds nothing. What the
 // former one may still hold is kept in earlierIncarnations.
-func (k *keyKeeper) reset(instance string, now time.Time) {
+func (k *grantManager) reset(instance string, now time.Time) {
 	k.earlierIncarnations.add(k.grants, &k.fences, now)
 	k.instance, k.everConfirmed = instance, false
-	k.wanted = nil
+	k.leasedRanges = nil
 	k.releasedRanges = nil
 	k.grantsStopped = false
 	k.fromHeartbeats = heartbeatKeys{}
 	k.fences = newFenceTracker()
-	k.grants = map[heldKey]*grant{}
-	k.releases = map[heldKey]*pendingRelease{}
-	k.reportedAt = map[heldKey]time.Duration{}
+	k.grants = map[fencedRange]*grant{}
+	k.releases = map[fencedRange]*pendingRelease{}
+	k.reportedAt = map[fencedRange]time.Duration{}
 }
 
 // reportedSince reports whether keys of a range were reported as released after a time. The
 // leader may still read that report and give the keys to another owner, so a lease requested
 // before it must not grant any of them.
-func (k *keyKeeper) reportedSince(held fleetwire.Held, requestedAt time.Duration) bool {
+func (k *grantManager) reportedSince(held fleetwire.Held, requestedAt time.Duration) bool {
 	for key, at := range k.reportedAt {
 		if at > requestedAt && key.mayHoldKeysOf(held) {
 			return true
@@ -238,10 +238,10 @@
 	return false
 }
 
-func (k *keyKeeper) applyReleases(requested []fleetwire.Held) {
-	updated := make(map[heldKey]*pendingRelease, len(requested))
+func (k *grantManager) applyReleases(requested []fleetwire.Held) {
+	updated := make(map[fencedRange]*pendingRelease, len(requested))
 	for _, held := range requested {
-		key := heldKey{held.Keys, held.Fence}
+		key := fencedRange{held.Keys, held.Fence}
 		pending, ok := k.releases[key]
 		if !ok {
 			pending = &pendingRelease{held: held}
@@ -254,11 +254,11 @@
 	k.releases = updated
 }
 
-func (k *keyKeeper) signal() { wakeUp(k.wake) }
+func (k *grantManager) signal() { notify(k.wake) }
 
-// promises returns the ranges whose release is complete, for a report that is sent at a time,
+// reportReleases returns the ranges whose release is complete, for a report that is sent at a time,
 // and records that they were reported.
-func (k *keyKeeper) promises(sentAt time.Duration) []fleetwire.Released {
+func (k *grantManager) reportReleases(sentAt time.Duration) []fleetwire.Released {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	var released []fleetwire.Released
@@ -272,7 +272,7 @@
 }
 
 // holds reports whether an instance holds a key at a time.
-func (k *keyKeeper) holds(instance string, key keyspace.Key, now time.Time) bool {
+func (k *grantManager) holds(instance string, key keyspace.Key, now time.Time) bool {
 	byHeartbeat := k.byHeartbeat()
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -283,12 +283,12 @@
 		return k.servesByHeartbeat(key, now)
 	}
 	single := keyspace.Range{First: key, Last: key}
-	for _, held := range k.wanted {
+	for _, held := range k.leasedRanges {
 		if !held.Keys.Contains(single) {
 			continue
 		}
 		for granted, sent := range k.grants {
-			covers := granted.fence == held.Fence && granted.keys.Contains(single) && now.Before(sent.until)
+			covers := granted.fence == held.Fence && granted.keys.Contains(single) && now.Before(sent.heldUntil)
 			if covers && !k.releasedSince(single, held.Fence, sent.confirmedAt) {
 				return true
 			}
@@ -298,7 +298,7 @@
 }
 
 // releasedSince reports whether a part of a range was released at or after a time.
-func (k *keyKeeper) releasedSince(keys keyspace.Range, fence keyspace.Fence, since time.Time) bool {
+func (k *grantManager) releasedSince(keys keyspace.Range, fence keyspace.Fence, since time.Time) bool {
 	for _, released := range k.releasedRanges {
 		if released.fence == fence && released.keys.Overlaps(keys) && !released.releasedAt.Before(since) {
 			return true
@@ -308,8 +308,8 @@
 }
 
 // run sends grants and releases until the context ends.
-func (k *keyKeeper) run(ctx context.Context) {
-	ticker := time.NewTicker(keysInterval)
+func (k *grantManager) run(ctx context.Context) {
+	ticker := time.NewTicker(grantCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -322,7 +322,7 @@
 	}
 }
 
-func (k *keyKeeper) step(ctx context.Context, now time.Time) {
+func (k *grantManager) step(ctx context.Context, now time.Time) {
 	byHeartbeat := k.byHeartbeat()
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -337,23 +337,23 @@
 	switch {
 	case byHeartbeat:
 		k.completeReleases(now)
-	case unreachable, k.grantsStopped, k.gateway.unproved():
+	case unreachable, k.grantsStopped, k.gateway.identityUnconfirmed():
 	default:
 		k.startGrants(ctx, now)
 		k.startReleases(ctx, now)
 		k.startRevocations(ctx, now)
 	}
 	if unreachable && !current.Released {
-		k.gateway.probe(k.instance)
+		k.gateway.probeBackend(k.instance)
 		k.reportUnreachableFree(now)
 	}
 	k.prune(now)
 }
 
 // prune drops expired grants, unanswered grants and released ranges.
-func (k *keyKeeper) prune(now time.Time) {
+func (k *grantManager) prune(now time.Time) {
 	for key, sent := range k.grants {
-		if sent.bound.Over(now) && !k.isLeased(key) {
+		if sent.bound.Expired(now) && !k.isLeased(key) {
 			delete(k.grants, key)
 		}
 	}
@@ -361,8 +361,8 @@
 	k.releasedRanges = slices.DeleteFunc(k.releasedRanges, func(released releasedRange) bool { return now.After(released.releasedAt.Add(releasedRangeRetention)) })
 }
 
-// leaseLeft returns the remaining time of the current lease.
-func (k *keyKeeper) leaseLeft(now time.Time) time.Duration {
+// leaseRemaining returns the remaining time of the current lease.
+func (k *grantManager) leaseRemaining(now time.Time) time.Duration {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if k.leaseUntil.IsZero() {
@@ -371,15 +371,15 @@
 	return k.leaseUntil.Sub(now)
 }
 
-// rangesHeld returns the number of ranges that the current lease lists.
-func (k *keyKeeper) rangesHeld() int {
+// leasedRangeCount returns the number of ranges that the current lease lists.
+func (k *grantManager) leasedRangeCount() int {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	return len(k.wanted)
+	return len(k.leasedRanges)
 }
 
-func (k *keyKeeper) isLeased(key heldKey) bool {
-	for _, held := range k.wanted {
+func (k *grantManager) isLeased(key fencedRange) bool {
+	for _, held := range k.leasedRanges {
 		if held.Keys == key.keys && held.Fence == key.fence {
 			return true
 		}
--- a/internal/gateway/keys_test.go
+++ b/internal/gateway/keys_test.go
@@ -37,7 +37,7 @@
 	return "handed", h.failWith
 }
 
-func (h *fakeHolder) setRefuse(err error) {
+func (h *fakeHolder) setError(err error) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.failWith = err
@@ -55,8 +55,8 @@
 	return append([]GrantOrder{}, h.grants...)
 }
 
-// keyRig is a grant manager with a registered back end.
-type keyRig struct {
+// grantRig is a grant manager with a registered back end.
+type grantRig struct {
 	holder *fakeHolder
 	g      *Gateway
 	epoch  time.Time
@@ -64,18 +64,18 @@
 	sequence uint64
 }
 
-func newKeyRig(t *testing.T) *keyRig {
+func newGrantRig(t *testing.T) *grantRig {
 	// Probes and grants that the manager started may end after it.
 	t.Cleanup(func() { time.Sleep(grantTimeout) })
-	rig := &keyRig{holder: &fakeHolder{}, epoch: steady.Reading(), sequence: 1}
+	rig := &grantRig{holder: &fakeHolder{}, epoch: steady.Reading(), sequence: 1}
 	rig.g = &Gateway{config: Config{Keys: rig.holder}.withDefaults()}
 	rig.g.metrics = newGatewayMetrics(rig.g.config.Registry)
-	rig.g.views = newViews()
+	rig.g.views = newViewStore()
 	rig.g.registry = newRegistry(func() {})
 	rig.g.session = newSessionClient(rig.g)
-	rig.g.keys = newKeyKeeper(rig.g)
+	rig.g.keys = newGrantManager(rig.g)
 	rig.g.keyLoad = newKeyLoad()
-	rig.g.slots = newSlotGate()
+	rig.g.slots = newSlotLimiter()
 	rig.g.registry.heartbeat(Registration{ID: "i-1", Service: "s", Slots: 4, State: fleetwire.InstanceReady, Sequence: 1}, time.Second, steady.Reading())
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -91,30 +91,30 @@
 }
 
 // lease applies a lease of ranges that was requested just now.
-func (r *keyRig) lease(held, release []fleetwire.Held) {
-	r.g.keys.take(&fleetwire.Lease{
+func (r *grantRig) lease(held, release []fleetwire.Held) {
+	r.g.keys.applyLease(&fleetwire.Lease{
 		SentAt: steady.Elapsed(r.epoch), Duration: 8 * time.Second, Instance: "i-1", Held: held, Release: release,
 	}, r.epoch)
-	time.Sleep(keysInterval)
+	time.Sleep(grantCheckInterval)
 	synctest.Wait()
 }
 
-func held(first, last keyspace.Key) []fleetwire.Held {
+func leasedRange(first, last keyspace.Key) []fleetwire.Held {
 	return []fleetwire.Held{{Keys: keyspace.Range{First: first, Last: last}, Fence: 7}}
 }
 
-// asked is a range to be released for which a superseding grant is allowed.
-func asked(first, last keyspace.Key) []fleetwire.Held {
-	all := held(first, last)
+// releasable is a range to be released for which a superseding grant is allowed.
+func releasable(first, last keyspace.Key) []fleetwire.Held {
+	all := leasedRange(first, last)
 	all[0].MayCover = true
 	return all
 }
 
 func TestKeysAreServedOnlyWhileGrantedAndLeased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newKeyRig(t)
+		rig := newGrantRig(t)
 		assert.Assert(t, !rig.g.keys.holds("i-1", 5, steady.Reading()))
-		rig.lease(held(0, 99), nil)
+		rig.lease(leasedRange(0, 99), nil)
 		assert.Assert(t, rig.g.keys.holds("i-1", 5, steady.Reading()))
 		assert.Assert(t, !rig.g.keys.holds("i-1", 100, steady.Reading()))
 		// No further report is answered: the lease and every grant end within it.
@@ -128,9 +128,9 @@
 
 func TestAnUnconfirmedGrantServesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newKeyRig(t)
+		rig := newGrantRig(t)
 		rig.holder.failWith = errors.New("no answer")
-		rig.lease(held(0, 99), nil)
+		rig.lease(leasedRange(0, 99), nil)
 		assert.Assert(t, !rig.g.keys.holds("i-1", 5, steady.Reading()))
 	})
 }
@@ -139,17 +139,17 @@
 // the log. Its successor lists the range again, although the back end has released it.
 func TestAReleasedRangeIsGrantedAgainBeforeItIsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newKeyRig(t)
-		time.Sleep(2 * answerVoid) // an earlier process may have offered by heartbeat
-		rig.lease(held(0, 99), nil)
-		rest := append(held(0, 39), held(50, 99)...)
-		rig.lease(rest, asked(40, 49))
+		rig := newGrantRig(t)
+		time.Sleep(2 * answerValidity) // an earlier process may have offered by heartbeat
+		rig.lease(leasedRange(0, 99), nil)
+		rest := append(leasedRange(0, 39), leasedRange(50, 99)...)
+		rig.lease(rest, releasable(40, 49))
 		assert.Assert(t, !rig.g.keys.holds("i-1", 45, steady.Reading()))
 		assert.Assert(t, rig.g.keys.holds("i-1", 5, steady.Reading()))
-		assert.Equal(t, len(rig.g.keys.promises(0)), 1)
-		rig.holder.setRefuse(errors.New("no answer"))
+		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 1)
+		rig.holder.setError(errors.New("no answer"))
 		before := len(rig.holder.granted())
-		rig.lease(held(0, 99), nil)
+		rig.lease(leasedRange(0, 99), nil)
 		assert.Assert(t, !rig.g.keys.holds("i-1", 45, steady.Reading()), "the old grant does not cover the released range")
 		assert.Assert(t, len(rig.holder.granted()) > before, "it is granted again at once")
 	})
@@ -159,20 +159,20 @@
 // By then the back end must have seen a higher fence on them.
 func TestKeysWithAnUnansweredGrantAreCoveredBeforeTheyAreGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newKeyRig(t)
-		rig.lease(held(0, 99), nil)
-		rig.holder.setRefuse(errors.New("no answer"))
-		time.Sleep(DefaultKeyHold/renewals + keysInterval)
+		rig := newGrantRig(t)
+		rig.lease(leasedRange(0, 99), nil)
+		rig.holder.setError(errors.New("no answer"))
+		time.Sleep(DefaultKeyHold/renewalsPerGrant + grantCheckInterval)
 		synctest.Wait()
-		rig.lease(held(0, 39), asked(40, 99))
+		rig.lease(leasedRange(0, 39), releasable(40, 99))
 		assert.Equal(t, len(rig.holder.released()), 0, "not released while a grant may still be applied")
 		unanswered := rig.holder.granted()
 		late := unanswered[len(unanswered)-1]
-		rig.holder.setRefuse(nil)
+		rig.holder.setError(nil)
 		time.Sleep(time.Second)
 		synctest.Wait()
 		assert.Equal(t, len(rig.holder.released()), 1)
-		assert.Equal(t, len(rig.g.keys.promises(0)), 1)
+		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 1)
 		covered := false
 		for _, order := range rig.holder.granted()[len(unanswered):] {
 			covered = covered || order.Keys.Contains(keyspace.Range{First: 40, Last: 99}) && order.Fence > late.Fence
@@ -186,11 +186,11 @@
 // at the same address. The keys leased to the former one must not be granted to the next.
 func TestTheNextLifeOfABackEndIsNotGrantedTheKeysOfTheLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newKeyRig(t)
-		rig.lease(held(0, 99), nil)
+		rig := newGrantRig(t)
+		rig.lease(leasedRange(0, 99), nil)
 		assert.Assert(t, rig.g.keys.holds("i-1", 5, steady.Reading()))
 		before := len(rig.holder.granted())
-		rig.g.registry.lost("i-1")
+		rig.g.registry.markUnreachable("i-1")
 		rig.g.registry.heartbeat(Registration{ID: "i-2", Service: "s", Slots: 4, State: fleetwire.InstanceReady, Sequence: 1}, time.Second, steady.Reading())
 		rig.g.keys.signal()
 		time.Sleep(3 * time.Second)
--- a/internal/gateway/keyunreachable.go
+++ b/internal/gateway/keyunreachable.go
@@ -12,7 +12,7 @@
 
 // timeUntilFree returns the time until the keys of an unreachable instance may be assigned to
 // another owner; ok is false if that is not known.
-func (k *keyKeeper) timeUntilFree(instance string, now time.Time) (remaining time.Duration, ok bool) {
+func (k *grantManager) timeUntilFree(instance string, now time.Time) (remaining time.Duration, ok bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if instance != k.instance || now.Before(k.fences.unreadUntil()) {
@@ -20,10 +20,10 @@
 	}
 	until := now
 	for _, sent := range k.grants {
-		if sent.bound.Sending() {
+		if sent.bound.InFlight() {
 			return 0, false
 		}
-		until = later(until, sent.bound.Until())
+		until = latest(until, sent.bound.Until())
 	}
 	return until.Sub(now), true
 }
@@ -40,17 +40,17 @@
 		return notRun(reasonNotAdmitted)
 	}
 	refusal := notRun(reasonOwnerLost)
-	refusal.RetryAfter = remaining + handOverTime
+	refusal.RetryAfter = remaining + ownerChangeTime
 	return refusal
 }
 
 // reportUnreachableFree tells the leader that an unreachable back end holds no keys, once that
 // is certain. The leader may then give the keys to another owner, so leases requested before
 // are ignored. The caller has the mutex.
-func (k *keyKeeper) reportUnreachableFree(now time.Time) {
+func (k *grantManager) reportUnreachableFree(now time.Time) {
 	free := k.allGrantsExpired(now) && !now.Before(k.fences.unreadUntil())
 	free = free && (k.everConfirmed || k.noUnreadOrders(now))
-	for _, held := range k.wanted {
+	for _, held := range k.leasedRanges {
 		free = free && k.refusesEarlierProcesses(held, now)
 	}
 	if !free || !k.gateway.registry.markReleased(k.instance) {
@@ -58,7 +58,7 @@
 	}
 	// Read the clock again instead of using now: this goroutine may have been stalled since
 	// now was read.
-	k.wanted, k.leaseUntil, k.ignoreLeasesBefore = nil, time.Time{}, steady.Reading()
+	k.leasedRanges, k.leaseUntil, k.ignoreLeasesBefore = nil, time.Time{}, steady.Reading()
 	k.gateway.recordKeysFree(k.instance, allKeys, proofExpired)
-	k.gateway.session.report()
+	k.gateway.session.requestReport()
 }
--- a/internal/gateway/keywait_test.go
+++ b/internal/gateway/keywait_test.go
@@ -13,11 +13,11 @@
 )
 
 // waitTime returns how long a request waits for a key of i-1, at most a limit.
-func (r *keyRig) waitTime(key keyspace.Key, limit time.Duration) time.Duration {
+func (r *grantRig) waitTime(key keyspace.Key, limit time.Duration) time.Duration {
 	began := steady.Reading()
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	r.g.keys.await(ctx, "i-1", key)
+	r.g.keys.awaitKey(ctx, "i-1", key)
 	return steady.Elapsed(began)
 }
 
@@ -26,10 +26,10 @@
 func TestARequestWaitsForAKeyThatItsOwnerIsAboutToGet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
-		rig.lease(held(0, 99), nil)
+		rig.lease(leasedRange(0, 99), nil)
 		go func() {
 			time.Sleep(300 * time.Millisecond)
-			rig.beat(t, "i-1", nil)
+			rig.heartbeat(t, "i-1", nil)
 		}()
 		assert.Equal(t, rig.waitTime(5, time.Second), 300*time.Millisecond)
 		assert.Assert(t, rig.g.keys.holds("i-1", 5, steady.Reading()))
@@ -40,9 +40,9 @@
 func TestARequestWaitsForNoOtherKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
-		rig.lease(held(0, 99), nil)
+		rig.lease(leasedRange(0, 99), nil)
 		assert.Equal(t, rig.waitTime(100, time.Second), time.Duration(0))
-		rig.lease(nil, asked(0, 99))
+		rig.lease(nil, releasable(0, 99))
 		assert.Equal(t, rig.waitTime(5, time.Second), time.Duration(0), "it is being released")
 	})
 }
@@ -50,15 +50,15 @@
 func TestARequestWaitsForItsKeyForABoundedTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
-		rig.lease(held(0, 99), nil)
+		rig.lease(leasedRange(0, 99), nil)
 		assert.Equal(t, rig.waitTime(5, time.Second), time.Second)
 	})
 }
 
 // setOwner gives the rig's gateway a view of two back ends, of which one owns the keys.
-func (r *keyRig) setOwner(t *testing.T, index uint64, owner string) {
+func (r *grantRig) setOwner(t *testing.T, index uint64, owner string) {
 	advance(t, r.g.views, viewOf(true, fleetwire.Instance{ID: "i-1", Service: "s"}, fleetwire.Instance{ID: "i-2", Service: "s"}))
-	advance(t, r.g.views, viewOfOwners(index, owned(owner)))
+	advance(t, r.g.views, viewOfOwners(index, allKeysOf(owner)))
 }
 
 // While an owner releases a key, a request for it waits for the next owner.
@@ -76,10 +76,10 @@
 		}()
 		assert.Assert(t, rig.g.awaitOwner(t.Context(), "s", 5, "i-1", notRun(reasonNotOwner), until))
 		assert.Equal(t, steady.Elapsed(began), 80*time.Millisecond)
-		// Without a change it is tried again after sameOwnerAgain, but not beyond the
+		// Without a change it is tried again after sameOwnerRetryInterval, but not beyond the
 		// request's deadline.
 		assert.Assert(t, rig.g.awaitOwner(t.Context(), "s", 5, "i-2", notRun(reasonNotOwner), until))
-		assert.Equal(t, steady.Elapsed(began), 80*time.Millisecond+sameOwnerAgain)
+		assert.Equal(t, steady.Elapsed(began), 80*time.Millisecond+sameOwnerRetryInterval)
 		time.Sleep(steady.Until(until))
 		assert.Assert(t, !rig.g.awaitOwner(t.Context(), "s", 5, "i-2", notRun(reasonNotOwner), until))
 		synctest.Wait()
--- a/internal/gateway/lateheartbeat_test.go
+++ b/internal/gateway/lateheartbeat_test.go
@@ -22,7 +22,7 @@
 // neither.
 func TestALateHeartbeatOfAnEarlierIncarnationIsNotItsSuccessors(t *testing.T) {
 	r := newRegistry(func() {})
-	r.interval = heartbeatInterval
+	r.heartbeatInterval = heartbeatInterval
 	now := steady.Reading()
 	sendHeartbeat(r, "live", 5, now)
 	sendHeartbeat(r, "dead", 40, now.Add(100*time.Millisecond))
@@ -34,28 +34,28 @@
 // A gateway that has restarted knows the incarnation that the leader knew. The process at the
 // back end's address may be the next one, which must not get the former one's keys.
 func TestARestoredIncarnationIsUnverifiedUntilItAnswers(t *testing.T) {
-	g := choosingGateway(t)
+	g := gatewayWithTwoZones(t)
 	g.config.Service = "s"
 	g.registry = newRegistry(func() {})
 	document := &routeconfig.Document{Version: 1, Services: []routeconfig.Service{{Name: "s", WarmupRate: coldRate}}}
 	advance(t, g.views, &fleetwire.View{Document: document})
 	known := fleetwire.Instance{ID: "i-1", Service: "s", State: fleetwire.InstanceReady, Sequence: 9}
 	g.registry.restore(known, time.Second, steady.Reading())
-	assert.Assert(t, g.unproved())
-	g.registry.prove("i-2")
-	assert.Assert(t, g.unproved(), "another back end has answered")
+	assert.Assert(t, g.identityUnconfirmed())
+	g.registry.verify("i-2")
+	assert.Assert(t, g.identityUnconfirmed(), "another back end has answered")
 	sendHeartbeat(g.registry, "i-1", 10, steady.Reading())
-	assert.Assert(t, !g.unproved())
+	assert.Assert(t, !g.identityUnconfirmed())
 	g.registry = newRegistry(func() {})
 	g.registry.restore(known, time.Second, steady.Reading())
-	g.registry.prove("i-1")
-	assert.Assert(t, !g.unproved())
+	g.registry.verify("i-1")
+	assert.Assert(t, !g.identityUnconfirmed())
 }
 
 // A new incarnation whose first heartbeats were lost is accepted after a moment.
 func TestANewIncarnationIsAcceptedThoughItsFirstHeartbeatsWereLost(t *testing.T) {
 	r := newRegistry(func() {})
-	r.interval = heartbeatInterval
+	r.heartbeatInterval = heartbeatInterval
 	now := steady.Reading()
 	sendHeartbeat(r, "last", 40, now)
 	sendHeartbeat(r, "next", 7, now.Add(2*heartbeatInterval))
@@ -64,7 +64,7 @@
 	assert.Equal(t, r.snapshot().ID, "next", "a first heartbeat may be late, too")
 	sendHeartbeat(r, "after", 2, now.Add(3*heartbeatInterval))
 	assert.Equal(t, r.snapshot().ID, "after", "it alone sends heartbeats")
-	r.lost("after")
+	r.markUnreachable("after")
 	sendHeartbeat(r, "last but one", 1, now.Add(3*heartbeatInterval))
 	assert.Equal(t, r.snapshot().ID, "last but one", "the former one is unreachable")
 }
--- a/internal/gateway/laterequests_test.go
+++ b/internal/gateway/laterequests_test.go
@@ -15,10 +15,10 @@
 
 const testServiceTime = 300 * time.Millisecond
 
-// lateGate returns a slotGate with the given number of slots and a known service time of
+// limiterWithServiceTime returns a slotLimiter with the given number of slots and a known service time of
 // testServiceTime.
-func lateGate(slots int) *slotGate {
-	g := newSlotGate()
+func limiterWithServiceTime(slots int) *slotLimiter {
+	g := newSlotLimiter()
 	g.setCapacity(slots)
 	g.queue.SetServiceTime(testServiceTime)
 	return g
@@ -27,11 +27,11 @@
 // demandWithin is the demand of a request that is due after one duration and abandoned by
 // its caller after another.
 func demandWithin(due, timeout time.Duration) demand {
-	return demand{Due: steady.Reading().Add(due), Target: time.Second, Patience: max(minSlotWait, due-testServiceTime), Latest: timeout - testServiceTime}
+	return demand{Due: steady.Reading().Add(due), Target: time.Second, InTimeWait: max(minSlotWait, due-testServiceTime), MaxWait: timeout - testServiceTime}
 }
 
 // occupySlots takes all slots and releases them after the given time.
-func occupySlots(t *testing.T, g *slotGate, slots int, held time.Duration) {
+func occupySlots(t *testing.T, g *slotLimiter, slots int, held time.Duration) {
 	for range slots {
 		taken, err := g.acquire(t.Context(), demandWithin(time.Second, time.Second))
 		assert.NilError(t, err)
@@ -43,7 +43,7 @@
 // gives up if a slot is unused.
 func TestLateRequestWaitsForUnusedSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := lateGate(2)
+		g := limiterWithServiceTime(2)
 		occupySlots(t, g, 2, testServiceTime)
 		began := steady.Reading()
 		taken, err := g.acquire(t.Context(), demandWithin(100*time.Millisecond, 2*time.Second))
@@ -62,7 +62,7 @@
 // arrival.
 func TestRequestInTimeGoesBeforeLateOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := lateGate(1)
+		g := limiterWithServiceTime(1)
 		occupySlots(t, g, 1, testServiceTime)
 		order := make(chan string, 2)
 		send := func(name string, wanted demand) {
@@ -85,7 +85,7 @@
 func TestLateRequestIsRefusedAtOnceIfNoSlotIsUnused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const slots = 4
-		g := lateGate(slots)
+		g := limiterWithServiceTime(slots)
 		for range 30 {
 			occupySlots(t, g, slots, testServiceTime)
 			time.Sleep(testServiceTime)
@@ -101,7 +101,7 @@
 
 func TestAbandonedLateRequestLeavesQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := lateGate(1)
+		g := limiterWithServiceTime(1)
 		occupySlots(t, g, 1, 5*time.Second)
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(100*time.Millisecond, cancel)
@@ -134,7 +134,7 @@
 	const slots, callers, target, timeout = 6, 1500, callerTarget, 1500 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		random := rand.New(rand.NewPCG(7, 7))
-		g := lateGate(slots)
+		g := limiterWithServiceTime(slots)
 		var mutex sync.Mutex
 		var all sync.WaitGroup
 		for range callers {
@@ -145,7 +145,7 @@
 				wanted := demandWithin(target, timeout)
 				wanted.OnlyHere = lateMode == lateSoleServer
 				if lateMode == lateDisabled {
-					wanted.Latest = 0
+					wanted.MaxWait = 0
 				}
 				taken, err := g.acquire(t.Context(), wanted)
 				if err == nil {
@@ -201,7 +201,7 @@
 func TestLateRequestIsRefusedOnceNoSlotIsUnused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const slots, requests = 14, 7200
-		g := lateGate(slots)
+		g := limiterWithServiceTime(slots)
 		var mutex sync.Mutex
 		var longest time.Duration
 		var all sync.WaitGroup
--- a/internal/gateway/leaderless_test.go
+++ b/internal/gateway/leaderless_test.go
@@ -24,19 +24,19 @@
 	addresses []string
 	// standings are those that each controller reports; nil if it cannot tell. A silent
 	// controller does not answer at all.
-	standings []atomic.Pointer[fleetwire.Standing]
+	standings []atomic.Pointer[fleetwire.OperatorState]
 	silent    []atomic.Bool
 }
 
 func startLeaderlessControllers(t *testing.T, count int) *leaderlessControllers {
 	t.Helper()
-	l := &leaderlessControllers{standings: make([]atomic.Pointer[fleetwire.Standing], count), silent: make([]atomic.Bool, count)}
+	l := &leaderlessControllers{standings: make([]atomic.Pointer[fleetwire.OperatorState], count), silent: make([]atomic.Bool, count)}
 	var voters []topology.ReplicaID
 	for i := range count {
 		voters = append(voters, topology.ReplicaID(i+1))
 	}
 	for i := range count {
-		l.standings[i].Store(&fleetwire.Standing{
+		l.standings[i].Store(&fleetwire.OperatorState{
 			Member: voters[i], Voters: voters, Version: 1, For: configlease.DefaultApplyWithin,
 		})
 		listener, err := transport.Listen("127.0.0.1:0", noTimeouts)
@@ -65,7 +65,7 @@
 // startLeaderlessGateway starts a gateway whose lease has just been granted by a leader.
 func startLeaderlessGateway(t *testing.T, controllers []string) *leaderTest {
 	t.Helper()
-	backend := httptest.NewServer(http.HandlerFunc(answerWhole))
+	backend := httptest.NewServer(http.HandlerFunc(serveComplete))
 	t.Cleanup(backend.Close)
 	s := &leaderTest{t: t, caller: freeAddress(t)}
 	peer := freeAddress(t)
@@ -87,9 +87,9 @@
 		}},
 	}
 	advance(t, s.gateway.views, view)
-	s.gateway.peers.follow(s.gateway.views.load())
+	s.gateway.peers.pruneConnections(s.gateway.views.load())
 	terms := configlease.Terms{}.WithDefaults()
-	s.gateway.session.vouched.take(&fleetwire.Lease{
+	s.gateway.session.configurationLease.take(&fleetwire.Lease{
 		SentAt: s.gateway.session.now(), ConfigurationFor: terms.Validity(), PassedOnFor: terms.ApplyWithin,
 	}, s.gateway.session.started)
 	return s
@@ -117,25 +117,25 @@
 	for name, change := range map[string]func(l *leaderlessControllers){
 		"a minority answers": func(l *leaderlessControllers) { l.silent[0].Store(true); l.silent[1].Store(true) },
 		"two have a newer configuration": func(l *leaderlessControllers) {
-			l.alterStanding(0, func(standing *fleetwire.Standing) { standing.Version = 2 })
-			l.alterStanding(1, func(standing *fleetwire.Standing) { standing.Version = 2 })
+			l.alterStanding(0, func(standing *fleetwire.OperatorState) { standing.Version = 2 })
+			l.alterStanding(1, func(standing *fleetwire.OperatorState) { standing.Version = 2 })
 		},
 		"two have a newer evacuation order": func(l *leaderlessControllers) {
-			l.alterStanding(0, func(standing *fleetwire.Standing) { standing.EvacuationsIndex = 9 })
-			l.alterStanding(1, func(standing *fleetwire.Standing) { standing.EvacuationsIndex = 9 })
+			l.alterStanding(0, func(standing *fleetwire.OperatorState) { standing.EvacuationsIndex = 9 })
+			l.alterStanding(1, func(standing *fleetwire.OperatorState) { standing.EvacuationsIndex = 9 })
 		},
 		"two report no standing": func(l *leaderlessControllers) { l.standings[0].Store(nil); l.standings[1].Store(nil) },
 		"they disagree about the voters": func(l *leaderlessControllers) {
-			l.alterStanding(0, func(standing *fleetwire.Standing) { standing.Voters = append(slices.Clone(standing.Voters), 4) })
-			l.alterStanding(1, func(standing *fleetwire.Standing) { standing.Voters = standing.Voters[:2] })
+			l.alterStanding(0, func(standing *fleetwire.OperatorState) { standing.Voters = append(slices.Clone(standing.Voters), 4) })
+			l.alterStanding(1, func(standing *fleetwire.OperatorState) { standing.Voters = standing.Voters[:2] })
 		},
 		"two report the same member": func(l *leaderlessControllers) {
-			l.alterStanding(0, func(standing *fleetwire.Standing) { standing.Member = 3 })
-			l.alterStanding(1, func(standing *fleetwire.Standing) { standing.Member = 3 })
+			l.alterStanding(0, func(standing *fleetwire.OperatorState) { standing.Member = 3 })
+			l.alterStanding(1, func(standing *fleetwire.OperatorState) { standing.Member = 3 })
 		},
 		"two are not voters": func(l *leaderlessControllers) {
-			l.alterStanding(0, func(standing *fleetwire.Standing) { standing.Member = 8 })
-			l.alterStanding(1, func(standing *fleetwire.Standing) { standing.Member = 9 })
+			l.alterStanding(0, func(standing *fleetwire.OperatorState) { standing.Member = 8 })
+			l.alterStanding(1, func(standing *fleetwire.OperatorState) { standing.Member = 9 })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -150,7 +150,7 @@
 	}
 }
 
-func (l *leaderlessControllers) alterStanding(i int, change func(*fleetwire.Standing)) {
+func (l *leaderlessControllers) alterStanding(i int, change func(*fleetwire.OperatorState)) {
 	altered := *l.standings[i].Load()
 	change(&altered)
 	l.standings[i].Store(&altered)
--- a/internal/gateway/linkadmission_test.go
+++ b/internal/gateway/linkadmission_test.go
@@ -69,7 +69,7 @@
 		}
 		time.Sleep(transferRun)
 		pacer.settle(reservation, true, transferSize)
-		pacer.write(t.Context(), &linkWriter{httptest.NewRecorder(), link}, make([]byte, transferSize))
+		pacer.writeBody(t.Context(), &linkWriter{httptest.NewRecorder(), link}, make([]byte, transferSize))
 		time.Sleep(pacer.link.TimeFor(transferSize))
 		switch took := steady.Elapsed(sentAt); {
 		case took <= transferTarget:
@@ -143,7 +143,7 @@
 	pacer := newLinkPacer(slowLinkRate)
 	wanted := overload.Transfer{Due: steady.Reading().Add(transferTarget), Deadline: steady.Reading().Add(transferTimeout), Target: transferTarget, Run: transferRun}
 	started := 0
-	var first overload.Kept
+	var first overload.Reservation
 	for range 60 {
 		if reservation, ok := pacer.admit(wanted); ok {
 			first = reservation
@@ -168,7 +168,7 @@
 func TestBodiesWaitingInProcessCountAsLinkLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pacer := newLinkPacer(slowLinkRate)
-		pacer.settle(overload.Kept{}, true, transferSize)
+		pacer.settle(overload.Reservation{}, true, transferSize)
 		pacer.addWaiting(20 * transferSize) // none of it is written to the link
 		now := steady.Reading()
 		wanted := overload.Transfer{Due: now.Add(transferTarget), Deadline: now.Add(transferTimeout), Target: transferTarget, Run: transferRun}
--- a/internal/gateway/linkpacer.go
+++ b/internal/gateway/linkpacer.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// bulkFrom is the size from which the body of a response is paced, in bytes: it occupies
+	// minPacedBody is the size from which the body of a response is paced, in bytes: it occupies
 	// a link of 8 Mbit/s, as the users' machines have, for 16 ms.
-	bulkFrom = 16 << 10
+	minPacedBody = 16 << 10
 	// pacedChunk is how much is written to the link at a time, in bytes. A small response
 	// waits for at most one chunk and maxPacingLead.
 	pacedChunk = 16 << 10
@@ -57,19 +57,19 @@
 
 // admit reserves link capacity for a large response. The reservation must be passed to
 // settle once the response has arrived or can't arrive any more.
-func (p *linkPacer) admit(wanted overload.Transfer) (reservation overload.Kept, ok bool) {
+func (p *linkPacer) admit(wanted overload.Transfer) (reservation overload.Reservation, ok bool) {
 	p.withLink(func(link *overload.Link, now time.Time) { reservation, ok = link.Admit(wanted, now) })
 	return reservation, ok
 }
 
 // settle ends the reservation of admit. Answered says that the response has arrived, with a
 // body of the given number of bytes.
-func (p *linkPacer) settle(reservation overload.Kept, answered bool, bytes int) {
-	p.withLink(func(link *overload.Link, _ time.Time) { link.Settle(reservation, answered, bytes) })
+func (p *linkPacer) settle(reservation overload.Reservation, answered bool, bytes int) {
+	p.withLink(func(link *overload.Link, _ time.Time) { link.Release(reservation, answered, bytes) })
 }
 
-// sent records that a large response has been written completely.
-func (p *linkPacer) sent(reservation overload.Kept) {
+// completed records that a large response has been written completely.
+func (p *linkPacer) completed(reservation overload.Reservation) {
 	p.withLink(func(link *overload.Link, now time.Time) { link.Sent(reservation, now) })
 }
 
@@ -82,19 +82,19 @@
 // countSent counts bytes that are written to the link and returns how long the link is busy
 // with the bytes before them.
 func (p *linkPacer) countSent(bytes int) (busy time.Duration) {
-	p.withLink(func(link *overload.Link, now time.Time) { busy = link.Note(bytes, now) })
+	p.withLink(func(link *overload.Link, now time.Time) { busy = link.AddSent(bytes, now) })
 	return busy
 }
 
 // addWaiting counts bytes that wait to be written, or, if negative, that no longer do.
 func (p *linkPacer) addWaiting(bytes int) {
-	p.withLink(func(link *overload.Link, _ time.Time) { link.Wait(bytes) })
+	p.withLink(func(link *overload.Link, _ time.Time) { link.AddWaiting(bytes) })
 }
 
-// write writes a body and reports whether all of it was written. It returns early if the
+// writeBody writes a body and reports whether all of it was written. It returns early if the
 // context ends or the reader disconnects.
-func (p *linkPacer) write(ctx context.Context, w http.ResponseWriter, body []byte) (whole bool) {
-	if !p.link.Bounded() || len(body) < bulkFrom {
+func (p *linkPacer) writeBody(ctx context.Context, w http.ResponseWriter, body []byte) (whole bool) {
+	if !p.link.Bounded() || len(body) < minPacedBody {
 		p.countSent(len(body))
 		_, err := w.Write(body)
 		return err == nil
@@ -119,7 +119,7 @@
 		if _, err := io.ReadFull(source, chunk); err != nil {
 			return err
 		}
-		if !pauseFor(ctx, p.countSent(len(chunk))-maxPacingLead) {
+		if !sleep(ctx, p.countSent(len(chunk))-maxPacingLead) {
 			return context.Cause(ctx)
 		}
 		if _, err := w.Write(chunk); err != nil {
@@ -131,8 +131,8 @@
 	return nil
 }
 
-// pauseFor sleeps and reports whether the context is still active.
-func pauseFor(ctx context.Context, pause time.Duration) bool {
+// sleep sleeps and reports whether the context is still active.
+func sleep(ctx context.Context, pause time.Duration) bool {
 	if pause <= 0 {
 		return ctx.Err() == nil
 	}
--- a/internal/gateway/linkpacer_test.go
+++ b/internal/gateway/linkpacer_test.go
@@ -60,7 +60,7 @@
 		for range answers {
 			all.Go(func() {
 				w := &linkWriter{httptest.NewRecorder(), link}
-				pacer.write(t.Context(), w, make([]byte, size))
+				pacer.writeBody(t.Context(), w, make([]byte, size))
 				assert.Check(t, w.Body.Len() == size)
 			})
 		}
@@ -85,7 +85,7 @@
 		began := steady.Reading()
 		for range answers {
 			go func() {
-				pacer.write(t.Context(), &linkWriter{httptest.NewRecorder(), link}, make([]byte, size))
+				pacer.writeBody(t.Context(), &linkWriter{httptest.NewRecorder(), link}, make([]byte, size))
 				ended <- struct{}{}
 			}()
 		}
@@ -111,7 +111,7 @@
 			time.Sleep(50 * time.Millisecond)
 			cancel()
 		}()
-		pacer.write(ctx, w, make([]byte, 1<<20))
+		pacer.writeBody(ctx, w, make([]byte, 1<<20))
 		assert.Assert(t, w.Body.Len() < 200<<10, "%d bytes", w.Body.Len())
 		time.Sleep(time.Second)
 		assert.Equal(t, pacer.backlog(), time.Duration(0))
@@ -123,7 +123,7 @@
 		pacer := newLinkPacer(0)
 		began := steady.Reading()
 		w := httptest.NewRecorder()
-		pacer.write(t.Context(), w, make([]byte, 10<<20))
+		pacer.writeBody(t.Context(), w, make([]byte, 10<<20))
 		assert.Equal(t, w.Body.Len(), 10<<20)
 		assert.Equal(t, steady.Elapsed(began), time.Duration(0))
 	})
--- a/internal/gateway/lives.go
+++ b/internal/gateway/lives.go
@@ -43,7 +43,7 @@
 // is draining or unreachable; or if the sender continues to send heartbeats and the current
 // one does not. The back ends' clocks are not compared.
 func (r *registry) isSuccessor(registration Registration, now time.Time) bool {
-	intervals := func(count float64) time.Duration { return time.Duration(count * float64(r.interval)) }
+	intervals := func(count float64) time.Duration { return time.Duration(count * float64(r.heartbeatInterval)) }
 	unreachable := r.current.State == fleetwire.InstanceGone
 	draining := r.current.State == fleetwire.InstanceDraining && incarnation.IDOf(registration.ID) != incarnation.IDOf(r.current.ID)
 	if now.Sub(r.lastHeartbeatAt) >= intervals(silentIntervals) || registration.Sequence <= firstHeartbeats && (unreachable || draining) {
@@ -93,9 +93,9 @@
 	return r.candidate.waiting
 }
 
-// retry retries a heartbeat that had to wait until the grants of the former incarnation
+// retryCandidate retries a heartbeat that had to wait until the grants of the former incarnation
 // expired, or until the leader told which incarnation it knew.
-func (r *registry) retry(now time.Time) {
+func (r *registry) retryCandidate(now time.Time) {
 	r.mutex.Lock()
 	candidate := r.candidate
 	r.mutex.Unlock()
--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/lives_test.go
@@ -43,12 +43,12 @@
 func (e incarnationEvent) apply(r *registry, now time.Time) *registry {
 	switch e.event {
 	case connectionRefused:
-		r.lost(e.incarnation)
+		r.markUnreachable(e.incarnation)
 	case deregistered:
 		r.deregister(e.incarnation, time.Second, now)
 	case gatewayRestarts:
 		r = newRegistry(func() {})
-		r.interval = heartbeatInterval
+		r.heartbeatInterval = heartbeatInterval
 	case leaderAnswers:
 		r.restore(fleetwire.Instance{ID: e.incarnation, Service: "s", State: fleetwire.InstanceReady, Sequence: e.sequence}, time.Second, now)
 	default:
@@ -136,7 +136,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRegistry(func() {})
-			r.interval = heartbeatInterval
+			r.heartbeatInterval = heartbeatInterval
 			now := steady.Reading()
 			for _, event := range test.events {
 				now = now.Add(time.Duration(event.after * float64(heartbeatInterval)))
@@ -157,17 +157,17 @@
 const incarnationKeyHold = 2 * time.Second
 
 // newIncarnationRig returns a rig whose back end may restart.
-func newIncarnationRig(t *testing.T) *keyRig {
-	rig := newKeyRig(t)
+func newIncarnationRig(t *testing.T) *grantRig {
+	rig := newGrantRig(t)
 	rig.g.config.KeyHold = incarnationKeyHold
-	rig.g.registry.interval = heartbeatInterval
-	rig.g.registry.yields = rig.g.keys.yield
+	rig.g.registry.heartbeatInterval = heartbeatInterval
+	rig.g.registry.stopGrants = rig.g.keys.stopGrants
 	return rig
 }
 
 // nextHeartbeat delivers the first heartbeat of the next incarnation after the current one has
 // been silent.
-func (r *keyRig) nextHeartbeat() {
+func (r *grantRig) nextHeartbeat() {
 	time.Sleep(2 * heartbeatInterval)
 	next := Registration{ID: successorIncarnation, Service: "s", Slots: 4, State: fleetwire.InstanceReady, Sequence: 1}
 	r.g.registry.heartbeat(next, time.Second, steady.Reading())
@@ -180,20 +180,20 @@
 func TestTheNextIncarnationIsReportedOnceTheFormerOnesGrantsExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newIncarnationRig(t)
-		rig.lease(held(0, 9), nil)
+		rig.lease(leasedRange(0, 9), nil)
 		assert.Assert(t, rig.g.keys.holds("i-1", 4, steady.Reading()))
 		rig.nextHeartbeat()
 		assert.Equal(t, rig.g.registry.snapshot().ID, "i-1", "the former incarnation may hold its keys")
 		assert.Assert(t, !rig.g.keys.holds("i-1", 4, steady.Reading()))
 		granted := rig.holder.granted()
-		time.Sleep(incarnationKeyHold - incarnationKeyHold/renewals)
+		time.Sleep(incarnationKeyHold - incarnationKeyHold/renewalsPerGrant)
 		synctest.Wait()
 		assert.Equal(t, rig.g.registry.snapshot().ID, "i-1")
 		assert.Equal(t, len(rig.holder.granted()), len(granted), "nothing more is granted")
-		time.Sleep(incarnationKeyHold/renewals + 2*keysInterval)
+		time.Sleep(incarnationKeyHold/renewalsPerGrant + 2*grantCheckInterval)
 		synctest.Wait()
 		assert.Equal(t, rig.g.registry.snapshot().ID, successorIncarnation)
-		assert.Assert(t, rig.g.session.build().EarlierOver)
+		assert.Assert(t, rig.g.session.buildReport().EarlierOver)
 	})
 }
 
@@ -202,15 +202,15 @@
 func TestUnansweredGrantsDelayTheFormerIncarnationsKeysButNotTheNextIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newIncarnationRig(t)
-		rig.lease(held(0, 9), nil)
-		rig.holder.setRefuse(errNoAnswer)
+		rig.lease(leasedRange(0, 9), nil)
+		rig.holder.setError(errInvalidResponse)
 		rig.nextHeartbeat()
 		time.Sleep(2 * incarnationKeyHold)
 		synctest.Wait()
 		assert.Equal(t, rig.g.registry.snapshot().ID, successorIncarnation)
-		assert.Assert(t, !rig.g.session.build().EarlierOver)
+		assert.Assert(t, !rig.g.session.buildReport().EarlierOver)
 		time.Sleep(maxGrantDelay)
-		assert.Assert(t, rig.g.session.build().EarlierOver)
+		assert.Assert(t, rig.g.session.buildReport().EarlierOver)
 	})
 }
 
@@ -218,13 +218,13 @@
 func TestACurrentIncarnationThatSendsAHeartbeatAgainStaysCurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newIncarnationRig(t)
-		rig.lease(held(0, 9), nil)
-		rig.holder.setRefuse(errNoAnswer)
+		rig.lease(leasedRange(0, 9), nil)
+		rig.holder.setError(errInvalidResponse)
 		rig.nextHeartbeat()
-		rig.holder.setRefuse(nil)
+		rig.holder.setError(nil)
 		_, err := rig.g.Heartbeat(Registration{ID: "i-1", Service: "s", Slots: 4, State: fleetwire.InstanceReady, Sequence: 2})
 		assert.NilError(t, err)
-		time.Sleep(2 * keysInterval)
+		time.Sleep(2 * grantCheckInterval)
 		synctest.Wait()
 		assert.Equal(t, rig.g.registry.snapshot().ID, "i-1")
 		assert.Assert(t, rig.g.keys.holds("i-1", 4, steady.Reading()))
@@ -235,13 +235,13 @@
 // may be running, and hold what an earlier process has granted.
 func TestAnUnverifiedIncarnationReportsNoReleases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newKeyRig(t)
+		rig := newGrantRig(t)
 		rig.g.registry.unverified = true
 		rig.g.config.Service = "s"
 		advance(t, rig.g.views, &fleetwire.View{Document: &routeconfig.Document{Version: 1, Services: []routeconfig.Service{{Name: "s", Keyed: true, WarmupRate: coldRate}}}})
-		assert.Assert(t, rig.g.unproved())
-		rig.lease(nil, held(0, 9))
-		assert.Equal(t, len(rig.g.keys.promises(0)), 0)
+		assert.Assert(t, rig.g.identityUnconfirmed())
+		rig.lease(nil, leasedRange(0, 9))
+		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 0)
 	})
 }
 
@@ -252,11 +252,11 @@
 		rig := newIncarnationRig(t)
 		rig.nextHeartbeat()
 		assert.Equal(t, rig.g.registry.snapshot().ID, "i-1")
-		assert.Assert(t, !rig.g.session.build().EarlierOver)
-		time.Sleep(steady.Until(rig.g.keys.earlierProcessUntil().Add(2 * keysInterval)))
+		assert.Assert(t, !rig.g.session.buildReport().EarlierOver)
+		time.Sleep(steady.Until(rig.g.keys.earlierProcessExpiresAt().Add(2 * grantCheckInterval)))
 		synctest.Wait()
 		assert.Equal(t, rig.g.registry.snapshot().ID, successorIncarnation)
-		assert.Assert(t, rig.g.session.build().EarlierOver)
+		assert.Assert(t, rig.g.session.buildReport().EarlierOver)
 	})
 }
 
@@ -269,7 +269,7 @@
 func (h *slowHolder) Grant(context.Context, GrantOrder) error {
 	h.called <- struct{}{}
 	<-h.answer
-	return errNoAnswer
+	return errInvalidResponse
 }
 
 // A grant in flight when its incarnation becomes unreachable may still be applied. The leader
@@ -279,19 +279,19 @@
 		rig := newIncarnationRig(t)
 		holder := &slowHolder{called: make(chan struct{}, 1), answer: make(chan struct{})}
 		rig.g.config.Keys = holder
-		rig.lease(held(0, 9), nil)
+		rig.lease(leasedRange(0, 9), nil)
 		<-holder.called
-		rig.g.registry.lost("i-1")
-		time.Sleep(2 * keysInterval)
+		rig.g.registry.markUnreachable("i-1")
+		time.Sleep(2 * grantCheckInterval)
 		synctest.Wait()
 		ended := rig.g.registry.snapshot()
 		assert.Equal(t, ended.State, fleetwire.InstanceGone, "it gets no new requests")
 		assert.Assert(t, !ended.Released)
 		close(holder.answer)
-		time.Sleep(maxGrantDelay - keysInterval)
+		time.Sleep(maxGrantDelay - grantCheckInterval)
 		synctest.Wait()
 		assert.Assert(t, !rig.g.registry.snapshot().Released, "the grant had no answer")
-		time.Sleep(3 * keysInterval)
+		time.Sleep(3 * grantCheckInterval)
 		synctest.Wait()
 		assert.Assert(t, rig.g.registry.snapshot().Released)
 	})
@@ -306,10 +306,10 @@
 		rig.g.registry.unverified = true
 		rig.g.config.Service = "s"
 		advance(t, rig.g.views, &fleetwire.View{Document: &routeconfig.Document{Version: 1, Services: []routeconfig.Service{{Name: "s", Keyed: true, WarmupRate: coldRate}}}})
-		rig.lease(held(0, 9), nil)
+		rig.lease(leasedRange(0, 9), nil)
 		rig.nextHeartbeat()
 		assert.Equal(t, rig.g.registry.snapshot().ID, "i-1")
-		time.Sleep(steady.Until(rig.g.keys.earlierProcessUntil().Add(2 * keysInterval)))
+		time.Sleep(steady.Until(rig.g.keys.earlierProcessExpiresAt().Add(2 * grantCheckInterval)))
 		synctest.Wait()
 		assert.Equal(t, len(rig.holder.granted()), 0)
 		assert.Equal(t, rig.g.registry.snapshot().ID, successorIncarnation)
@@ -343,7 +343,7 @@
 		t.Run(name, func(t *testing.T) {
 			answered := false
 			r := newRegistry(func() {})
-			r.interval = heartbeatInterval
+			r.heartbeatInterval = heartbeatInterval
 			r.leaderAnswered = func() bool { return answered }
 			now := steady.Reading()
 			sendHeartbeat(r, formerIncarnation, 40, now)
@@ -352,7 +352,7 @@
 				r.restore(fleetwire.Instance{ID: test.known, Service: "s", State: fleetwire.InstanceReady, Sequence: 5}, time.Second, now)
 			}
 			answered = true
-			r.retry(now)
+			r.retryCandidate(now)
 			assert.Equal(t, r.snapshot().ID, test.want)
 		})
 	}
@@ -365,7 +365,7 @@
 // A gateway serves the back end of one service; a heartbeat of another service is refused,
 // whatever is known of the configuration.
 func TestAHeartbeatOfAnotherServiceIsRefused(t *testing.T) {
-	rig := newKeyRig(t)
+	rig := newGrantRig(t)
 	rig.g.config.Service = "s"
 	_, err := rig.g.Heartbeat(Registration{ID: "i-2", Service: "unheard-of", Slots: 4, State: fleetwire.InstanceDraining, Sequence: 1})
 	assert.ErrorIs(t, err, ErrOtherService)
--- a/internal/gateway/majority.go
+++ b/internal/gateway/majority.go
@@ -15,19 +15,19 @@
 // recordStanding takes the standing that a controller which does not lead sent in answer to a
 // request. requestedAt is on the clock that timestamps in reports refer to. A nil standing is
 // ignored.
-func (s *sessionClient) recordStanding(standing *fleetwire.Standing, requestedAt time.Duration) {
+func (s *sessionClient) recordStanding(standing *fleetwire.OperatorState, requestedAt time.Duration) {
 	v := s.gateway.views.load()
 	if standing == nil || v.table == nil {
 		return
 	}
-	s.standings.Take(configlease.Standing{
+	s.standings.Record(configlease.LogState{
 		Asked: requestedAt, Member: standing.Member, Voters: standing.Voters, Version: standing.Version, EvacuationsIndex: standing.EvacuationsIndex,
 	})
 	since, ok := s.standings.NothingNewerSince(standing.Member, v.version(), v.evacuationsIndex)
 	if !ok {
 		return
 	}
-	s.vouched.extendByMajority(s.started.Add(since), standing.For)
+	s.configurationLease.extendByMajority(s.started.Add(since), standing.For)
 	if !s.extendedByMajority {
 		s.extendedByMajority = true
 		s.gateway.config.Log.Info("nobody leads, and a majority of controllers has nothing newer", "version", uint64(v.version()),
--- a/internal/gateway/malformedpeers_test.go
+++ b/internal/gateway/malformedpeers_test.go
@@ -12,8 +12,8 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// answerOf is a peer's answer with a load header.
-func answerOf(load string) *http.Response {
+// answerWithLoad is a peer's answer with a load header.
+func answerWithLoad(load string) *http.Response {
 	return &http.Response{StatusCode: http.StatusOK, Header: http.Header{fieldOutcome: {string(outcomeAnswered)}, fieldLoad: {load}}}
 }
 
@@ -29,13 +29,13 @@
 		"01,0,18,1,1,1,1,1", " 1,0,18,1,1,1,1,1",
 	} {
 		p := &peer{load: known}
-		result := decodeResult(answerOf(load), nil)
+		result := decodeResult(answerWithLoad(load), nil)
 		assert.Equal(t, result.Outcome, outcomeAnswered)
-		p.end(result, steady.Reading())
+		p.endAttempt(result, steady.Reading())
 		assert.Equal(t, p.load, known, load)
 	}
 	for _, twice := range []string{"1,0,18,1,1,1,1,1", "2,0,18,1,1,1,1,1"} {
-		response := answerOf("1,0,18,1,1,1,1,1")
+		response := answerWithLoad("1,0,18,1,1,1,1,1")
 		response.Header.Add(fieldLoad, twice)
 		assert.Equal(t, decodeResult(response, nil).Load, peerLoad{}, "two load headers")
 	}
@@ -44,24 +44,24 @@
 // The reason of a peer must be one of the known ones, since it becomes the label of a time
 // series.
 func TestUnknownReasonsOfPeersAreReplaced(t *testing.T) {
-	response := answerOf("")
+	response := answerWithLoad("")
 	response.Header.Set(fieldOutcome, string(outcomeNotRun))
 	response.Header.Set(fieldReason, strings.Repeat("x", 4096))
 	result := decodeResult(response, nil)
 	assert.Equal(t, result.Outcome, outcomeNotRun, "the outcome is still used")
-	assert.Equal(t, result.Reason, reasonBroken)
+	assert.Equal(t, result.Reason, reasonInterrupted)
 }
 
 // A peer word whose age or validity is out of range is refused and changes nothing.
 func TestPeerWordsWithInvalidTimesAreRefused(t *testing.T) {
-	for _, passed := range []fleetwire.PeerWord{
+	for _, passed := range []fleetwire.RelayedState{
 		{Age: -time.Hour, For: 2 * time.Second}, {Age: 0, For: -time.Second}, {Age: 0, For: 300 * time.Hour}, {Age: 1<<63 - 1, For: time.Second},
 	} {
-		g := choosingGateway(t)
+		g := gatewayWithTwoZones(t)
 		g.session = newSessionClient(g)
 		before := g.views.load()
-		assert.Assert(t, g.takePeerWord(&passed, steady.Reading(), "peer") != nil)
+		assert.Assert(t, g.applyRelayedState(&passed, steady.Reading(), "peer") != nil)
 		assert.Equal(t, g.views.load(), before)
-		assert.Assert(t, !g.session.vouched.holds(steady.Reading()))
+		assert.Assert(t, !g.session.configurationLease.valid(steady.Reading()))
 	}
 }
