--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -36,18 +36,18 @@
 // gatewayMetrics are the counters of the process. Every label has few values: services of the
 // configuration, outcomes and reasons.
 type gatewayMetrics struct {
-	requests      *prometheus.CounterVec
-	latency       *prometheus.HistogramVec
-	attempts      *prometheus.CounterVec
-	retries       *prometheus.CounterVec
-	callersLeft   *prometheus.CounterVec
-	queue         prometheus.Histogram
-	run           prometheus.Histogram
-	grants        *prometheus.CounterVec
-	releases      *prometheus.CounterVec
-	peerRefreshes *prometheus.CounterVec
-	refused       *prometheus.CounterVec
-	freed         *prometheus.CounterVec
+	requests          *prometheus.CounterVec
+	latency           *prometheus.HistogramVec
+	attempts          *prometheus.CounterVec
+	retries           *prometheus.CounterVec
+	callersLeft       *prometheus.CounterVec
+	queue             prometheus.Histogram
+	run               prometheus.Histogram
+	grants            *prometheus.CounterVec
+	releases          *prometheus.CounterVec
+	peerRefreshes     *prometheus.CounterVec
+	heartbeatsRefused *prometheus.CounterVec
+	keysFreed         *prometheus.CounterVec
 	// backendCrashes counts crashes of the back end with requests in progress, and
 	// interruptedRuns those requests.
 	backendCrashes  prometheus.Counter
@@ -84,16 +84,16 @@
 		releases:    counters("releases_total", "Ranges of keys taken back from the back end.", "result"),
 	}
 	m.peerRefreshes = counters("peer_words_total", "Other gateways that were asked for the leader's word, while it was not heard, by what became of it.", "result")
-	m.refused = counters("heartbeats_refused_total", "Heartbeats that told nothing, by what is wrong with them.", "reason")
+	m.heartbeatsRefused = counters("heartbeats_refused_total", "Heartbeats that told nothing, by what is wrong with them.", "reason")
 	m.unreadable = counters("told_unread_total", "Words of other processes that told nothing, as they could not be read or had not come, by what they were to tell.", "of")
-	m.freed = counters("keys_freed_total", "Times that the leader was told that keys may go to another owner, by what it rests on.", "proof")
+	m.keysFreed = counters("keys_freed_total", "Times that the leader was told that keys may go to another owner, by what it rests on.", "proof")
 	m.pipelines = newPipelineMetrics(registry)
 	m.heartbeats = counters("heartbeat_answers_total", "Answers to heartbeats of back ends that get their keys by them: at once, held back until there was news, or held back in vain.", "left")
 	m.backendCrashes = prometheus.NewCounter(prometheus.CounterOpts{Namespace: metrics.Namespace, Subsystem: subsystem, Name: "back_end_ends_total", Help: "Ends of the back end while it was at work."})
 	m.interruptedRuns = prometheus.NewCounter(prometheus.CounterOpts{Namespace: metrics.Namespace, Subsystem: subsystem, Name: "requests_cut_by_ends_total", Help: "Requests that the back end was at work on when it ended."})
 	m.suspendedSeconds = prometheus.NewCounter(prometheus.CounterOpts{Namespace: metrics.Namespace, Subsystem: subsystem, Name: "suspended_seconds_total", Help: "Time for which the machine was suspended since the process started."})
 	m.noticesSent = counters("ends_told_total", "Other gateways that were told of ends of back ends, by what became of it.", "result")
-	registry.MustRegister(m.backendCrashes, m.interruptedRuns, m.suspendedSeconds, m.noticesSent, m.heartbeats, m.requests, m.latency, m.attempts, m.retries, m.callersLeft, m.queue, m.run, m.grants, m.releases, m.peerRefreshes, m.refused, m.freed, m.unreadable)
+	registry.MustRegister(m.backendCrashes, m.interruptedRuns, m.suspendedSeconds, m.noticesSent, m.heartbeats, m.requests, m.latency, m.attempts, m.retries, m.callersLeft, m.queue, m.run, m.grants, m.releases, m.peerRefreshes, m.heartbeatsRefused, m.keysFreed, m.unreadable)
 	return m
 }
 
@@ -125,22 +125,22 @@
 // Kinds of messages of other processes that could not be used.
 const (
 	unreadableLoad    = "load"
-	toldWarmth        = "warmth"
+	unreadableWarmth  = "warmth"
 	unreadableCrashes = "ends"
 )
 
-// unread counts a message of another process that was missing or malformed.
-func (m *gatewayMetrics) unread(kind string) { m.unreadable.WithLabelValues(kind).Inc() }
+// countUnreadable counts a message of another process that was missing or malformed.
+func (m *gatewayMetrics) countUnreadable(kind string) { m.unreadable.WithLabelValues(kind).Inc() }
 
-func (m *gatewayMetrics) peerTry(result *forwardResult) {
+func (m *gatewayMetrics) peerAttempt(result *forwardResult) {
 	if result.Outcome == outcomeAnswered && !result.loadRead {
-		m.unread(unreadableLoad)
+		m.countUnreadable(unreadableLoad)
 	}
 	m.attempts.WithLabelValues(hopPeer, string(result.Outcome), string(result.Reason)).Inc()
 }
 
-// backendTry counts an attempt at the back end beside the gateway.
-func (m *gatewayMetrics) backendTry(result *forwardResult, waited, used time.Duration) {
+// backendAttempt counts an attempt at the back end beside the gateway.
+func (m *gatewayMetrics) backendAttempt(result *forwardResult, waited, used time.Duration) {
 	m.attempts.WithLabelValues(hopBackend, string(result.Outcome), string(result.Reason)).Inc()
 	m.queue.Observe(waited.Seconds())
 	if result.Sent {
@@ -148,7 +148,7 @@
 	}
 }
 
-func (m *gatewayMetrics) repeat(service string, allowed bool) {
+func (m *gatewayMetrics) retry(service string, allowed bool) {
 	result := resultAllowed
 	if !allowed {
 		result = resultExhausted
@@ -179,20 +179,20 @@
 	return []prometheus.Collector{
 		gauge("ready", "1 where the gateway can serve callers.", func() float64 { return boolGauge(g.Ready()) }),
 		gauge("stopping", "1 while a planned stop is in progress.", func() float64 { return boolGauge(g.admission.Stopping()) }),
-		gauge("peers_in_flight", "Requests of other gateways in progress.", func() float64 { return float64(g.peerActive.Load()) }),
-		gauge("in_flight", "Requests of callers in progress.", func() float64 { return float64(g.active.Load()) }),
+		gauge("peers_in_flight", "Requests of other gateways in progress.", func() float64 { return float64(g.activePeers.Load()) }),
+		gauge("in_flight", "Requests of callers in progress.", func() float64 { return float64(g.activeCallers.Load()) }),
 		gauge("slots", "Slots of the back end beside the gateway.", func() float64 { return float64(g.slots.load().slots) }),
 		gauge("slots_used", "Slots in use.", func() float64 { return float64(g.slots.load().running) }),
 		gauge("queue_length", "Requests that wait for a slot.", func() float64 { return float64(g.slots.load().waiting) }),
-		gauge("held_bytes", "Bodies of requests and answers that are kept until they are sent.", func() float64 { return float64(g.held.held.Load()) }),
+		gauge("held_bytes", "Bodies of requests and answers that are kept until they are sent.", func() float64 { return float64(g.held.count.Load()) }),
 		gauge("configuration_version", "Version of the configuration in force.", func() float64 { return float64(g.views.load().version()) }),
 		gauge("configuration_age_seconds", "Time since the configuration in force was taken.", func() float64 { return g.views.load().age(steady.Reading()).Seconds() }),
 		gauge("instances_ready", "Ready back ends that the gateway knows.", func() float64 { return float64(g.views.load().countInState(fleetwire.InstanceReady)) }),
 		gauge("session_silence_seconds", "Time since the leading controller was heard.", func() float64 { return g.session.leaderSilence(steady.Reading()).Seconds() }),
-		gauge("configuration_lease_seconds", "Time left for which the gateway may serve by its configuration; negative where it refuses.", func() float64 { return g.session.vouched.remaining(steady.Reading()).Seconds() }),
-		gauge("lease_seconds", "Time left of the lease on the back end's keys; negative where it has run out.", func() float64 { return g.keys.leaseLeft(steady.Reading()).Seconds() }),
+		gauge("configuration_lease_seconds", "Time left for which the gateway may serve by its configuration; negative where it refuses.", func() float64 { return g.session.configurationLease.remaining(steady.Reading()).Seconds() }),
+		gauge("lease_seconds", "Time left of the lease on the back end's keys; negative where it has run out.", func() float64 { return g.keys.leaseRemaining(steady.Reading()).Seconds() }),
 		gauge("suspects", "Requests under which back ends have ended and which run only on trial.", func() float64 { return float64(len(g.views.load().suspects)) }),
-		gauge("ranges_held", "Ranges of keys that the back end may hold.", func() float64 { return float64(g.keys.rangesHeld()) }),
+		gauge("ranges_held", "Ranges of keys that the back end may hold.", func() float64 { return float64(g.keys.leasedRangeCount()) }),
 	}
 }
 
--- a/internal/gateway/ownerlost_test.go
+++ b/internal/gateway/ownerlost_test.go
@@ -14,16 +14,16 @@
 // again earlier, the same gateway could only refuse again.
 func TestARefusalTellsWhenTheKeysOfAnUnreachableOwnerAreFree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newKeyRig(t)
+		rig := newGrantRig(t)
 		time.Sleep(3 * time.Second)
-		rig.lease(held(0, 9), nil)
-		rig.holder.setRefuse(ErrNotSent)
-		rig.g.registry.lost("i-1")
+		rig.lease(leasedRange(0, 9), nil)
+		rig.holder.setError(ErrNotSent)
+		rig.g.registry.markUnreachable("i-1")
 		request := &forwardRequest{Instance: "i-1", HasKey: true, Key: 4}
 		refusal := rig.g.refuseUnadmitted(request, steady.Reading())
 		assert.Equal(t, refusal.Reason, reasonOwnerLost)
-		assert.Assert(t, refusal.RetryAfter > handOverTime)
-		time.Sleep(refusal.RetryAfter - handOverTime + keysInterval)
+		assert.Assert(t, refusal.RetryAfter > ownerChangeTime)
+		time.Sleep(refusal.RetryAfter - ownerChangeTime + grantCheckInterval)
 		synctest.Wait()
 		assert.Assert(t, rig.g.registry.snapshot().Released)
 		request.HasKey = false
--- a/internal/gateway/peerrefresh.go
+++ b/internal/gateway/peerrefresh.go
@@ -46,8 +46,8 @@
 
 // refreshFromPeersLoop requests state from other gateways while the leader is silent.
 func (g *Gateway) refreshFromPeersLoop(ctx context.Context) {
-	each(ctx, peerRefreshInterval, func() {
-		if asOf := g.session.vouched.currentAsOf(); asOf.IsZero() || steady.Elapsed(asOf) < peerRefreshAfter {
+	runEvery(ctx, peerRefreshInterval, func() {
+		if asOf := g.session.configurationLease.currentAsOf(); asOf.IsZero() || steady.Elapsed(asOf) < peerRefreshAfter {
 			return
 		}
 		requestContext, cancel := context.WithTimeout(ctx, peerRefreshTimeout)
@@ -102,31 +102,31 @@
 	requestedAt, knownVersion := steady.Reading(), g.views.load().version()
 	response, err := pool.Do(ctx, &http.Request{
 		Method: http.MethodGet, URL: &url.URL{Path: "/"}, Host: address,
-		Header: http.Header{fieldAsksWord: {strconv.FormatUint(uint64(knownVersion), 10)}, "User-Agent": {""}},
+		Header: http.Header{fieldKnownVersion: {strconv.FormatUint(uint64(knownVersion), 10)}, "User-Agent": {""}},
 	})
 	if err != nil {
 		return err
 	}
 	defer response.Body.Close()
-	body, err := readAnswer(response)
+	body, err := readResponseBody(response)
 	if err != nil {
 		return err
 	}
 	if response.StatusCode != http.StatusOK {
 		return errNoRelayedState
 	}
-	if err := gobcheck.Whole(body); err != nil {
+	if err := gobcheck.CheckLengths(body); err != nil {
 		return fmt.Errorf("relayed state of %s: %w", address, err)
 	}
-	var state fleetwire.PeerWord
+	var state fleetwire.RelayedState
 	if err := gob.NewDecoder(bytes.NewReader(body)).Decode(&state); err != nil {
 		return fmt.Errorf("relayed state of %s: %w", address, err)
 	}
-	return g.takePeerWord(&state, requestedAt, address)
+	return g.applyRelayedState(&state, requestedAt, address)
 }
 
-// takePeerWord applies the state that another gateway returned.
-func (g *Gateway) takePeerWord(state *fleetwire.PeerWord, requestedAt time.Time, address string) error {
+// applyRelayedState applies the state that another gateway returned.
+func (g *Gateway) applyRelayedState(state *fleetwire.RelayedState, requestedAt time.Time, address string) error {
 	if state.Age < 0 || state.Age > maxRelayedDuration || state.For < 0 || state.For > maxRelayedDuration {
 		return fmt.Errorf("relayed state of %s: age %v or validity %v out of range: %w", address, state.Age, state.For, errNoRelayedState)
 	}
@@ -138,13 +138,13 @@
 		return fmt.Errorf("relayed state of %s: %w", address, err)
 	}
 	oldVersion := g.views.load().version()
-	if err := g.views.advance(update, g.session.vouched.currentAsOf()); err != nil {
+	if err := g.views.apply(update, g.session.configurationLease.currentAsOf()); err != nil {
 		return fmt.Errorf("relayed state of %s: %w", address, err)
 	}
 	if newVersion := g.views.load().version(); newVersion != oldVersion {
 		g.config.Log.Info("configuration in force", "version", uint64(newVersion), "told_by", address)
 	}
-	g.session.vouched.extendByPeer(state, requestedAt)
+	g.session.configurationLease.extendByPeer(state, requestedAt)
 	return nil
 }
 
@@ -152,8 +152,8 @@
 func (g *Gateway) serveRelayedState(w http.ResponseWriter, r *http.Request) {
 	// Read the lease before the view, so that the view contains everything that the lease
 	// covers.
-	state := g.session.vouched.relay(steady.Reading())
-	knownVersion, err := strconv.ParseUint(r.Header.Get(fieldAsksWord), 10, 64)
+	state := g.session.configurationLease.relay(steady.Reading())
+	knownVersion, err := strconv.ParseUint(r.Header.Get(fieldKnownVersion), 10, 64)
 	if state == nil || err != nil {
 		http.Error(w, errNoRelayedState.Error(), http.StatusServiceUnavailable)
 		return
@@ -172,5 +172,5 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	g.writeAnswer(r.Context(), w, http.StatusOK, body.Bytes())
+	g.writeResponse(r.Context(), w, http.StatusOK, body.Bytes())
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -32,38 +32,38 @@
 // peerLoad is the load that a gateway reports of the back end beside it.
 type peerLoad struct {
 	running, waiting, slots int
-	// serviceTime is the average time that a request occupies a slot, and shortService that of
+	// serviceTime is the average time that a request occupies a slot, and shortServiceTime that of
 	// short requests.
-	serviceTime  time.Duration
-	shortService time.Duration
-	// shortUpTo is the largest latency target of a request that counts as short.
-	shortUpTo time.Duration
+	serviceTime      time.Duration
+	shortServiceTime time.Duration
+	// shortMaxTarget is the largest latency target of a request that counts as short.
+	shortMaxTarget time.Duration
 	// linkBacklog is the time that the link of its machine needs for the data queued there.
 	linkBacklog time.Duration
-	// bears is the number of requests a second that the back end can take while it is cold;
+	// coldRate is the number of requests a second that the back end can take while it is cold;
 	// zero means no limit.
-	bears float64
+	coldRate float64
 }
 
-// service returns the average time that a request with this latency target occupies a slot.
-func (l *peerLoad) service(target time.Duration) time.Duration {
-	if target <= l.shortUpTo {
-		return l.shortService
+// serviceTimeFor returns the average time that a request with this latency target occupies a slot.
+func (l *peerLoad) serviceTimeFor(target time.Duration) time.Duration {
+	if target <= l.shortMaxTarget {
+		return l.shortServiceTime
 	}
 	return l.serviceTime
 }
 
-// expected estimates the duration of a request, in seconds, if busy requests are already
+// expectedSeconds estimates the duration of a request, in seconds, if busy requests are already
 // there.
-func (l *peerLoad) expected(busy int, target time.Duration) float64 {
+func (l *peerLoad) expectedSeconds(busy int, target time.Duration) float64 {
 	slots := l.slots
 	if slots == 0 {
 		slots = assumedSlots
 	}
 	utilization := float64(busy+1) / float64(slots)
-	seconds := l.service(target).Seconds() * (1 + congestionFactor*max(0, utilization-congestionThreshold))
-	if l.bears > 0 {
-		seconds += float64(l.waiting) / l.bears
+	seconds := l.serviceTimeFor(target).Seconds() * (1 + congestionFactor*max(0, utilization-congestionThreshold))
+	if l.coldRate > 0 {
+		seconds += float64(l.waiting) / l.coldRate
 	}
 	return seconds
 }
@@ -78,12 +78,12 @@
 	pending         int
 	pendingAtReport int
 	load            peerLoad
-	loadAt          time.Time
+	loadReportedAt  time.Time
 	failures        int
 	avoidUntil      time.Time
-	// share limits what this gateway sends to the back end while it is cold, as its part of
+	// coldShare limits what this gateway sends to the back end while it is cold, as its part of
 	// the rate that the back end can take.
-	share warmup.Share
+	coldShare warmup.Share
 }
 
 // peerSet holds the gateways that this one has sent requests to, by address.
@@ -114,10 +114,10 @@
 	return entry
 }
 
-// follow closes the connections to addresses that a view does not list, and the idle
+// pruneConnections closes the connections to addresses that a view does not list, and the idle
 // connections to gateways that are stopping: a request sent while such a gateway closes the
 // connection would fail without a response.
-func (s *peerSet) follow(v *view) {
+func (s *peerSet) pruneConnections(v *view) {
 	listed := make(map[string]bool, len(v.byID))
 	stopping := make(map[string]bool)
 	for _, instance := range v.byID {
@@ -144,25 +144,25 @@
 func (p *peer) linkBacklog(now time.Time) time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return max(p.load.linkBacklog-now.Sub(p.loadAt), 0)
+	return max(p.load.linkBacklog-now.Sub(p.loadReportedAt), 0)
 }
 
-// expected estimates the duration of a request at the peer, in seconds. avoided is set if the
+// expectedSeconds estimates the duration of a request at the peer, in seconds. avoided is set if the
 // peer failed recently. The estimate decreases with the age of the last report, so that a back
 // end that was slow is tried again.
-func (p *peer) expected(target time.Duration, now time.Time) (seconds float64, avoided bool) {
+func (p *peer) expectedSeconds(target time.Duration, now time.Time) (seconds float64, avoided bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	load := p.load
 	if load.slots == 0 {
-		load.serviceTime, load.shortService = overload.InitialServiceTime, overload.InitialServiceTime
+		load.serviceTime, load.shortServiceTime = overload.InitialServiceTime, overload.InitialServiceTime
 	}
 	busy := p.pending
-	age := now.Sub(p.loadAt)
+	age := now.Sub(p.loadReportedAt)
 	if age < loadMaxAge {
 		busy = max(load.running+load.waiting+p.pending-p.pendingAtReport, p.pending)
 	}
-	seconds = load.expected(busy, target)
+	seconds = load.expectedSeconds(busy, target)
 	if age > loadMaxAge/2 {
 		seconds *= float64(loadMaxAge) / (float64(loadMaxAge) + float64(age)) // the age is at its maximum if nothing was ever reported
 	}
@@ -178,24 +178,24 @@
 	congestionFactor    = 6
 )
 
-func (p *peer) begin() {
+func (p *peer) beginAttempt() {
 	p.mutex.Lock()
 	p.pending++
 	p.mutex.Unlock()
 }
 
-// end records the result of a finished attempt.
-func (p *peer) end(result *forwardResult, now time.Time) {
+// endAttempt records the result of a finished attempt.
+func (p *peer) endAttempt(result *forwardResult, now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.pending--
 	if result.Load.slots > 0 {
-		p.load, p.loadAt, p.pendingAtReport = result.Load, now, p.pending
+		p.load, p.loadReportedAt, p.pendingAtReport = result.Load, now, p.pending
 	}
 	switch {
 	case result.Outcome == outcomeAnswered && result.Status < http.StatusInternalServerError:
 		p.failures = 0
-	case result.Reason == reasonUnreachable || result.Reason == reasonBroken || result.Reason == reasonEnded || result.Reason == reasonTimeout:
+	case result.Reason == reasonUnreachable || result.Reason == reasonInterrupted || result.Reason == reasonBackendTerminated || result.Reason == reasonTimeout:
 		penalty := min(initialPenalty<<min(p.failures, 8), maxPenalty)
 		p.failures++
 		p.avoidUntil = now.Add(penalty)
@@ -209,14 +209,14 @@
 	}
 	outgoing, err := encodeForward(request)
 	if err != nil {
-		return notRun(reasonBroken)
+		return notRun(reasonInterrupted)
 	}
 	if request.Transfer {
 		return p.sendTransfer(ctx, outgoing)
 	}
 	response, err := p.pool.Do(ctx, outgoing)
 	if err != nil {
-		return peerFailed(err)
+		return failedAttempt(err)
 	}
 	return readResult(response)
 }
@@ -224,23 +224,23 @@
 // readResult reads the complete response of a peer.
 func readResult(response *http.Response) *forwardResult {
 	defer response.Body.Close()
-	body, err := readAnswer(response)
+	body, err := readResponseBody(response)
 	if err != nil {
-		return peerFailed(errors.Join(upstream.ErrInterrupted, err))
+		return failedAttempt(errors.Join(upstream.ErrInterrupted, err))
 	}
 	return decodeResult(response, body)
 }
 
-// peerFailed classifies an attempt without a result. The request may have reached the back
+// failedAttempt classifies an attempt without a result. The request may have reached the back
 // end.
-func peerFailed(err error) *forwardResult {
+func failedAttempt(err error) *forwardResult {
 	switch {
 	case errors.Is(err, upstream.ErrNotSent):
 		return notRun(reasonUnreachable)
 	case errors.Is(err, context.DeadlineExceeded):
 		return &forwardResult{Outcome: outcomeUnknown, Reason: reasonTimeout, Sent: true}
 	}
-	return &forwardResult{Outcome: outcomeUnknown, Reason: reasonBroken, Sent: true}
+	return &forwardResult{Outcome: outcomeUnknown, Reason: reasonInterrupted, Sent: true}
 }
 
 // encodeForward encodes an attempt as a request to a peer.
@@ -280,21 +280,21 @@
 		Sent:    header.Get(fieldSent) != "",
 	}
 	if !result.Reason.known() {
-		result.Reason = reasonBroken
+		result.Reason = reasonInterrupted
 	}
 	if reported := header.Values(fieldLoad); len(reported) == 1 {
 		result.Load, result.loadRead = parseLoad(reported[0])
 	}
 	result.RetryAfter, _ = parseMilliseconds(header.Get(fieldRetryAfter))
-	if inProgress, err := strconv.Atoi(header.Get(fieldAtWork)); err == nil {
-		result.AtWork = inProgress
+	if inProgress, err := strconv.Atoi(header.Get(fieldRequestsRunning)); err == nil {
+		result.RequestsRunning = inProgress
 	}
 	switch result.Outcome {
 	case outcomeAnswered:
 		result.Status, result.Body, result.Header = response.StatusCode, body, forwardable(header)
 	case outcomeNotRun, outcomeUnknown:
 	default: // not a response of a gateway
-		return &forwardResult{Outcome: outcomeUnknown, Reason: reasonBroken, Sent: true}
+		return &forwardResult{Outcome: outcomeUnknown, Reason: reasonInterrupted, Sent: true}
 	}
 	return result
 }
--- a/internal/gateway/peerserver.go
+++ b/internal/gateway/peerserver.go
@@ -13,14 +13,14 @@
 // peerHandler handles the requests that other gateways forward to the back end beside this
 // one.
 func (g *Gateway) peerHandler(w http.ResponseWriter, r *http.Request) {
-	g.peerActive.Add(1)
-	defer g.peerActive.Add(-1)
+	g.activePeers.Add(1)
+	defer g.activePeers.Add(-1)
 	g.closeWhileStopping(w, r)
-	if r.Header.Get(fieldAsksWord) != "" {
+	if r.Header.Get(fieldKnownVersion) != "" {
 		g.serveRelayedState(w, r)
 		return
 	}
-	if r.Header.Get(fieldTellsEnds) != "" {
+	if r.Header.Get(fieldReportsTerminations) != "" {
 		g.receiveCrashes(w, r)
 		return
 	}
@@ -45,8 +45,8 @@
 	if result.Sent {
 		header[fieldSent] = []string{"1"}
 	}
-	if result.AtWork > 0 {
-		header[fieldAtWork] = []string{strconv.Itoa(result.AtWork)}
+	if result.RequestsRunning > 0 {
+		header[fieldRequestsRunning] = []string{strconv.Itoa(result.RequestsRunning)}
 	}
 	if result.RetryAfter > 0 {
 		header[fieldRetryAfter] = []string{milliseconds(result.RetryAfter)}
@@ -55,8 +55,8 @@
 	if status == 0 {
 		status = http.StatusServiceUnavailable
 	}
-	if g.writeAnswer(r.Context(), w, status, result.Body) {
-		g.pacer.sent(result.kept)
+	if g.writeResponse(r.Context(), w, status, result.Body) {
+		g.pacer.completed(result.linkReservation)
 	}
 }
 
@@ -68,16 +68,16 @@
 	return g.egress.serve(ctx, request)
 }
 
-// writeAnswer writes a complete response with its length and reports whether all of it was
+// writeResponse writes a complete response with its length and reports whether all of it was
 // written. The length lets the reader detect a truncated body.
-func (g *Gateway) writeAnswer(ctx context.Context, w http.ResponseWriter, status int, body []byte) (whole bool) {
-	beginAnswer(ctx, w, status, len(body))
-	return g.pacer.write(ctx, w, body)
+func (g *Gateway) writeResponse(ctx context.Context, w http.ResponseWriter, status int, body []byte) (whole bool) {
+	writeResponseHeader(ctx, w, status, len(body))
+	return g.pacer.writeBody(ctx, w, body)
 }
 
-// beginAnswer writes the header of a response whose body has the given length. Before a large
+// writeResponseHeader writes the header of a response whose body has the given length. Before a large
 // body it waits until the earlier responses on the connection have been written.
-func beginAnswer(ctx context.Context, w http.ResponseWriter, status, length int) {
+func writeResponseHeader(ctx context.Context, w http.ResponseWriter, status, length int) {
 	header := w.Header()
 	if _, ok := header["Content-Type"]; !ok {
 		header["Content-Type"] = nil // prevent content sniffing
@@ -86,7 +86,7 @@
 		header["Content-Length"] = []string{strconv.Itoa(length)}
 	}
 	w.WriteHeader(status)
-	if length >= bulkFrom {
+	if length >= minPacedBody {
 		httpserver.AwaitTurn(ctx) // here, so that it does not occupy the link while it waits
 	}
 }
--- a/internal/gateway/pipelining.go
+++ b/internal/gateway/pipelining.go
@@ -14,10 +14,10 @@
 // would notice it compared to a connection of its own.
 const minLoggedWait = 50 * time.Millisecond
 
-// mayRepeat reports whether a caller's request may run more than once. A request that
+// mayRunAgain reports whether a caller's request may run more than once. A request that
 // matches no route never runs.
-func (g *Gateway) mayRepeat(r *http.Request) bool {
-	route := g.views.load().find(r)
+func (g *Gateway) mayRunAgain(r *http.Request) bool {
+	route := g.views.load().findRoute(r)
 	return route == nil || route.Repetition.MayRepeat()
 }
 
--- a/internal/gateway/priority_test.go
+++ b/internal/gateway/priority_test.go
@@ -22,7 +22,7 @@
 
 // servedShares sends requests of several kinds for a while and returns the fraction of each
 // kind that got a slot.
-func servedShares(t *testing.T, g *slotGate, kinds ...requestKind) []float64 {
+func servedShares(t *testing.T, g *slotLimiter, kinds ...requestKind) []float64 {
 	const period = 20 * time.Second
 	var mutex sync.Mutex
 	served := make([]float64, len(kinds))
@@ -36,7 +36,7 @@
 				mutex.Unlock()
 				all.Go(func() {
 					wanted := demand{Priority: kind.priority, Due: steady.Reading().Add(kind.target), Target: kind.target,
-						Patience: kind.target - time.Duration(serviceTimeMargin*float64(kind.serviceTime))}
+						InTimeWait: kind.target - time.Duration(serviceTimeMargin*float64(kind.serviceTime))}
 					taken, err := g.acquire(t.Context(), wanted)
 					if err != nil {
 						return
@@ -84,7 +84,7 @@
 	for name, kinds := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g := newSlotGate()
+				g := newSlotLimiter()
 				g.setCapacity(8)
 				shares := servedShares(t, g, kinds.urgent, kinds.other)
 				t.Logf("urgent %.2f, other %.2f", shares[0], shares[1])
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -99,8 +99,8 @@
 	return notSuspected
 }
 
-// expect records that a back end crashed during a request of a caller of this gateway.
-func (k *quarantineTracker) expect(digest quarantine.Digest, now steady.Instant) {
+// expectCrash records that a back end crashed during a request of a caller of this gateway.
+func (k *quarantineTracker) expectCrash(digest quarantine.Digest, now steady.Instant) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if k.expectedCrashes == nil {
@@ -184,7 +184,7 @@
 func (k *quarantineTracker) recordTrialEnd(ended trial, result *forwardResult) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	k.queueTrialEnd(quarantine.Over{Request: ended.digest, Number: ended.number, Sent: result.Sent, Failed: result.Reason == reasonEnded})
+	k.queueTrialEnd(quarantine.Over{Request: ended.digest, Number: ended.number, Sent: result.Sent, Failed: result.Reason == reasonBackendTerminated})
 }
 
 // queueTrialEnd queues the end of a trial for the next report to the leader. The caller must
@@ -288,7 +288,7 @@
 		case notSuspected:
 			return 0, nil
 		case heldBack:
-			refusal = notRun(reasonHeldBack)
+			refusal = notRun(reasonQuarantined)
 			refusal.RetryAfter = heldBackRetryAfter
 			return 0, refusal
 		case trialOnly:
@@ -300,25 +300,25 @@
 		if remaining <= 0 || ctx.Err() != nil {
 			return 0, notRun(reasonAwaitsTrial)
 		}
-		g.session.report()
-		v.await(ctx.Done(), remaining)
+		g.session.requestReport()
+		v.awaitNewer(ctx.Done(), remaining)
 		v = g.views.load()
 	}
 }
 
-// trialEnds reports the result of a trial to the leader. Number zero means that there was no
+// reportTrialEnd reports the result of a trial to the leader. Number zero means that there was no
 // trial.
-func (g *Gateway) trialEnds(c *call, number uint64, result *forwardResult) {
+func (g *Gateway) reportTrialEnd(c *call, number uint64, result *forwardResult) {
 	if number == 0 || result.Outcome == outcomeAnswered {
 		return
 	}
 	g.quarantine.recordTrialEnd(trial{c.digest(), number}, result)
-	g.session.report()
+	g.session.requestReport()
 }
 
-// refusesSuspect reports whether a request must not go to the back end beside this gateway
+// blocksSuspect reports whether a request must not go to the back end beside this gateway
 // because it is suspected and the gateway of its caller did not know.
-func (g *Gateway) refusesSuspect(request *forwardRequest) bool {
+func (g *Gateway) blocksSuspect(request *forwardRequest) bool {
 	if request.Trial != 0 {
 		return false
 	}
@@ -326,25 +326,25 @@
 	return g.quarantine.suspects(v) && g.quarantine.suspicionOf(request.digest(), v) != notSuspected
 }
 
-// noteAnswered clears a suspected request that got a complete response. The digest is computed
+// clearAnsweredSuspect clears a suspected request that got a complete response. The digest is computed
 // only if any request is suspected.
-func (g *Gateway) noteAnswered(digest func() quarantine.Digest) {
+func (g *Gateway) clearAnsweredSuspect(digest func() quarantine.Digest) {
 	v := g.views.load()
 	if !g.quarantine.suspects(v) || g.quarantine.suspicionOf(digest(), v) == notSuspected {
 		return
 	}
 	g.quarantine.recordAnswer(digest(), v)
-	g.session.report()
+	g.session.requestReport()
 }
 
 // reportCrash reports a crash of the back end to the leader and to all other gateways, with
 // the requests that were in progress.
 func (g *Gateway) reportCrash(incarnation string, interrupted []interruptedRun) {
 	crash := quarantine.Ended{Life: incarnation, Service: g.registry.snapshot().Service}
-	for _, run := range interrupted[:min(len(interrupted), quarantine.MostEnded)] {
+	for _, run := range interrupted[:min(len(interrupted), quarantine.MaxEndedRequests)] {
 		crash.Requests = append(crash.Requests, run.digest)
 	}
 	g.quarantine.addCrashes([]quarantine.Ended{crash})
-	g.session.report()
+	g.session.requestReport()
 	g.crashNotices.add(crash)
 }
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -52,7 +52,7 @@
 	var runs atomic.Int32
 	hops := startTwoHops(t, twoHopsConfig{repetition: routeconfig.Repeatable, timeout: 2 * time.Second}, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		runs.Add(1)
-		answerWhole(w, r)
+		serveComplete(w, r)
 	}))
 	return hops, &runs
 }
@@ -78,11 +78,11 @@
 // A request that is held back is refused immediately, with a long retry time.
 func TestHeldBackRequestIsRefusedImmediately(t *testing.T) {
 	hops, runs := startCountingHops(t)
-	advance(t, hops.near.views, suspectView(7, quarantine.Suspect{Request: hopsDigest(), Ends: quarantine.ManyEnds, FailedTrials: 2}))
+	advance(t, hops.near.views, suspectView(7, quarantine.Suspect{Request: hopsDigest(), Ends: quarantine.LikelyCauseEnds, FailedTrials: 2}))
 	began := steady.Reading()
 	status, body := hops.sendRequest(t, "r1")
 	assert.Equal(t, status, http.StatusServiceUnavailable)
-	assert.Equal(t, body, string(reasonHeldBack))
+	assert.Equal(t, body, string(reasonQuarantined))
 	assert.Assert(t, steady.Elapsed(began) < maxTrialWait)
 	assert.Equal(t, runs.Load(), int32(0))
 }
@@ -126,7 +126,7 @@
 // that no caller waits for is returned and not used afterwards.
 func TestOnlyTrialsOfThisProcessAreUsed(t *testing.T) {
 	digest := hopsDigest()
-	v := newViews()
+	v := newViewStore()
 	var k quarantineTracker
 	for i, granted := range []quarantine.Trial{{Node: "other", Boot: 1}, {Node: "n", Boot: 2}, {Node: "n", Boot: 1}} {
 		granted.Number = uint64(10 + i)
@@ -146,7 +146,7 @@
 // decides, so that a request cleared in the meantime may run.
 func TestCrashIsReportedUntilLeaderConfirms(t *testing.T) {
 	digest := hopsDigest()
-	v := newViews()
+	v := newViewStore()
 	var k quarantineTracker
 	k.addCrashes([]quarantine.Ended{crashOf("i", digest), crashOf("i", digest)})
 	for range 2 {
@@ -167,15 +167,15 @@
 		keyed  bool
 		want   bool
 	}{
-		"alone":            {result: forwardResult{Reason: reasonEnded, AtWork: 1}, want: true},
-		"one of many":      {result: forwardResult{Reason: reasonEnded, AtWork: 2}},
-		"on trial":         {result: forwardResult{Reason: reasonEnded, AtWork: 2}, trial: 4, want: true},
-		"with a key":       {result: forwardResult{Reason: reasonEnded, AtWork: 9}, keyed: true, want: true},
-		"connection broke": {result: forwardResult{Reason: reasonBroken}, keyed: true},
-		"number unknown":   {result: forwardResult{Reason: reasonEnded}, want: true},
+		"alone":            {result: forwardResult{Reason: reasonBackendTerminated, RequestsRunning: 1}, want: true},
+		"one of many":      {result: forwardResult{Reason: reasonBackendTerminated, RequestsRunning: 2}},
+		"on trial":         {result: forwardResult{Reason: reasonBackendTerminated, RequestsRunning: 2}, trial: 4, want: true},
+		"with a key":       {result: forwardResult{Reason: reasonBackendTerminated, RequestsRunning: 9}, keyed: true, want: true},
+		"connection broke": {result: forwardResult{Reason: reasonInterrupted}, keyed: true},
+		"number unknown":   {result: forwardResult{Reason: reasonBackendTerminated}, want: true},
 	} {
 		c := &call{service: &routeconfig.Service{Keyed: test.keyed}}
-		assert.Equal(t, endedUnder(c, &test.result, test.trial), test.want, name)
+		assert.Equal(t, finalAfterTermination(c, &test.result, test.trial), test.want, name)
 	}
 }
 
@@ -229,14 +229,14 @@
 func TestRequestIsSuspectedBeforeCrashNotice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		digest := hopsDigest()
-		v := newViews()
+		v := newViewStore()
 		var k quarantineTracker
-		k.expect(digest, steady.Now())
+		k.expectCrash(digest, steady.Now())
 		assert.Assert(t, k.suspects(v.load()))
 		assert.Equal(t, k.suspicionOf(digest, v.load()), trialOnly)
 		time.Sleep(expectedCrashLifetime)
 		assert.Equal(t, k.suspicionOf(digest, v.load()), notSuspected)
-		k.expect(digest, steady.Now())
+		k.expectCrash(digest, steady.Now())
 		k.addCrashes([]quarantine.Ended{crashOf("i", digest)})
 		time.Sleep(expectedCrashLifetime)
 		assert.Equal(t, k.suspicionOf(digest, v.load()), trialOnly)
--- a/internal/gateway/refusedheartbeat.go
+++ b/internal/gateway/refusedheartbeat.go
@@ -36,7 +36,7 @@
 // id that it was sent for.
 func (g *Gateway) RefusedHeartbeat(id string, err error) {
 	reason := heartbeatRefusalReason(err)
-	g.metrics.refused.WithLabelValues(reason).Inc()
+	g.metrics.heartbeatsRefused.WithLabelValues(reason).Inc()
 	const maxLoggedID = 64
 	g.config.Log.Warn("heartbeat refused", "id", id[:min(maxLoggedID, len(id))], "reason", reason, "error", err)
 }
--- a/internal/gateway/registration.go
+++ b/internal/gateway/registration.go
@@ -37,23 +37,23 @@
 	// endedIncarnations has the incarnations that were replaced, or deregistered while another
 	// one was current.
 	endedIncarnations map[string]bool
-	// interval is the longest time between two heartbeats of an incarnation, and
+	// heartbeatInterval is the longest time between two heartbeats of an incarnation, and
 	// lastHeartbeatAt the arrival of the current one's last heartbeat.
-	interval        time.Duration
-	lastHeartbeatAt time.Time
+	heartbeatInterval time.Duration
+	lastHeartbeatAt   time.Time
 	// unverified is set while the current instance is only the one that the leader knew when
 	// this process started, and the back end itself has not confirmed it yet.
 	unverified bool
 	// candidate is an incarnation that sends heartbeats besides the current one and is not
 	// accepted yet.
 	candidate candidate
-	// yields is called, without the mutex, before another incarnation replaces a former one.
+	// stopGrants is called, without the mutex, before another incarnation replaces a former one.
 	// It reports whether every grant to the former one has expired; if not, grants to it stop,
 	// and retry is called once they have expired.
-	yields func(former string, now time.Time) bool
-	// replaced is called, without the mutex, after another incarnation has replaced one that
+	stopGrants func(former string, now time.Time) bool
+	// onReplaced is called, without the mutex, after another incarnation has replaced one that
 	// had not announced its stop.
-	replaced func(former string)
+	onReplaced func(former string)
 	// leaderAnswered reports whether the leader has answered this process, which then knows
 	// the incarnation that the leader knew; retry is called once it has.
 	leaderAnswered func() bool
@@ -62,26 +62,26 @@
 	// otherAtAddress is set if another back end has answered at the address since the last
 	// heartbeat of the current instance.
 	otherAtAddress bool
-	// lookAgain is called, without the mutex, when an unreachable instance sends a heartbeat.
-	lookAgain func(instance string)
+	// reprobe is called, without the mutex, when an unreachable instance sends a heartbeat.
+	reprobe func(instance string)
 	// unheardIntervals counts the intervals since the last contact with the current instance.
 	unheardIntervals int
 	// onChange is called after each change, without the mutex.
 	onChange func()
-	// told is called, with the mutex, for each heartbeat with the remaining warmup time of the
+	// onWarmup is called, with the mutex, for each heartbeat with the remaining warmup time of the
 	// current instance, before requests are admitted because of it; fresh is set for the first
 	// heartbeat of an incarnation.
-	told func(left time.Duration, fresh bool)
+	onWarmup func(left time.Duration, fresh bool)
 }
 
 func newRegistry(changed func()) *registry {
 	return &registry{
 		endedIncarnations: map[string]bool{},
 		onChange:          changed,
-		told:              func(time.Duration, bool) {},
-		lookAgain:         func(string) {},
-		yields:            func(string, time.Time) bool { return true },
-		replaced:          func(string) {},
+		onWarmup:          func(time.Duration, bool) {},
+		reprobe:           func(string) {},
+		stopGrants:        func(string, time.Time) bool { return true },
+		onReplaced:        func(string) {},
 		leaderAnswered:    func() bool { return true },
 	}
 }
@@ -115,19 +115,19 @@
 // requests. It reports whether this is the newest heartbeat of the current incarnation.
 func (r *registry) heartbeat(registration Registration, drainWithin time.Duration, now time.Time) (newest bool) {
 	former, accepted := r.accept(registration, drainWithin, now)
-	if !accepted || former != "" && !r.yields(former, now) {
+	if !accepted || former != "" && !r.stopGrants(former, now) {
 		return false
 	}
 	left := former != "" && !r.serves(former)
 	newest, changed := r.applyHeartbeat(registration, former, drainWithin, now)
 	if newest && former != "" && !left {
-		r.replaced(former)
+		r.onReplaced(former)
 	}
 	if changed {
 		r.onChange()
 	}
 	if newest && r.unreachable() {
-		r.lookAgain(registration.ID)
+		r.reprobe(registration.ID)
 	}
 	return newest
 }
@@ -145,7 +145,7 @@
 		r.startIncarnation(registration)
 	}
 	r.lastHeartbeatAt, r.unverified, r.otherAtAddress = now, false, false
-	r.told(registration.WarmupLeft, fresh)
+	r.onWarmup(registration.WarmupLeft, fresh)
 	r.unheardIntervals = 0
 	r.current.Sequence = registration.Sequence
 	r.current.Slots = registration.Slots
@@ -207,17 +207,17 @@
 	r.onChange()
 }
 
-// displaced records that another back end has answered at an instance's address.
-func (r *registry) displaced(instance string) {
+// markDisplaced records that another back end has answered at an instance's address.
+func (r *registry) markDisplaced(instance string) {
 	r.mutex.Lock()
 	r.otherAtAddress = r.otherAtAddress || instance == r.current.ID
 	r.mutex.Unlock()
-	r.lost(instance)
+	r.markUnreachable(instance)
 }
 
-// lost records that an instance is unreachable. It gets no new requests until it is reached
+// markUnreachable records that an instance is unreachable. It gets no new requests until it is reached
 // again.
-func (r *registry) lost(instance string) {
+func (r *registry) markUnreachable(instance string) {
 	r.mutex.Lock()
 	known := instance != "" && instance == r.current.ID && r.current.State != fleetwire.InstanceGone
 	if known {
@@ -229,10 +229,10 @@
 	}
 }
 
-// reached records that a process listens at an instance's address. An unreachable instance
+// markReachable records that a process listens at an instance's address. An unreachable instance
 // becomes reachable again, unless another incarnation has sent heartbeats or answered there.
 // Its former keys may have been assigned to another owner.
-func (r *registry) reached(instance string) {
+func (r *registry) markReachable(instance string) {
 	r.mutex.Lock()
 	again := instance == r.current.ID && r.current.State == fleetwire.InstanceGone && r.reportedState != 0 && !r.candidate.waiting && !r.otherAtAddress
 	if again {
@@ -281,10 +281,10 @@
 	}
 }
 
-// prove records that the back end itself has answered under an id. The answer may come from
+// verify records that the back end itself has answered under an id. The answer may come from
 // another incarnation with the same id, which gets the grants meant for the current one until
 // its own heartbeat is accepted.
-func (r *registry) prove(id string) {
+func (r *registry) verify(id string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if id == incarnation.IDOf(r.current.ID) {
@@ -292,15 +292,15 @@
 	}
 }
 
-// proved reports whether the back end itself has confirmed that it is the current instance.
-func (r *registry) proved() bool {
+// verified reports whether the back end itself has confirmed that it is the current instance.
+func (r *registry) verified() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return !r.unverified
 }
 
-// leaving records that the gateway itself is being stopped.
-func (r *registry) leaving() {
+// markStopping records that the gateway itself is being stopped.
+func (r *registry) markStopping() {
 	r.mutex.Lock()
 	r.current.Leaving = true
 	r.mutex.Unlock()
--- a/internal/gateway/releasereport_test.go
+++ b/internal/gateway/releasereport_test.go
@@ -13,20 +13,20 @@
 )
 
 // leaseRequestedAt applies a lease that answers a report sent at the given time.
-func (r *keyRig) leaseRequestedAt(requestedAt time.Duration, held, release []fleetwire.Held) {
-	r.g.keys.take(&fleetwire.Lease{SentAt: requestedAt, Duration: 8 * time.Second, Instance: "i-1", Held: held, Release: release}, r.epoch)
-	time.Sleep(keysInterval)
+func (r *grantRig) leaseRequestedAt(requestedAt time.Duration, held, release []fleetwire.Held) {
+	r.g.keys.applyLease(&fleetwire.Lease{SentAt: requestedAt, Duration: 8 * time.Second, Instance: "i-1", Held: held, Release: release}, r.epoch)
+	time.Sleep(grantCheckInterval)
 	synctest.Wait()
 }
 
 // reportRelease has a range released and reported, and returns when it was last reported.
-func (r *keyRig) reportRelease(t *testing.T) (reportedAt time.Duration) {
+func (r *grantRig) reportRelease(t *testing.T) (reportedAt time.Duration) {
 	t.Helper()
-	time.Sleep(2 * answerVoid)
-	r.lease(held(0, 99), nil)
-	r.lease(held(0, 39), asked(40, 99))
+	time.Sleep(2 * answerValidity)
+	r.lease(leasedRange(0, 99), nil)
+	r.lease(leasedRange(0, 39), releasable(40, 99))
 	reportedAt = steady.Elapsed(r.epoch)
-	assert.Equal(t, len(r.g.keys.promises(reportedAt)), 1)
+	assert.Equal(t, len(r.g.keys.reportReleases(reportedAt)), 1)
 	return reportedAt
 }
 
@@ -35,15 +35,15 @@
 // same move and accepted the earlier report of the release for it.
 func TestLeaseRequestedBeforeReleaseReportDoesNotRegrant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newKeyRig(t)
+		rig := newGrantRig(t)
 		reportedAt := rig.reportRelease(t)
 		granted := len(rig.holder.granted())
-		rig.leaseRequestedAt(reportedAt-time.Millisecond, held(0, 99), nil)
+		rig.leaseRequestedAt(reportedAt-time.Millisecond, leasedRange(0, 99), nil)
 		assert.Assert(t, !rig.g.keys.holds("i-1", 45, steady.Reading()))
 		for _, order := range rig.holder.granted()[granted:] {
 			assert.Assert(t, order.Keys.Last < 40, "range %v is granted again", order.Keys)
 		}
-		rig.leaseRequestedAt(reportedAt+time.Millisecond, held(0, 99), nil)
+		rig.leaseRequestedAt(reportedAt+time.Millisecond, leasedRange(0, 99), nil)
 		assert.Assert(t, rig.g.keys.holds("i-1", 45, steady.Reading()), "the leader has processed the release and lists the range again")
 	})
 }
@@ -52,19 +52,19 @@
 // then on.
 func TestUnansweredGrantHoldsFromLatestArrival(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newKeyRig(t)
+		rig := newGrantRig(t)
 		time.Sleep(5 * time.Second)
-		rig.lease(held(0, 9), nil)
-		rig.holder.setRefuse(ErrConnectionEnded)
-		time.Sleep(DefaultKeyHold / renewals)
+		rig.lease(leasedRange(0, 9), nil)
+		rig.holder.setError(ErrConnectionEnded)
+		time.Sleep(DefaultKeyHold / renewalsPerGrant)
 		synctest.Wait()
-		sent := rig.g.keys.grants[heldKey{held(0, 9)[0].Keys, 7}].sentAt
-		rig.holder.setRefuse(ErrNotSent)
-		rig.g.registry.lost("i-1")
-		time.Sleep(steady.Until(sent.Add(transit + DefaultKeyHold)))
+		sent := rig.g.keys.grants[fencedRange{leasedRange(0, 9)[0].Keys, 7}].sentAt
+		rig.holder.setError(ErrNotSent)
+		rig.g.registry.markUnreachable("i-1")
+		time.Sleep(steady.Until(sent.Add(maxTransitDelay + DefaultKeyHold)))
 		synctest.Wait()
 		assert.Assert(t, !rig.g.registry.snapshot().Released)
-		time.Sleep(steady.Until(sent.Add(transit + keyhold.Longest(DefaultKeyHold) + 3*keysInterval)))
+		time.Sleep(steady.Until(sent.Add(maxTransitDelay + keyhold.WithDrift(DefaultKeyHold) + 3*grantCheckInterval)))
 		synctest.Wait()
 		assert.Assert(t, rig.g.registry.snapshot().Released)
 	})
@@ -73,12 +73,12 @@
 // A message that an earlier process of the gateway sent last may arrive up to a second later.
 func TestMessagesOfEarlierProcessMayStillArrive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newKeyRig(t)
-		assert.Assert(t, !rig.g.keys.earlierProcessUntil().Before(rig.g.keys.started.Add(keyhold.Longest(DefaultKeyHold+transit))))
-		assert.Assert(t, !rig.g.keys.earlierProcessUntil().Before(rig.g.keys.started.Add(keyhold.Longest(DefaultHeartbeatInterval+answerVoid))))
-		time.Sleep(steady.Until(rig.g.keys.earlierProcessUntil()) - time.Millisecond)
-		assert.Assert(t, !rig.g.session.build().EarlierOver)
+		rig := newGrantRig(t)
+		assert.Assert(t, !rig.g.keys.earlierProcessExpiresAt().Before(rig.g.keys.started.Add(keyhold.WithDrift(DefaultKeyHold+maxTransitDelay))))
+		assert.Assert(t, !rig.g.keys.earlierProcessExpiresAt().Before(rig.g.keys.started.Add(keyhold.WithDrift(DefaultHeartbeatInterval+answerValidity))))
+		time.Sleep(steady.Until(rig.g.keys.earlierProcessExpiresAt()) - time.Millisecond)
+		assert.Assert(t, !rig.g.session.buildReport().EarlierOver)
 		time.Sleep(time.Millisecond)
-		assert.Assert(t, rig.g.session.build().EarlierOver)
+		assert.Assert(t, rig.g.session.buildReport().EarlierOver)
 	})
 }
--- a/internal/gateway/runtracker.go
+++ b/internal/gateway/runtracker.go
@@ -124,37 +124,37 @@
 	return interrupted, true
 }
 
-// endedUnder reports whether the back end crashed during a run whose connection broke, and how
+// crashedDuring reports whether the back end crashed during a run whose connection broke, and how
 // many requests were in progress. It blocks until a connection to the back end's address is
 // accepted or refused.
-func (g *Gateway) endedUnder(request *forwardRequest) (inProgress int, crashed bool) {
+func (g *Gateway) crashedDuring(request *forwardRequest) (inProgress int, crashed bool) {
 	brokeAt := steady.Now()
-	g.atWork.connectionBroke(request, brokeAt)
-	g.atWork.probing.Lock()
-	defer g.atWork.probing.Unlock()
-	if inProgress, crashed = g.atWork.crashed(request.Instance); crashed {
+	g.runs.connectionBroke(request, brokeAt)
+	g.runs.probing.Lock()
+	defer g.runs.probing.Unlock()
+	if inProgress, crashed = g.runs.crashed(request.Instance); crashed {
 		return inProgress, true
 	}
-	if lastListening, ok := g.atWork.lastListening.Load(); ok && brokeAt.Before(lastListening) {
+	if lastListening, ok := g.runs.lastListening.Load(); ok && brokeAt.Before(lastListening) {
 		return 0, false
 	}
 	conn, err := net.DialTimeout("tcp", g.config.BackendAddress, crashProbeTimeout)
 	if err == nil {
 		_ = conn.Close()
-		g.atWork.lastListening.Store(steady.Now())
+		g.runs.lastListening.Store(steady.Now())
 		return 0, false
 	}
-	if !refusedConnection(err) || !g.registry.serves(request.Instance) {
+	if !isConnectionRefused(err) || !g.registry.serves(request.Instance) {
 		return 0, false
 	}
 	g.handleCrash(request.Instance)
-	return g.atWork.crashed(request.Instance)
+	return g.runs.crashed(request.Instance)
 }
 
 // handleCrash records and reports the requests that were in progress when an incarnation of
 // the back end crashed.
 func (g *Gateway) handleCrash(incarnation string) {
-	interrupted, first := g.atWork.recordCrash(incarnation, steady.Now())
+	interrupted, first := g.runs.recordCrash(incarnation, steady.Now())
 	if !first || len(interrupted) == 0 {
 		return
 	}
--- a/internal/gateway/runtracker_test.go
+++ b/internal/gateway/runtracker_test.go
@@ -29,7 +29,7 @@
 		b.started <- r.RequestURI
 		select {
 		case <-b.release:
-			answerWhole(w, r)
+			serveComplete(w, r)
 		case <-r.Context().Done():
 		}
 	}))
@@ -49,7 +49,7 @@
 	g, err := Start(Config{Name: "n", Zone: "a", Service: "s", CallerListen: freeAddress(t), PeerListen: freeAddress(t), BackendAddress: address, Headers: testHeaders()})
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = g.Stop() })
-	g.vouch(time.Hour)
+	g.extendLease(time.Hour)
 	_, err = g.Heartbeat(Registration{ID: "i", Service: "s", Slots: 8, State: fleetwire.InstanceReady, Sequence: 1})
 	assert.NilError(t, err)
 	return g.egress
@@ -81,9 +81,9 @@
 	for range 2 {
 		result := <-results
 		assert.Equal(t, result.Outcome, outcomeUnknown)
-		assert.Equal(t, result.Reason, reasonEnded)
+		assert.Equal(t, result.Reason, reasonBackendTerminated)
 	}
-	inProgress, crashed := e.gateway.atWork.crashed("i")
+	inProgress, crashed := e.gateway.runs.crashed("i")
 	assert.Assert(t, crashed)
 	assert.Equal(t, inProgress, 2)
 }
@@ -95,13 +95,13 @@
 	results := serveAll(t.Context(), e, "/a")
 	<-backend.started
 	backend.CloseClientConnections()
-	assert.Equal(t, (<-results).Reason, reasonBroken)
+	assert.Equal(t, (<-results).Reason, reasonInterrupted)
 	ctx, cancel := context.WithCancel(t.Context())
 	results = serveAll(ctx, e, "/b")
 	<-backend.started
 	cancel()
-	assert.Assert(t, (<-results).Reason != reasonEnded)
-	_, crashed := e.gateway.atWork.crashed("i")
+	assert.Assert(t, (<-results).Reason != reasonBackendTerminated)
+	_, crashed := e.gateway.runs.crashed("i")
 	assert.Assert(t, !crashed)
 }
 
@@ -113,7 +113,7 @@
 	<-backend.started
 	e.gateway.Deregister("i")
 	backend.crash()
-	assert.Equal(t, (<-results).Reason, reasonBroken)
+	assert.Equal(t, (<-results).Reason, reasonInterrupted)
 }
 
 // If a back end restarts before a connection was refused, the crash is detected by the
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -24,14 +24,14 @@
 	sessionDialTimeout = 500 * time.Millisecond
 	// sessionRetryDelay is the pause after all known controllers have been tried.
 	sessionRetryDelay = 100 * time.Millisecond
-	// After a leader fails, the gateways reopen their sessions spread over spreadPerGateway
+	// After a leader fails, the gateways reopen their sessions spread over reconnectDelayPerGateway
 	// for each gateway of the fleet: a session costs the next leader about 0.5 ms of a full
 	// core, and the users' machines have a quarter of one. maxReconnectDelay keeps the spread
 	// well within a lease (keylease.DefaultLeaseDuration).
-	spreadPerGateway  = 3 * time.Millisecond
-	maxReconnectDelay = 1500 * time.Millisecond
+	reconnectDelayPerGateway = 3 * time.Millisecond
+	maxReconnectDelay        = 1500 * time.Millisecond
 	// firstMessageBase is how long a controller may take to answer when a session is opened,
-	// plus spreadPerGateway for each gateway that may connect at the same time. It covers
+	// plus reconnectDelayPerGateway for each gateway that may connect at the same time. It covers
 	// several round trips between zones. A controller that hangs does not answer at all.
 	firstMessageBase = 400 * time.Millisecond
 	// maxRedirects bounds the redirects followed from one address of the list.
@@ -48,16 +48,16 @@
 	reportRequests chan struct{}
 	// confirmRequests requests a confirmation of the configuration in force.
 	confirmRequests chan struct{}
-	// served reports whether the last session delivered a view.
-	served bool
+	// receivedView reports whether the last session delivered a view.
+	receivedView bool
 	// leaderHeardAt is when the last message of the leader arrived, in nanoseconds since
 	// started.
-	leaderHeardAt atomic.Int64
-	vouched       configurationLease
+	leaderHeardAt      atomic.Int64
+	configurationLease configurationLease
 	// standings and extendedByMajority are used only by the goroutine that maintains the
 	// session. extendedByMajority is set once a majority of the controllers has extended the
 	// configuration lease since a leader last delivered a view.
-	standings          configlease.Standings
+	standings          configlease.LogStates
 	extendedByMajority bool
 }
 
@@ -73,7 +73,7 @@
 }
 
 // heardFromLeader reports whether the leader has answered a report of this process.
-func (s *sessionClient) heardFromLeader() bool { return s.vouched.heardLeader() }
+func (s *sessionClient) heardFromLeader() bool { return s.configurationLease.heardLeader() }
 
 // now reads the clock that timestamps in reports refer to.
 func (s *sessionClient) now() time.Duration { return steady.Elapsed(s.started) }
@@ -83,12 +83,12 @@
 	return now.Sub(s.started) - time.Duration(s.leaderHeardAt.Load())
 }
 
-// report asks the session to send the state of this process immediately.
-func (s *sessionClient) report() { wakeUp(s.reportRequests) }
+// requestReport asks the session to send the state of this process immediately.
+func (s *sessionClient) requestReport() { notify(s.reportRequests) }
 
-// wakeUp signals on a channel with a buffer of one. It does nothing if a signal is already
+// notify signals on a channel with a buffer of one. It does nothing if a signal is already
 // pending.
-func wakeUp(signal chan<- struct{}) {
+func notify(signal chan<- struct{}) {
 	select {
 	case signal <- struct{}{}:
 	default:
@@ -114,7 +114,7 @@
 // followRedirects opens a session at an address and follows redirects from there.
 func (s *sessionClient) followRedirects(ctx context.Context, address string) {
 	for range maxRedirects {
-		if !s.spread(ctx) {
+		if !s.delayReconnect(ctx) {
 			return
 		}
 		redirect := s.runSession(ctx, address)
@@ -129,16 +129,16 @@
 	}
 }
 
-// spread waits for a random time if the previous session delivered a view. When a leader
+// delayReconnect waits for a random time if the previous session delivered a view. When a leader
 // fails, all gateways connect to the next one, and the load must not delay its heartbeats. It
 // reports whether the context is still active.
-func (s *sessionClient) spread(ctx context.Context) bool {
-	if !s.served {
+func (s *sessionClient) delayReconnect(ctx context.Context) bool {
+	if !s.receivedView {
 		return ctx.Err() == nil
 	}
-	s.served = false
-	maxDelay := min(maxReconnectDelay, time.Duration(len(s.gateway.views.load().byID))*spreadPerGateway)
-	return pauseFor(ctx, time.Duration(rand.Float64()*float64(maxDelay)))
+	s.receivedView = false
+	maxDelay := min(maxReconnectDelay, time.Duration(len(s.gateway.views.load().byID))*reconnectDelayPerGateway)
+	return sleep(ctx, time.Duration(rand.Float64()*float64(maxDelay)))
 }
 
 // runSession runs one session until it ends. It returns the redirect that the controller sent,
@@ -148,8 +148,8 @@
 	if failure := (net.Error)(nil); errors.As(err, &failure) && failure.Timeout() {
 		s.controllers.markSilent(address)
 	}
-	if s.served || err != nil && ctx.Err() == nil {
-		s.gateway.config.Log.Info("session ended", "controller", address, "served", s.served, "redirected", redirect != nil, "error", err)
+	if s.receivedView || err != nil && ctx.Err() == nil {
+		s.gateway.config.Log.Info("session ended", "controller", address, "served", s.receivedView, "redirected", redirect != nil, "error", err)
 	}
 	return redirect
 }
@@ -191,11 +191,11 @@
 		}
 		silence := s.leaderSilence(steady.Reading())
 		s.leaderHeardAt.Store(int64(s.now()))
-		hadView := s.served
+		hadView := s.receivedView
 		if err := s.take(&message); err != nil {
 			return nil, err
 		}
-		if s.served && !hadView {
+		if s.receivedView && !hadView {
 			s.gateway.config.Log.Info("session serves", "controller", address, "silence_ms", silence.Milliseconds())
 		}
 	}
@@ -210,7 +210,7 @@
 // firstMessageTimeout returns how long a gateway waits for the first message of a controller
 // in a fleet with this many gateways.
 func firstMessageTimeout(gateways int) time.Duration {
-	return min(sessionIdleTimeout, firstMessageBase+time.Duration(gateways)*spreadPerGateway)
+	return min(sessionIdleTimeout, firstMessageBase+time.Duration(gateways)*reconnectDelayPerGateway)
 }
 
 // take applies a message from a controller.
@@ -225,16 +225,16 @@
 		}
 	}
 	if message.ReportNow {
-		s.report()
+		s.requestReport()
 	}
 	if message.Lease != nil {
 		firstLease := !s.heardFromLeader()
 		// The lease must be extended last, since it covers the view that was applied above.
-		s.vouched.take(message.Lease, s.started)
-		g.keys.take(message.Lease, s.started)
+		s.configurationLease.take(message.Lease, s.started)
+		g.keys.applyLease(message.Lease, s.started)
 		g.quarantine.confirm(message.Lease.EndsKnown)
 		if firstLease {
-			g.registry.retry(steady.Reading())
+			g.registry.retryCandidate(steady.Reading())
 		}
 	}
 	return nil
@@ -246,17 +246,17 @@
 		return err
 	}
 	oldVersion := g.views.load().version()
-	if err := g.views.advance(update, s.vouched.currentAsOf()); err != nil {
+	if err := g.views.apply(update, s.configurationLease.currentAsOf()); err != nil {
 		return err
 	}
-	s.served, s.extendedByMajority = true, false
+	s.receivedView, s.extendedByMajority = true, false
 	s.controllers.update(update.Controllers)
 	if newVersion := g.views.load().version(); newVersion != oldVersion {
 		g.config.Log.Info("configuration in force", "version", uint64(newVersion))
-		wakeUp(s.confirmRequests)
+		notify(s.confirmRequests)
 	}
 	if update.HasInstances {
-		g.peers.follow(g.views.load())
+		g.peers.pruneConnections(g.views.load())
 	}
 	return nil
 }
@@ -266,7 +266,7 @@
 	timer := time.NewTimer(reportInterval)
 	defer timer.Stop()
 	for {
-		report := s.build()
+		report := s.buildReport()
 		if conn.Send(fleetwire.ToController{Report: report}) != nil {
 			_ = conn.Close()
 			return
@@ -305,7 +305,7 @@
 	}
 }
 
-func (s *sessionClient) build() *fleetwire.Report {
+func (s *sessionClient) buildReport() *fleetwire.Report {
 	g := s.gateway
 	v := g.views.load()
 	report := &fleetwire.Report{SentAt: s.now(), Boot: s.boot, Version: v.version()}
@@ -313,9 +313,9 @@
 	if instance := g.registry.snapshot(); instance.ID != "" {
 		report.Instance = &instance
 		report.Silent = g.registry.silent()
-		report.Released = g.keys.promises(report.SentAt)
-		report.EarlierOver = g.keys.earlierOver(instance.ID, steady.Reading())
-		g.keyLoad.take(report)
+		report.Released = g.keys.reportReleases(report.SentAt)
+		report.EarlierOver = g.keys.earlierExpired(instance.ID, steady.Reading())
+		g.keyLoad.moveTo(report)
 		report.Running, report.Waiting = g.slots.counts()
 	}
 	return report
--- a/internal/gateway/sessionspread_test.go
+++ b/internal/gateway/sessionspread_test.go
@@ -23,21 +23,21 @@
 		}
 		var waited []time.Duration
 		for range gateways {
-			g := &Gateway{views: newViews()}
+			g := &Gateway{views: newViewStore()}
 			advance(t, g.views, viewOf(true, fleet...))
 			s := &sessionClient{gateway: g}
 			began := steady.Reading()
-			assert.Assert(t, s.spread(t.Context()))
+			assert.Assert(t, s.delayReconnect(t.Context()))
 			assert.Equal(t, steady.Elapsed(began), time.Duration(0))
-			s.served = true
-			assert.Assert(t, s.spread(t.Context()))
+			s.receivedView = true
+			assert.Assert(t, s.delayReconnect(t.Context()))
 			waited = append(waited, steady.Elapsed(began))
 		}
 		const parts = 4
 		var counts [parts]int
 		for _, wait := range waited {
-			assert.Assert(t, wait < gateways*spreadPerGateway)
-			counts[int(wait*parts/(gateways*spreadPerGateway))]++
+			assert.Assert(t, wait < gateways*reconnectDelayPerGateway)
+			counts[int(wait*parts/(gateways*reconnectDelayPerGateway))]++
 		}
 		for _, count := range counts {
 			assert.Assert(t, count > gateways/parts/2, "%v", counts)
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -20,7 +20,7 @@
 // instead of comparing times, so that a gateway that was itself stalled for seconds misses
 // only one of them.
 func (g *Gateway) watchSilence(ctx context.Context) {
-	each(ctx, g.config.HeartbeatInterval, g.checkSilence)
+	runEvery(ctx, g.config.HeartbeatInterval, g.checkSilence)
 }
 
 // checkSilence counts one interval, and probes or reports the back end after too many without
@@ -30,10 +30,10 @@
 	if instance == "" || unheard < probeAfterIntervals {
 		return
 	}
-	g.probe(instance)
+	g.probeBackend(instance)
 	if unheard == silentAfterIntervals {
 		g.config.Log.Warn("back end is silent", "instance", instance, "intervals", unheard, "interval_ms", g.config.HeartbeatInterval.Milliseconds())
-		g.session.report()
+		g.session.requestReport()
 	}
 }
 
--- a/internal/gateway/silence_test.go
+++ b/internal/gateway/silence_test.go
@@ -12,10 +12,10 @@
 )
 
 // newSilenceRig returns a rig whose back end has ended: nothing listens at its address.
-func newSilenceRig(t *testing.T, grants routeconfig.GrantMode) *keyRig {
-	rig := newKeyRig(t)
+func newSilenceRig(t *testing.T, grants routeconfig.GrantMode) *grantRig {
+	rig := newGrantRig(t)
 	rig.setGrants(grants, 1)
-	rig.holder.setRefuse(errors.New("no answer"))
+	rig.holder.setError(errors.New("no answer"))
 	rig.g.config.BackendAddress = freeAddress(t)
 	go rig.g.watchSilence(t.Context())
 	return rig
@@ -27,7 +27,7 @@
 	for _, grants := range []routeconfig.GrantMode{routeconfig.GrantByCall, routeconfig.GrantByHeartbeat} {
 		synctest.Test(t, func(t *testing.T) {
 			rig := newSilenceRig(t, grants)
-			rig.lease(held(0, 99), nil)
+			rig.lease(leasedRange(0, 99), nil)
 			time.Sleep(3 * DefaultHeartbeatInterval)
 			synctest.Wait()
 			assert.Equal(t, rig.g.registry.snapshot().State, fleetwire.InstanceGone)
@@ -44,21 +44,21 @@
 // the gateway may still accept grants by call.
 func TestABackEndIsSilentUntilAHeartbeatOrAConfirmedGrant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newKeyRig(t)
+		rig := newGrantRig(t)
 		rig.setGrants(routeconfig.GrantByCall, 1)
 		for range silentAfterIntervals {
-			assert.Assert(t, !rig.g.session.build().Silent)
+			assert.Assert(t, !rig.g.session.buildReport().Silent)
 			rig.g.registry.countInterval()
 		}
-		assert.Assert(t, rig.g.session.build().Silent)
-		rig.lease(held(0, 99), nil)
-		assert.Assert(t, !rig.g.session.build().Silent, "it has confirmed a grant")
-		rig.holder.setRefuse(errors.New("no answer"))
+		assert.Assert(t, rig.g.session.buildReport().Silent)
+		rig.lease(leasedRange(0, 99), nil)
+		assert.Assert(t, !rig.g.session.buildReport().Silent, "it has confirmed a grant")
+		rig.holder.setError(errors.New("no answer"))
 		for range silentAfterIntervals {
 			rig.g.registry.countInterval()
 		}
-		assert.Assert(t, rig.g.session.build().Silent)
-		rig.beat(t, "i-1", nil)
-		assert.Assert(t, !rig.g.session.build().Silent, "its heartbeat has arrived")
+		assert.Assert(t, rig.g.session.buildReport().Silent)
+		rig.heartbeat(t, "i-1", nil)
+		assert.Assert(t, !rig.g.session.buildReport().Silent, "its heartbeat has arrived")
 	})
 }
--- a/internal/gateway/silentleader_test.go
+++ b/internal/gateway/silentleader_test.go
@@ -157,7 +157,7 @@
 // startGateway starts a gateway with a back end beside it.
 func (s *leaderTest) startGateway(name, caller, controller string) *Gateway {
 	s.t.Helper()
-	backend := httptest.NewServer(http.HandlerFunc(answerWhole))
+	backend := httptest.NewServer(http.HandlerFunc(serveComplete))
 	s.t.Cleanup(backend.Close)
 	g, err := Start(Config{
 		Name: name, Zone: "a", Service: "s", CallerListen: caller, PeerListen: freeAddress(s.t),
--- a/internal/gateway/slots.go
+++ b/internal/gateway/slots.go
@@ -16,9 +16,9 @@
 // demand is what a request demands of the slots.
 type demand = overload.Demand
 
-// slotGate limits the requests that run at the back end at once to its slots. An
+// slotLimiter limits the requests that run at the back end at once to its slots. An
 // overload.SlotQueue decides which requests wait, in which order and how long.
-type slotGate struct {
+type slotLimiter struct {
 	mutex sync.Mutex
 	queue *overload.SlotQueue
 	// paceTimer fires when the next waiting request may be sent to a cold back end at its
@@ -26,11 +26,13 @@
 	paceTimer *time.Timer
 }
 
-func newSlotGate() *slotGate { return &slotGate{queue: overload.NewSlotQueue(steady.Reading())} }
+func newSlotLimiter() *slotLimiter {
+	return &slotLimiter{queue: overload.NewSlotQueue(steady.Reading())}
+}
 
-// decide calls a function on the queue at the present time, and sets the timer if a request
+// withQueue calls a function on the queue at the present time, and sets the timer if a request
 // then waits for the warm-up rate of a cold back end.
-func (g *slotGate) decide(call func(queue *overload.SlotQueue, now time.Time)) {
+func (g *slotLimiter) withQueue(call func(queue *overload.SlotQueue, now time.Time)) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := steady.Reading()
@@ -38,52 +40,52 @@
 	if g.paceTimer != nil {
 		return
 	}
-	if wait := g.queue.PaceIn(now); wait > 0 {
+	if wait := g.queue.NextAdmission(now); wait > 0 {
 		g.paceTimer = time.AfterFunc(wait, g.admitPaced)
 	}
 }
 
 // admitPaced admits the next requests that wait for the warm-up rate of a cold back end.
-func (g *slotGate) admitPaced() {
+func (g *slotLimiter) admitPaced() {
 	g.mutex.Lock()
 	g.paceTimer = nil
 	g.mutex.Unlock()
-	g.decide(func(queue *overload.SlotQueue, now time.Time) { queue.Pace(now) })
+	g.withQueue(func(queue *overload.SlotQueue, now time.Time) { queue.AdmitPaced(now) })
 }
 
 // setCapacity changes the number of slots.
-func (g *slotGate) setCapacity(slots int) {
-	g.decide(func(queue *overload.SlotQueue, now time.Time) { queue.SetCapacity(slots, now) })
+func (g *slotLimiter) setCapacity(slots int) {
+	g.withQueue(func(queue *overload.SlotQueue, now time.Time) { queue.SetCapacity(slots, now) })
 }
 
-func (g *slotGate) counts() (running, waiting int) {
+func (g *slotLimiter) counts() (running, waiting int) {
 	load := g.load()
 	return load.running, load.waiting
 }
 
 // load returns the load that other gateways use to choose among back ends.
-func (g *slotGate) load() peerLoad {
+func (g *slotLimiter) load() peerLoad {
 	var reported overload.Load
-	g.decide(func(queue *overload.SlotQueue, now time.Time) { reported = queue.Load(now) })
+	g.withQueue(func(queue *overload.SlotQueue, now time.Time) { reported = queue.Load(now) })
 	return peerLoad{
-		running:      reported.Running,
-		waiting:      reported.Waiting,
-		slots:        reported.Slots,
-		serviceTime:  reported.ServiceTime,
-		shortService: reported.ShortService,
-		shortUpTo:    reported.ShortUpTo,
-		bears:        reported.Bears,
+		running:          reported.Running,
+		waiting:          reported.Waiting,
+		slots:            reported.Slots,
+		serviceTime:      reported.ServiceTime,
+		shortServiceTime: reported.ShortService,
+		shortMaxTarget:   reported.ShortUpTo,
+		coldRate:         reported.MaxRate,
 	}
 }
 
 // acquire waits for a slot. If the estimated wait is longer than the request may wait, it
 // refuses at once.
-func (g *slotGate) acquire(ctx context.Context, wanted demand) (overload.Slot, error) {
+func (g *slotLimiter) acquire(ctx context.Context, wanted demand) (overload.Slot, error) {
 	admitted := make(chan struct{})
 	var ticket *overload.Ticket
 	var accepted, hasSlot bool
 	var check time.Duration
-	g.decide(func(queue *overload.SlotQueue, now time.Time) {
+	g.withQueue(func(queue *overload.SlotQueue, now time.Time) {
 		ticket, accepted = queue.Arrive(wanted, func() { close(admitted) }, now)
 		check, hasSlot = queue.CheckIn(ticket, now), ticket.HasSlot()
 	})
@@ -100,7 +102,7 @@
 }
 
 // await returns once a waiting request has a slot, or why it gets none.
-func (g *slotGate) await(ctx context.Context, ticket *overload.Ticket, admitted <-chan struct{}, check time.Duration) error {
+func (g *slotLimiter) await(ctx context.Context, ticket *overload.Ticket, admitted <-chan struct{}, check time.Duration) error {
 	timer := time.NewTimer(check)
 	defer timer.Stop()
 	for {
@@ -108,12 +110,12 @@
 		case <-admitted:
 			return nil
 		case <-ctx.Done():
-			g.decide(func(queue *overload.SlotQueue, now time.Time) { queue.Leave(ticket, now) })
+			g.withQueue(func(queue *overload.SlotQueue, now time.Time) { queue.Leave(ticket, now) })
 			return context.Cause(ctx)
 		case <-timer.C:
 		}
 		viable := false
-		g.decide(func(queue *overload.SlotQueue, now time.Time) {
+		g.withQueue(func(queue *overload.SlotQueue, now time.Time) {
 			if viable = queue.Check(ticket, now); !viable {
 				queue.Leave(ticket, now)
 			}
@@ -127,13 +129,13 @@
 }
 
 // release returns a slot that was used for the given time.
-func (g *slotGate) release(slot overload.Slot, used time.Duration) {
-	g.decide(func(queue *overload.SlotQueue, now time.Time) { queue.Release(slot, used, now) })
+func (g *slotLimiter) release(slot overload.Slot, used time.Duration) {
+	g.withQueue(func(queue *overload.SlotQueue, now time.Time) { queue.Release(slot, used, now) })
 }
 
-// comeBackIn counts a refusal of a request with the given target and returns when there may
+// retryAfter counts a refusal of a request with the given target and returns when there may
 // be a slot for it.
-func (g *slotGate) comeBackIn(target time.Duration) (wait time.Duration) {
-	g.decide(func(queue *overload.SlotQueue, now time.Time) { wait = queue.ComeBackIn(target, now) })
+func (g *slotLimiter) retryAfter(target time.Duration) (wait time.Duration) {
+	g.withQueue(func(queue *overload.SlotQueue, now time.Time) { wait = queue.RetryAfter(target, now) })
 	return wait
 }
--- a/internal/gateway/slots_test.go
+++ b/internal/gateway/slots_test.go
@@ -19,12 +19,12 @@
 )
 
 func demandFor(target, patience time.Duration) demand {
-	return demand{Priority: 1, Due: steady.Reading().Add(target), Target: target, Patience: patience}
+	return demand{Priority: 1, Due: steady.Reading().Add(target), Target: target, InTimeWait: patience}
 }
 
-// limiterWithShortLoad returns a slotGate that has served long requests and one short one.
-func limiterWithShortLoad(t *testing.T, slots int) *slotGate {
-	g := newSlotGate()
+// limiterWithShortLoad returns a slotLimiter that has served long requests and one short one.
+func limiterWithShortLoad(t *testing.T, slots int) *slotLimiter {
+	g := newSlotLimiter()
 	g.setCapacity(slots)
 	for range 20 {
 		taken, err := g.acquire(t.Context(), demandFor(longTarget, time.Second))
@@ -88,7 +88,7 @@
 // Without short requests no slot is reserved for them.
 func TestLongRequestsUseAllSlotsWithoutShortOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newSlotGate()
+		g := newSlotLimiter()
 		g.setCapacity(6)
 		for range 6 {
 			_, err := g.acquire(t.Context(), demandFor(longTarget, time.Millisecond))
@@ -101,7 +101,7 @@
 
 func TestMoreUrgentRequestGetsNextSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newSlotGate()
+		g := newSlotLimiter()
 		g.setCapacity(1)
 		first, err := g.acquire(t.Context(), demandFor(longTarget, time.Second))
 		assert.NilError(t, err)
@@ -128,7 +128,7 @@
 // A request that can't be served in its time is refused at once instead of waiting.
 func TestRequestThatCanNotBeServedInTimeIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newSlotGate()
+		g := newSlotLimiter()
 		g.setCapacity(1)
 		_, err := g.acquire(t.Context(), demandFor(longTarget, time.Second))
 		assert.NilError(t, err)
@@ -141,7 +141,7 @@
 
 func TestDisconnectedCallerLeavesSlotQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newSlotGate()
+		g := newSlotLimiter()
 		g.setCapacity(1)
 		first, err := g.acquire(t.Context(), demandFor(longTarget, time.Second))
 		assert.NilError(t, err)
--- a/internal/gateway/state_test.go
+++ b/internal/gateway/state_test.go
@@ -17,18 +17,18 @@
 
 // Neither a leader elected with an older state nor a late message may revert the view.
 func TestViewNeverReverts(t *testing.T) {
-	v := newViews()
+	v := newViewStore()
 	advance(t, v, &fleetwire.View{Document: documentOf(7)})
 	advance(t, v, &fleetwire.View{Document: documentOf(5)})
 	assert.Equal(t, v.load().version(), routeconfig.Version(7))
-	advance(t, v, viewOfOwners(9, owned("new")))
-	assert.ErrorIs(t, v.advance(viewOfOwners(8, owned("old")), time.Time{}), errViewMismatch)
+	advance(t, v, viewOfOwners(9, allKeysOf("new")))
+	assert.ErrorIs(t, v.apply(viewOfOwners(8, allKeysOf("old")), time.Time{}), errViewMismatch)
 	assert.Equal(t, v.load().owners["s"].Find(1).Owner, "new")
 }
 
 // A new leader has not heard from all gateways yet, so the known instances stay in use.
 func TestIncompleteViewKeepsOtherInstances(t *testing.T) {
-	v := newViews()
+	v := newViewStore()
 	listing := func(complete bool, ids ...string) *fleetwire.View {
 		var instances []fleetwire.Instance
 		for _, id := range ids {
@@ -86,16 +86,16 @@
 	b := newRetryBudgets(RetryBudget{Ratio: 0.2, Slack: 58, Window: 10 * time.Second})
 	now := steady.Now()
 	for range 1000 {
-		b.request("s", now)
+		b.countRequest("s", now)
 	}
 	allowed := 0
-	for b.repeat("s", 12, now) {
+	for b.allowRetry("s", 12, now) {
 		allowed++
 	}
-	assert.Assert(t, allowed > 0 && float64(allowed) <= 0.2*1000*ownShare+ownSlack, "%d", allowed)
-	assert.Assert(t, !b.repeat("s", 12, now.Add(9*time.Second)))
-	assert.Assert(t, b.repeat("s", 12, now.Add(11*time.Second)), "the slack of a new window")
-	assert.Assert(t, !b.repeat("s", 12, now.Add(12*time.Second)), "no further retries without requests")
+	assert.Assert(t, allowed > 0 && float64(allowed) <= 0.2*1000*gatewayRatioFraction+maxGatewaySlack, "%d", allowed)
+	assert.Assert(t, !b.allowRetry("s", 12, now.Add(9*time.Second)))
+	assert.Assert(t, b.allowRetry("s", 12, now.Add(11*time.Second)), "the slack of a new window")
+	assert.Assert(t, !b.allowRetry("s", 12, now.Add(12*time.Second)), "no further retries without requests")
 }
 
 // The budget applies to the whole fleet: the slacks of all gateways together must stay within
@@ -105,7 +105,7 @@
 	for _, gateways := range []int{1, 12, 280, 1100} {
 		b := newRetryBudgets(RetryBudget{Ratio: 0.2, Slack: slack, Window: 10 * time.Second})
 		perGateway := 0
-		for b.repeat("s", gateways, steady.Now()) {
+		for b.allowRetry("s", gateways, steady.Now()) {
 			perGateway++
 		}
 		assert.Assert(t, perGateway*gateways <= slack, "%d gateways with %d retries each", gateways, perGateway)
@@ -121,7 +121,7 @@
 }
 
 func TestLoadRoundTrip(t *testing.T) {
-	load := peerLoad{running: 3, waiting: 1, slots: 18, serviceTime: 90 * time.Millisecond, shortService: 20 * time.Millisecond, shortUpTo: 150 * time.Millisecond, linkBacklog: time.Second}
+	load := peerLoad{running: 3, waiting: 1, slots: 18, serviceTime: 90 * time.Millisecond, shortServiceTime: 20 * time.Millisecond, shortMaxTarget: 150 * time.Millisecond, linkBacklog: time.Second}
 	read, ok := parseLoad(formatLoad(load))
 	assert.Assert(t, ok)
 	assert.Equal(t, read, load)
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -39,7 +39,7 @@
 	began := steady.Reading()
 	end := began.Add(g.config.StopWithin)
 	g.admission.Begin(end)
-	g.registry.leaving()
+	g.registry.markStopping()
 	g.logStop("planned stop begins", began, "ends_within_ms", g.config.StopWithin.Milliseconds())
 	g.awaitQuietCallers(began)
 	ctx, cancel := context.WithTimeout(context.Background(), steady.Until(end))
@@ -55,7 +55,7 @@
 	<-drained
 	err := errors.Join(callersError, peersError)
 	g.cancel()
-	g.ended.Wait()
+	g.goroutines.Wait()
 	g.logStop("planned stop ends", began)
 	return err
 }
@@ -65,7 +65,7 @@
 func (g *Gateway) awaitQuietCallers(began time.Time) {
 	for steady.Elapsed(began) < g.config.StopWithin-drainReserve {
 		latest, seen := g.lastCaller.Load()
-		quiet := (!seen || steady.Since(latest) > callersQuietFor) && g.active.Load() == 0
+		quiet := (!seen || steady.Since(latest) > callersQuietFor) && g.activeCallers.Load() == 0
 		if quiet && steady.Elapsed(began) > minStopDuration {
 			return
 		}
@@ -89,7 +89,7 @@
 // expected restart of the gateway.
 func (g *Gateway) refuseStopping() *forwardResult {
 	result := notRun(reasonStopping)
-	result.RetryAfter = g.admission.Left(steady.Reading()) + restartDuration
+	result.RetryAfter = g.admission.Remaining(steady.Reading()) + restartDuration
 	return result
 }
 
@@ -117,6 +117,6 @@
 // logStop logs the progress of a planned stop and the requests that are in progress.
 func (g *Gateway) logStop(message string, began time.Time, fields ...any) {
 	fields = append(fields, "after_ms", steady.Elapsed(began).Milliseconds(),
-		"callers_in_flight", g.active.Load(), "peers_in_flight", g.peerActive.Load(), "slots_used", g.slots.load().running)
+		"callers_in_flight", g.activeCallers.Load(), "peers_in_flight", g.activePeers.Load(), "slots_used", g.slots.load().running)
 	g.config.Log.Info(message, fields...)
 }
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -74,7 +74,7 @@
 func TestStoppingGatewayServesShortRequests(t *testing.T) {
 	t.Parallel()
 	setup := twoHopsConfig{timeout: time.Second, stop: 10 * time.Second}
-	hops := startTwoHops(t, setup, http.HandlerFunc(answerWhole))
+	hops := startTwoHops(t, setup, http.HandlerFunc(serveComplete))
 	near, far := beginStop(hops.near), beginStop(hops.far)
 	response, err := http.DefaultClient.Do(hops.request(t.Context(), t, "r1"))
 	assert.NilError(t, err)
@@ -88,7 +88,7 @@
 // that no request is sent on a connection that is being closed.
 func TestIdleConnectionsToStoppingGatewayAreClosed(t *testing.T) {
 	t.Parallel()
-	hops := startTwoHops(t, twoHopsConfig{timeout: time.Second}, http.HandlerFunc(answerWhole))
+	hops := startTwoHops(t, twoHopsConfig{timeout: time.Second}, http.HandlerFunc(serveComplete))
 	response, err := http.DefaultClient.Do(hops.request(t.Context(), t, "r1"))
 	assert.NilError(t, err)
 	defer response.Body.Close()
@@ -130,7 +130,7 @@
 	setup := twoHopsConfig{repetition: routeconfig.Repeatable, timeout: 20 * time.Second, stop: 8 * time.Second}
 	hops = startTwoHops(t, setup, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasSuffix(r.URL.Path, "/call") {
-			answerWhole(w, r)
+			serveComplete(w, r)
 			return
 		}
 		close(running)
@@ -138,7 +138,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		calls <- call()
-		answerWhole(w, r)
+		serveComplete(w, r)
 	}))
 	answered := make(chan int, 1)
 	go func() {
@@ -184,7 +184,7 @@
 	for !refusesConnections(hops.farCaller) {
 		time.Sleep(time.Millisecond)
 	}
-	inProgress := hops.far.active.Load()
+	inProgress := hops.far.activeCallers.Load()
 	assert.NilError(t, <-answered)
 	assert.NilError(t, <-stopped)
 	assert.Equal(t, inProgress, int64(0), "requests in progress when the callers' listener refused connections")
@@ -195,7 +195,7 @@
 func TestRetryAfterIsBeyondTheStop(t *testing.T) {
 	t.Parallel()
 	setup := twoHopsConfig{timeout: 20 * time.Second, stop: 5 * time.Second}
-	hops := startTwoHops(t, setup, http.HandlerFunc(answerWhole))
+	hops := startTwoHops(t, setup, http.HandlerFunc(serveComplete))
 	latestBegin := steady.Reading()
 	stopped := beginStop(hops.near)
 	response, err := http.DefaultClient.Do(hops.request(t.Context(), t, "r1"))
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -107,7 +107,7 @@
 // large response of a back end, of known length.
 func streamable(response *http.Response) bool {
 	isResponse := outcome(response.Header.Get(fieldOutcome)) == outcomeAnswered && response.StatusCode < http.StatusInternalServerError
-	return isResponse && response.ContentLength >= bulkFrom && response.ContentLength <= maxResponseBody
+	return isResponse && response.ContentLength >= minPacedBody && response.ContentLength <= maxResponseBody
 }
 
 // sendTransfer sends a request with a large response. The context limits only the time until
@@ -119,7 +119,7 @@
 	response, err := p.pool.Do(streamCtx, outgoing)
 	if err != nil {
 		cancel(nil)
-		return peerFailed(err)
+		return failedAttempt(err)
 	}
 	if !streamable(response) {
 		defer cancel(nil)
@@ -136,7 +136,7 @@
 	ctx, stream := c.request.Context(), result.Stream
 	stop := context.AfterFunc(ctx, func() { stream.cancel(context.Cause(ctx)) })
 	defer stop()
-	beginAnswer(ctx, w, result.Status, len(stream.content))
+	writeResponseHeader(ctx, w, result.Status, len(stream.content))
 	if err := g.pacer.copy(ctx, w, stream, len(stream.content)); err != nil {
 		g.config.Log.Info("response aborted while streaming it to the caller", append(g.requestFields(c.request), "bytes", len(stream.content), "error", err)...)
 		panic(http.ErrAbortHandler)
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -32,8 +32,8 @@
 	assert.NilError(t, err)
 	defer response.Body.Close()
 	assert.Equal(t, response.StatusCode, http.StatusOK)
-	eventually(t, func() bool { return hops.far.peerActive.Load() == 0 })
-	assert.Equal(t, hops.near.active.Load(), int64(1), "the response to the caller must still be in progress")
+	eventually(t, func() bool { return hops.far.activePeers.Load() == 0 })
+	assert.Equal(t, hops.near.activeCallers.Load(), int64(1), "the response to the caller must still be in progress")
 	body, err := io.ReadAll(response.Body)
 	assert.NilError(t, err)
 	assert.Assert(t, bytes.Equal(body, largeBody))
@@ -41,7 +41,7 @@
 
 // A response whose sender is lost midway must not look complete to its caller.
 func TestInterruptedStreamIsNotComplete(t *testing.T) {
-	g := choosingGateway(t)
+	g := gatewayWithTwoZones(t)
 	g.pacer = newLinkPacer(0)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, sender := io.Pipe()
--- a/internal/gateway/summary.go
+++ b/internal/gateway/summary.go
@@ -9,8 +9,8 @@
 // summaryInterval is how often a gateway logs a summary of its attempts.
 const summaryInterval = time.Second
 
-// tally counts attempts at the back end beside the gateway since the last summary.
-type tally struct {
+// attemptCounters counts attempts at the back end beside the gateway since the last summary.
+type attemptCounters struct {
 	answered, failed, refusedByGateway, refusedByBackend, unknown atomic.Int64
 	// waitMicros and runMicros are the total times for which attempts waited for a slot and
 	// used it.
@@ -18,7 +18,7 @@
 }
 
 // record counts the result of an attempt.
-func (t *tally) record(result *forwardResult, waited, used time.Duration) {
+func (t *attemptCounters) record(result *forwardResult, waited, used time.Duration) {
 	t.waitMicros.Add(waited.Microseconds())
 	t.runMicros.Add(used.Microseconds())
 	switch {
@@ -37,7 +37,7 @@
 
 // summarize logs a summary for each interval with at least one attempt.
 func (g *Gateway) summarize(ctx context.Context) {
-	each(ctx, summaryInterval, g.writeSummary)
+	runEvery(ctx, summaryInterval, g.writeSummary)
 }
 
 func (g *Gateway) writeSummary() {
@@ -55,5 +55,5 @@
 		"unknown", unknown, "refused_here", refusedByGateway, "refused_there", refusedByBackend,
 		"wait_ms", waited/max(ran+refusedByGateway+refusedByBackend, 1)/microsPerMilli, "run_ms", used/max(ran, 1)/microsPerMilli,
 		"running", load.running, "waiting", load.waiting, "slots", load.slots,
-		"long_ms", load.serviceTime.Milliseconds(), "short_ms", load.shortService.Milliseconds())
+		"long_ms", load.serviceTime.Milliseconds(), "short_ms", load.shortServiceTime.Milliseconds())
 }
--- a/internal/gateway/suspension.go
+++ b/internal/gateway/suspension.go
@@ -14,7 +14,7 @@
 // immediately: the leases from before the suspension may have expired.
 func (g *Gateway) watchSuspensions(ctx context.Context) {
 	counted := steady.Suspended()
-	each(ctx, suspensionCheckInterval, func() {
+	runEvery(ctx, suspensionCheckInterval, func() {
 		duration := steady.Suspended() - counted
 		if duration <= 0 {
 			return
@@ -22,6 +22,6 @@
 		counted += duration
 		g.metrics.suspended(duration)
 		g.config.Log.Warn("machine was suspended", "lasted_ms", duration.Milliseconds(), "serves", g.Ready())
-		g.session.report()
+		g.session.requestReport()
 	})
 }
--- a/internal/gateway/suspension_test.go
+++ b/internal/gateway/suspension_test.go
@@ -28,24 +28,24 @@
 
 func TestSuspensionExpiresConfigurationLease(t *testing.T) {
 	hops, runs := startCountingHops(t)
-	hops.near.session.vouched.current.Store(nil)
-	hops.near.vouch(shortLease)
+	hops.near.session.configurationLease.current.Store(nil)
+	hops.near.extendLease(shortLease)
 	status, _ := hops.sendRequest(t, "r1")
 	assert.Equal(t, status, http.StatusOK)
 	steady.RehearseSuspension(longSuspension)
 	status, body := hops.sendRequest(t, "r2")
 	assert.Equal(t, status, http.StatusServiceUnavailable)
-	assert.Equal(t, body, string(reasonOutdated))
+	assert.Equal(t, body, string(reasonStaleConfiguration))
 	assert.Equal(t, runs.Load(), int32(1))
 	assert.Assert(t, !hops.near.Ready())
 }
 
 func TestSuspensionExpiresKeyLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rig := newKeyRig(t)
+		rig := newGrantRig(t)
 		const lease = 8 * time.Second
 		keys := keyspace.Range{First: 0, Last: keyspace.LastKey}
-		rig.g.keys.take(&fleetwire.Lease{
+		rig.g.keys.applyLease(&fleetwire.Lease{
 			SentAt: rig.g.session.now(), Duration: lease, Instance: "i-1", Held: []fleetwire.Held{{Keys: keys, Fence: 4}},
 		}, rig.g.session.started)
 		time.Sleep(time.Second)
--- a/internal/gateway/twohops_test.go
+++ b/internal/gateway/twohops_test.go
@@ -82,7 +82,7 @@
 		g, err := Start(start.config)
 		assert.NilError(t, err)
 		advance(t, g.views, view)
-		g.vouch(time.Hour)
+		g.extendLease(time.Hour)
 		*start.into = g
 		t.Cleanup(func() {
 			if !g.admission.Stopping() {
@@ -110,8 +110,8 @@
 	return request
 }
 
-// answerWhole sends a complete response, as a back end does.
-func answerWhole(w http.ResponseWriter, r *http.Request) {
+// serveComplete sends a complete response, as a back end does.
+func serveComplete(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Try-Name", r.Header.Get("Try-Name"))
 	w.Header().Set("Seal", "x")
 	_, _ = io.WriteString(w, "whole")
@@ -148,7 +148,7 @@
 	hops := startTwoHops(t, twoHopsConfig{timeout: 20 * time.Second, stop: 5 * time.Second}, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		close(running)
 		<-finish
-		answerWhole(w, r)
+		serveComplete(w, r)
 	}))
 	answered := make(chan string, 1)
 	go func() {
@@ -181,7 +181,7 @@
 	arrived := 0
 	hops := startTwoHops(t, twoHopsConfig{timeout: 20 * time.Second, drain: time.Millisecond}, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		arrived++
-		answerWhole(w, r)
+		serveComplete(w, r)
 	}))
 	hops.far.Heartbeat(hops.registration(fleetwire.InstanceDraining, 2))
 	for hops.far.registry.admits("i", steady.Reading()) {
--- a/internal/gateway/unresponsive_test.go
+++ b/internal/gateway/unresponsive_test.go
@@ -46,19 +46,19 @@
 		defer close(holder.testDone)
 		g := &Gateway{config: Config{Keys: holder}.withDefaults()}
 		g.metrics = newGatewayMetrics(g.config.Registry)
-		g.views = newViews()
+		g.views = newViewStore()
 		g.registry = newRegistry(func() {})
 		g.session = newSessionClient(g)
-		g.keys = newKeyKeeper(g)
+		g.keys = newGrantManager(g)
 		g.registry.heartbeat(Registration{ID: "i-1", Service: "s", Slots: 4, State: fleetwire.InstanceReady, Sequence: 1}, time.Second, steady.Reading())
 		ctx, cancel := context.WithCancel(t.Context())
 		g.background(func() { g.keys.run(ctx) })
 		held := fleetwire.Held{Keys: keyspace.Range{First: 0, Last: 9}, Fence: 1}
-		g.keys.take(&fleetwire.Lease{Instance: "i-1", Duration: time.Minute, Held: []fleetwire.Held{held}}, steady.Reading())
+		g.keys.applyLease(&fleetwire.Lease{Instance: "i-1", Duration: time.Minute, Held: []fleetwire.Held{held}}, steady.Reading())
 		<-holder.called
 		began := steady.Reading()
 		cancel()
-		g.ended.Wait()
+		g.goroutines.Wait()
 		assert.Equal(t, steady.Elapsed(began), time.Duration(0))
 	})
 }
--- a/internal/gateway/view.go
+++ b/internal/gateway/view.go
@@ -49,12 +49,12 @@
 type viewStore struct {
 	updating sync.Mutex
 	current  atomic.Pointer[view]
-	// prepare is called before a new view replaces the current one.
-	prepare func(before, after *view)
+	// beforeSwap is called before a new view replaces the current one.
+	beforeSwap func(before, after *view)
 }
 
-func newViews() *viewStore {
-	v := &viewStore{prepare: func(_, _ *view) {}}
+func newViewStore() *viewStore {
+	v := &viewStore{beforeSwap: func(_, _ *view) {}}
 	v.current.Store(&view{superseded: make(chan struct{})})
 	return v
 }
@@ -65,11 +65,11 @@
 // the leader's state.
 var errViewMismatch = errors.New("view differs from the leader's")
 
-// advance applies an update from a controller. The gateway had received everything sent before
+// apply applies an update from a controller. The gateway had received everything sent before
 // currentAsOf; zero if it had received nothing. Configurations and owners never go back to an
 // older version, and the instances of an incomplete view are added to the known ones. On an
 // error the view is unchanged, and the session must be reopened.
-func (v *viewStore) advance(update *fleetwire.View, currentAsOf time.Time) error {
+func (v *viewStore) apply(update *fleetwire.View, currentAsOf time.Time) error {
 	v.updating.Lock()
 	defer v.updating.Unlock()
 	old := v.load()
@@ -91,7 +91,7 @@
 	}
 	next.setEvacuated(update, currentAsOf)
 	next.setSuspects(update)
-	v.prepare(old, &next)
+	v.beforeSwap(old, &next)
 	v.current.Store(&next)
 	close(old.superseded)
 	return nil
@@ -149,16 +149,16 @@
 // evacuatedZones returns the zones whose back ends must not get new requests.
 func (v *view) evacuatedZones() []string { return slices.Sorted(maps.Keys(v.evacuatedAt)) }
 
-// evacuatedWholly reports whether all instances of a service are in evacuated zones. Nothing
+// fullyEvacuated reports whether all instances of a service are in evacuated zones. Nothing
 // can serve its requests until an evacuation ends, so they are refused instead of queued.
-func (v *view) evacuatedWholly(service string) bool {
+func (v *view) fullyEvacuated(service string) bool {
 	instances := v.instances[service]
 	outside := func(instance fleetwire.Instance) bool { return !v.evacuated(instance.Zone) }
 	return len(instances) > 0 && !slices.ContainsFunc(instances, outside)
 }
 
-// find returns the route that matches a request, or nil.
-func (v *view) find(r *http.Request) *routeconfig.Route {
+// findRoute returns the route that matches a request, or nil.
+func (v *view) findRoute(r *http.Request) *routeconfig.Route {
 	if v.table == nil {
 		return nil
 	}
@@ -270,8 +270,8 @@
 	return instance, ok
 }
 
-// await blocks until a newer view replaces this one, the limit has passed, or done is closed.
-func (v *view) await(done <-chan struct{}, limit time.Duration) {
+// awaitNewer blocks until a newer view replaces this one, the limit has passed, or done is closed.
+func (v *view) awaitNewer(done <-chan struct{}, limit time.Duration) {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
--- a/internal/gateway/warmup.go
+++ b/internal/gateway/warmup.go
@@ -36,42 +36,42 @@
 var errOtherInstance = errors.New("another instance answered")
 
 // configureWarmup applies the warm-up rate and period of the back end's service.
-func (g *slotGate) configureWarmup(perSecond float64, length time.Duration) {
-	g.decide(func(queue *overload.SlotQueue, _ time.Time) { queue.ConfigureWarmth(perSecond, length) })
+func (g *slotLimiter) configureWarmup(perSecond float64, length time.Duration) {
+	g.withQueue(func(queue *overload.SlotQueue, _ time.Time) { queue.ConfigureWarmUp(perSecond, length) })
 }
 
 // assumeCold treats the back end as cold until its state is known.
-func (g *slotGate) assumeCold() {
-	g.decide(func(queue *overload.SlotQueue, now time.Time) { queue.SuspectCold(now) })
+func (g *slotLimiter) assumeCold() {
+	g.withQueue(func(queue *overload.SlotQueue, now time.Time) { queue.SuspectCold(now) })
 }
 
-// hearWarmth applies a heartbeat's report of how much longer the back end is cold; fresh
+// updateWarmupFromHeartbeat applies a heartbeat's report of how much longer the back end is cold; fresh
 // says that it is the first heartbeat of an incarnation.
-func (g *slotGate) hearWarmth(left time.Duration, fresh bool) {
-	g.decide(func(queue *overload.SlotQueue, now time.Time) { queue.HearWarmth(left, fresh, now) })
+func (g *slotLimiter) updateWarmupFromHeartbeat(left time.Duration, fresh bool) {
+	g.withQueue(func(queue *overload.SlotQueue, now time.Time) { queue.WarmUpFromHeartbeat(left, fresh, now) })
 }
 
-// tellWarmth applies the back end's answer to a probe: how much longer it is cold.
-func (g *slotGate) tellWarmth(left time.Duration) {
-	g.decide(func(queue *overload.SlotQueue, now time.Time) { queue.TellWarmth(left, now) })
+// updateWarmupFromProbe applies the back end's answer to a probe: how much longer it is cold.
+func (g *slotLimiter) updateWarmupFromProbe(left time.Duration) {
+	g.withQueue(func(queue *overload.SlotQueue, now time.Time) { queue.WarmUpFromAnswer(left, now) })
 }
 
-// coldness reports whether the back end is treated as cold, and whether it should be probed.
-func (g *slotGate) coldness() (cold, probe bool) {
-	g.decide(func(queue *overload.SlotQueue, now time.Time) { cold, probe = queue.Coldness(now) })
+// warmupState reports whether the back end is treated as cold, and whether it should be probed.
+func (g *slotLimiter) warmupState() (cold, probe bool) {
+	g.withQueue(func(queue *overload.SlotQueue, now time.Time) { cold, probe = queue.WarmUpState(now) })
 	return cold, probe
 }
 
 // hasWarmupCapacity reports whether a request that arrived now could run without waiting for
 // the warm-up rate.
-func (g *slotGate) hasWarmupCapacity() (available bool) {
-	g.decide(func(queue *overload.SlotQueue, now time.Time) { available = queue.BearsNow(now) })
+func (g *slotLimiter) hasWarmupCapacity() (available bool) {
+	g.withQueue(func(queue *overload.SlotQueue, now time.Time) { available = queue.AdmitsNow(now) })
 	return available
 }
 
-// watchWarmth checks the warm-up state regularly.
-func (g *Gateway) watchWarmth(ctx context.Context) {
-	each(ctx, warmupCheckInterval, func() { g.checkWarmup(ctx) })
+// monitorWarmup checks the warm-up state regularly.
+func (g *Gateway) monitorWarmup(ctx context.Context) {
+	runEvery(ctx, warmupCheckInterval, func() { g.checkWarmup(ctx) })
 }
 
 // checkWarmup probes the back end if it is unknown whether it is cold, and reports a changed
@@ -81,13 +81,13 @@
 	v := g.views.load()
 	if v.evacuated(g.config.Zone) {
 		g.slots.assumeCold()
-	} else if _, probe := g.slots.coldness(); probe {
+	} else if _, probe := g.slots.warmupState(); probe {
 		if err := g.probeWarmup(ctx, v); err != nil {
-			g.metrics.unread(toldWarmth)
+			g.metrics.countUnreadable(unreadableWarmth)
 			g.config.Log.Info("warm-up probe of the back end failed", "error", err)
 		}
 	}
-	cold, _ := g.slots.coldness()
+	cold, _ := g.slots.warmupState()
 	if g.registry.setCold(cold) {
 		g.instanceChanged()
 	}
@@ -121,36 +121,36 @@
 	if answeredBy != "" && answeredBy != incarnation.IDOf(instance.ID) {
 		return errOtherInstance
 	}
-	if answeredBy != "" && !g.registry.proved() {
-		g.registry.prove(answeredBy)
+	if answeredBy != "" && !g.registry.verified() {
+		g.registry.verify(answeredBy)
 		g.keys.signal()
 	}
 	text := response.Header.Get(names.WarmupLeft)
 	if text == "" && response.StatusCode == http.StatusOK {
-		g.slots.tellWarmth(0)
+		g.slots.updateWarmupFromProbe(0)
 		return nil
 	}
 	left, ok := parseMilliseconds(text)
 	if !ok {
 		return fmt.Errorf("%s: %.64q is not a number of milliseconds", names.WarmupLeft, text)
 	}
-	g.slots.tellWarmth(left)
+	g.slots.updateWarmupFromProbe(left)
 	return nil
 }
 
-// unproved reports whether the back end may be another incarnation than the one that the
+// identityUnconfirmed reports whether the back end may be another incarnation than the one that the
 // leader knew when this process started. Such a back end is granted no keys: the leader
 // would not know which incarnation holds them. A probe's answer or the first heartbeat
 // settles it.
-func (g *Gateway) unproved() bool {
+func (g *Gateway) identityUnconfirmed() bool {
 	service := g.views.load().service(g.config.Service)
-	return service != nil && service.WarmupRate > 0 && !g.registry.proved()
+	return service != nil && service.WarmupRate > 0 && !g.registry.verified()
 }
 
-// prepare applies a view that is about to take effect: the warm-up rate, and whether the
+// prepareView applies a view that is about to take effect: the warm-up rate, and whether the
 // back end may have turned cold. A gateway that has just started does not know, and a back
 // end that got no requests for a while is cold.
-func (g *Gateway) prepare(before, after *view) {
+func (g *Gateway) prepareView(before, after *view) {
 	if service := after.service(g.config.Service); service != nil {
 		g.slots.configureWarmup(service.WarmupRate, service.Warmup)
 	}
--- a/internal/gateway/warmup_test.go
+++ b/internal/gateway/warmup_test.go
@@ -15,24 +15,24 @@
 
 const (
 	coldRate   = 13.0
-	coldLength = 3 * time.Second
+	coldPeriod = 3 * time.Second
 	// maxColdRequests is how many requests a cold back end may get in any second: one and a
 	// half times the rate, plus 8.
 	maxColdRequests = 1.5*coldRate + 8
 )
 
-// coldLimiter returns a slotGate with 18 slots whose back end is cold for the given time.
-func coldLimiter(left time.Duration) *slotGate {
-	g := newSlotGate()
+// coldLimiter returns a slotLimiter with 18 slots whose back end is cold for the given time.
+func coldLimiter(left time.Duration) *slotLimiter {
+	g := newSlotLimiter()
 	g.setCapacity(18)
-	g.configureWarmup(coldRate, coldLength)
-	g.hearWarmth(left, true)
+	g.configureWarmup(coldRate, coldPeriod)
+	g.updateWarmupFromHeartbeat(left, true)
 	return g
 }
 
-// flood sends a slotGate one request a millisecond, each using a slot for 20 ms, and returns
+// flood sends a slotLimiter one request a millisecond, each using a slot for 20 ms, and returns
 // when each was admitted.
-func flood(t *testing.T, g *slotGate, length time.Duration) []time.Time {
+func flood(t *testing.T, g *slotLimiter, length time.Duration) []time.Time {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -73,18 +73,18 @@
 // A cold back end that gets more requests than it can serve fails and restarts cold.
 func TestColdBackendIsLimitedToWarmupRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		times := flood(t, coldLimiter(coldLength), coldLength)
+		times := flood(t, coldLimiter(coldPeriod), coldPeriod)
 		most := maxPerSecond(times)
 		assert.Assert(t, float64(most) <= maxColdRequests, "%d in a second", most)
-		assert.Assert(t, float64(len(times)) >= 0.9*coldRate*coldLength.Seconds(), "%d in all", len(times))
+		assert.Assert(t, float64(len(times)) >= 0.9*coldRate*coldPeriod.Seconds(), "%d in all", len(times))
 	})
 }
 
 // Once the back end is warm, only its slots limit the requests.
 func TestWarmBackendIsNotRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := coldLimiter(coldLength)
-		time.Sleep(coldLength)
+		g := coldLimiter(coldPeriod)
+		time.Sleep(coldPeriod)
 		times := flood(t, g, time.Second)
 		assert.Assert(t, len(times) > 700, "%d", len(times))
 	})
@@ -133,14 +133,14 @@
 			g := gatewayWithBackend(t, backend)
 			g.config.Service = "s"
 			g.config.Headers.WarmupLeft, g.config.Headers.InstanceID = "Cold-Ms", "Answered-By"
-			g.views.prepare = g.prepare
+			g.views.beforeSwap = g.prepareView
 			advance(t, g.views, &fleetwire.View{Document: &routeconfig.Document{Version: 1, Services: []routeconfig.Service{
 				{Name: "s", HealthPath: "/health", WarmupRate: coldRate, Warmup: time.Hour},
 			}}})
-			cold, probe := g.slots.coldness()
+			cold, probe := g.slots.warmupState()
 			assert.Assert(t, cold && probe, "before the probe")
 			g.checkWarmup(t.Context())
-			cold, _ = g.slots.coldness()
+			cold, _ = g.slots.warmupState()
 			assert.Equal(t, cold, test.cold)
 			assert.Equal(t, g.registry.snapshot().Cold, test.cold)
 		})
@@ -151,21 +151,21 @@
 // incarnation's first request is admitted, and a new incarnation is not treated as warm
 // because the previous one was.
 func TestNewIncarnationIsColdFromFirstHeartbeat(t *testing.T) {
-	g := newSlotGate()
-	g.configureWarmup(coldRate, coldLength)
+	g := newSlotLimiter()
+	g.configureWarmup(coldRate, coldPeriod)
 	r := newRegistry(func() {})
-	r.told = g.hearWarmth
+	r.onWarmup = g.updateWarmupFromHeartbeat
 	beat := func(id string, sequence uint64, left time.Duration) {
 		r.heartbeat(Registration{ID: id, State: fleetwire.InstanceReady, Sequence: sequence, WarmupLeft: left}, time.Second, steady.Reading())
 	}
 	beat("i-1", 1, 0)
-	cold, _ := g.coldness()
+	cold, _ := g.warmupState()
 	assert.Assert(t, !cold)
-	beat("i-2", 1, coldLength)
-	cold, _ = g.coldness()
+	beat("i-2", 1, coldPeriod)
+	cold, _ = g.warmupState()
 	assert.Assert(t, cold && r.snapshot().Cold)
 	beat("i-2", 2, 0)
-	cold, _ = g.coldness()
+	cold, _ = g.warmupState()
 	assert.Assert(t, cold, "a heartbeat may be older than the cause of the cold state")
 }
 
@@ -176,7 +176,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var gateways []*Gateway
 		for range 10 {
-			g := choosingGateway(t)
+			g := gatewayWithTwoZones(t)
 			instances := []fleetwire.Instance{
 				{ID: "full", Service: "s", Node: "node-near", Zone: "a", Address: "127.0.0.1:1", State: fleetwire.InstanceReady},
 				{ID: "cold", Service: "s", Node: "node-cold", Zone: "a", Address: "127.0.0.1:3", State: fleetwire.InstanceReady, Cold: true},
--- a/internal/gateway/warmupshare.go
+++ b/internal/gateway/warmupshare.go
@@ -20,7 +20,7 @@
 	peer := g.peers.get(candidate.Address)
 	peer.mutex.Lock()
 	defer peer.mutex.Unlock()
-	return service.WarmupRate <= 0 || peer.share.Has(service.WarmupRate, g.gatewayCount(), rand.Float64(), now)
+	return service.WarmupRate <= 0 || peer.coldShare.Available(service.WarmupRate, g.gatewayCount(), rand.Float64(), now)
 }
 
 // countWarmupShare counts a request that is sent to a cold instance against this gateway's
@@ -32,7 +32,7 @@
 	peer := g.peers.get(chosen.Address)
 	peer.mutex.Lock()
 	defer peer.mutex.Unlock()
-	peer.share.Take(service.WarmupRate, g.gatewayCount(), rand.Float64(), now)
+	peer.coldShare.Take(service.WarmupRate, g.gatewayCount(), rand.Float64(), now)
 }
 
 // gatewayCount is the number of gateways that may send requests: one beside each back end.
--- a/internal/gobcheck/gobcheck.go
+++ b/internal/gobcheck/gobcheck.go
@@ -11,9 +11,9 @@
 // ErrTruncated means that a message claims to be longer than the data that follows.
 var ErrTruncated = errors.New("gob message length exceeds the available bytes")
 
-// Whole checks that data is a sequence of complete messages, each prefixed with its length
+// CheckLengths checks that data is a sequence of complete messages, each prefixed with its length
 // (encoding/gob, "Encoding Details").
-func Whole(data []byte) error {
+func CheckLengths(data []byte) error {
 	for len(data) > 0 {
 		length, rest, ok := readLength(data)
 		if !ok || length > uint64(len(rest)) {
--- a/internal/grants/grants_test.go
+++ b/internal/grants/grants_test.go
@@ -147,8 +147,8 @@
 	if r.now.Milliseconds() >= r.server.until {
 		return
 	}
-	if r.now >= r.state.AllEndBy() {
-		t.Fatalf("at %v the back end acts until %d ms, which the agent considers impossible after %v", r.now, r.server.until, r.state.AllEndBy())
+	if r.now >= r.state.AllExpiredBy() {
+		t.Fatalf("at %v the back end acts until %d ms, which the agent considers impossible after %v", r.now, r.server.until, r.state.AllExpiredBy())
 	}
 	for number := range shards {
 		id := topology.ShardID{Service: 1, Shard: topology.ShardNumber(number + 1)}
--- a/internal/grants/state.go
+++ b/internal/grants/state.go
@@ -88,8 +88,8 @@
 // process, unless another message is sent.
 func (s *State) PossibleUntil() time.Duration { return s.possibleUntil }
 
-// AllEndBy is like PossibleUntil, but includes the grants of earlier processes.
-func (s *State) AllEndBy() time.Duration {
+// AllExpiredBy is like PossibleUntil, but includes the grants of earlier processes.
+func (s *State) AllExpiredBy() time.Duration {
 	if s.replaced {
 		return s.possibleUntil
 	}
@@ -115,12 +115,12 @@
 	Owned map[topology.ShardID]topology.Shard
 	// Closing returns how an owned shard is being released, and whether it is.
 	Closing func(topology.ShardID) (Closing, bool)
-	// Lingers reports whether a shard is no longer owned under its number while
+	// Draining reports whether a shard is no longer owned under its number while
 	// requests that were admitted before still run. If it is set, a shard whose epoch
 	// rises without a change of owner keeps the grant at the epoch that the back end
 	// knows, so that its fence lets running requests finish; if it is nil, each epoch
 	// gets a new grant.
-	Lingers func(topology.ShardID) bool
+	Draining func(topology.ShardID) bool
 	// LeaseUntil is the end of the agent's lease, zero without one.
 	LeaseUntil time.Duration
 	// Repeat sends a message even if nothing has changed.
@@ -176,13 +176,13 @@
 }
 
 func (wanted *Wanted) draining(id topology.ShardID) bool {
-	return wanted.Lingers != nil && wanted.Lingers(id)
+	return wanted.Draining != nil && wanted.Draining(id)
 }
 
-// EndContinued marks the grants that continue from an earlier epoch and for which ends
+// RevokeContinued marks the grants that continue from an earlier epoch and for which ends
 // returns true. They will be replaced by grants of the current epoch, so that nothing that
 // was sent to the back end under them can take effect any more.
-func (s *State) EndContinued(ends func(shard topology.ShardID, epoch topology.Epoch) bool) {
+func (s *State) RevokeContinued(ends func(shard topology.ShardID, epoch topology.Epoch) bool) {
 	for id, held := range s.confirmed {
 		if held.epoch != held.ownerEpoch && ends(id, held.epoch) {
 			held.interrupted = true
@@ -191,8 +191,8 @@
 	}
 }
 
-// Ending reports whether the back end may still hold a grant that EndContinued ends.
-func (s *State) Ending() bool {
+// RevocationPending reports whether the back end may still hold a grant that RevokeContinued ends.
+func (s *State) RevocationPending() bool {
 	for _, held := range s.confirmed {
 		if held.interrupted && held.epoch != held.ownerEpoch {
 			return true
@@ -207,7 +207,7 @@
 // epochFor returns the epoch to send to the back end for an owned shard.
 func (s *State) epochFor(shard topology.Shard, wanted Wanted) topology.Epoch {
 	held, granted := s.confirmed[shard.ID]
-	if granted && !held.interrupted && wanted.Lingers != nil {
+	if granted && !held.interrupted && wanted.Draining != nil {
 		return held.epoch
 	}
 	return shard.Epoch
@@ -296,8 +296,8 @@
 type Outcome struct {
 	// Granted shards may be served now.
 	Granted []topology.Shard
-	// Taken says that the back end accepted the message.
-	Taken bool
+	// Accepted says that the back end accepted the message.
+	Accepted bool
 	// Restarted says that the back end has restarted and lost its grants and warm shards.
 	Restarted bool
 	// Refused names a shard of which the back end has seen a higher epoch.
@@ -345,7 +345,7 @@
 		delete(s.confirmed, id)
 		delete(s.possible, id)
 	}
-	return Outcome{Granted: sent.granted, Taken: true}
+	return Outcome{Granted: sent.granted, Accepted: true}
 }
 
 // restarted clears the state after a restart of the back end, which has no grants.
--- a/internal/inforce/inforce_test.go
+++ b/internal/inforce/inforce_test.go
@@ -34,7 +34,7 @@
 // and has a report of the other controller.
 func leader() *inforce.Tracker {
 	t := inforce.NewTracker(0)
-	t.TakeReport(other, &wire.SubscriberReport{All: true, Listing: settled}, settled)
+	t.ApplyReport(other, &wire.SubscriberReport{All: true, Listing: settled}, settled)
 	t.Committed(before, settled-time.Second)
 	t.Committed(change, settled)
 	return t
@@ -58,12 +58,12 @@
 func TestAllSubscribersMustConfirm(t *testing.T) {
 	tracker := leader()
 	tracker.Connected(router("own"), &wire.Hello{Boot: 1, Applied: before}, settled)
-	tracker.TakeReport(other, report("foreign", before), settled)
+	tracker.ApplyReport(other, report("foreign", before), settled)
 	assert.DeepEqual(t, lagging(tracker, settled), []string{"foreign", "own"})
 	assert.Assert(t, tracker.Applied(router("own"), 1, change, settled))
 	assert.Assert(t, !tracker.Applied(router("own"), 1, change, settled), "a repeated confirmation is not new")
 	assert.DeepEqual(t, lagging(tracker, settled), []string{"foreign"})
-	tracker.TakeReport(other, report("foreign", change), settled)
+	tracker.ApplyReport(other, report("foreign", change), settled)
 	assert.Assert(t, tracker.Progress(change, &status, settled).Everywhere)
 }
 
@@ -82,7 +82,7 @@
 	tracker.Disconnected(router("own"), 1, settled-time.Second)
 	stops := settled - time.Second + wire.StopRelyingAfter
 	reportAt := func(at time.Duration) {
-		tracker.TakeReport(other, &wire.SubscriberReport{Listing: at}, at)
+		tracker.ApplyReport(other, &wire.SubscriberReport{Listing: at}, at)
 	}
 	reportAt(stops)
 	assert.DeepEqual(t, lagging(tracker, stops), []string{"own"})
@@ -102,22 +102,22 @@
 // and may still use older data.
 func TestRecentlyStartedControllerCountsAsLagging(t *testing.T) {
 	tracker := leader()
-	tracker.TakeReport(other, &wire.SubscriberReport{All: true, Listing: inforce.MaxRelianceTime}, settled)
+	tracker.ApplyReport(other, &wire.SubscriberReport{All: true, Listing: inforce.MaxRelianceTime}, settled)
 	assert.DeepEqual(t, lagging(tracker, settled), []string{"controller-2"})
-	tracker.TakeReport(other, &wire.SubscriberReport{All: true, Listing: inforce.MaxRelianceTime + 1}, settled)
+	tracker.ApplyReport(other, &wire.SubscriberReport{All: true, Listing: inforce.MaxRelianceTime + 1}, settled)
 	assert.Assert(t, tracker.Progress(change, &status, settled).Everywhere)
 
 	fresh := inforce.NewTracker(settled)
 	fresh.Committed(change, settled)
-	fresh.TakeReport(other, &wire.SubscriberReport{All: true, Listing: settled}, settled)
+	fresh.ApplyReport(other, &wire.SubscriberReport{All: true, Listing: settled}, settled)
 	assert.DeepEqual(t, lagging(fresh, settled), []string{"controller-1"})
 }
 
 // The first report of a restarted controller lists those subscribers that it still has.
 func TestSubscribersOfRestartedControllerAreDropped(t *testing.T) {
 	tracker := leader()
-	tracker.TakeReport(other, report("gone", before), settled)
-	tracker.TakeReport(other, &wire.SubscriberReport{All: true, Listing: settled}, settled)
+	tracker.ApplyReport(other, report("gone", before), settled)
+	tracker.ApplyReport(other, &wire.SubscriberReport{All: true, Listing: settled}, settled)
 	gone := tracker.Subscribers(self)[0]
 	assert.Assert(t, !gone.Connected)
 	assert.Assert(t, !gone.StoppedRelying(settled))
@@ -135,10 +135,10 @@
 func TestNewLeaderWaitsForSubscribersOfRemovedController(t *testing.T) {
 	tracker := leader()
 	tracker.BecomeLeader(settled)
-	tracker.TakeReport(other, &wire.SubscriberReport{All: true, Listing: settled}, settled)
+	tracker.ApplyReport(other, &wire.SubscriberReport{All: true, Listing: settled}, settled)
 	assert.Assert(t, !tracker.Progress(change, &status, settled).Everywhere)
 	later := settled + inforce.MaxRelianceTime + 1
-	tracker.TakeReport(other, &wire.SubscriberReport{Listing: later}, later)
+	tracker.ApplyReport(other, &wire.SubscriberReport{Listing: later}, later)
 	tracker.Committed(change+1, later)
 	assert.Assert(t, tracker.Progress(change+1, &status, later).Everywhere)
 }
--- a/internal/inforce/tracker.go
+++ b/internal/inforce/tracker.go
@@ -179,8 +179,8 @@
 	return report
 }
 
-// TakeReport applies, at the leader, the report of another controller.
-func (t *Tracker) TakeReport(from topology.ReplicaID, report *wire.SubscriberReport, now time.Duration) {
+// ApplyReport applies, at the leader, the report of another controller.
+func (t *Tracker) ApplyReport(from topology.ReplicaID, report *wire.SubscriberReport, now time.Duration) {
 	t.members[from] = member{lastHeard: now, started: now - report.Listing}
 	if report.All {
 		t.disconnectAllOf(from, now)
--- a/internal/keyhold/bound.go
+++ b/internal/keyhold/bound.go
@@ -29,13 +29,13 @@
 	b.inFlight, b.hold = true, hold
 }
 
-// Sending reports whether a grant is in flight.
-func (b *Bound) Sending() bool { return b.inFlight }
+// InFlight reports whether a grant is in flight.
+func (b *Bound) InFlight() bool { return b.inFlight }
 
 // Answered records that the grant in flight has arrived before now.
 func (b *Bound) Answered(now time.Time) {
 	b.inFlight = false
-	b.Given(now, b.hold)
+	b.Extend(now, b.hold)
 }
 
 // Unanswered records that no answer to the grant in flight is awaited any more. It may still
@@ -45,20 +45,20 @@
 		arrives = now
 	}
 	b.inFlight = false
-	b.Given(arrives, b.hold)
+	b.Extend(arrives, b.hold)
 }
 
-// NotTaken records that the grant in flight was certainly not applied and never will be.
-func (b *Bound) NotTaken() { b.inFlight = false }
+// Rejected records that the grant in flight was certainly not applied and never will be.
+func (b *Bound) Rejected() { b.inFlight = false }
 
-// TakenBack records that the message in flight revoked the keys, as confirmed by the back end
+// Revoked records that the message in flight revoked the keys, as confirmed by the back end
 // that held them.
-func (b *Bound) TakenBack() { *b = Bound{} }
+func (b *Bound) Revoked() { *b = Bound{} }
 
-// Given records that the keys may be held for the duration hold, counted from a time that is
+// Extend records that the keys may be held for the duration hold, counted from a time that is
 // not before the grant's arrival.
-func (b *Bound) Given(from time.Time, hold time.Duration) {
-	if until := from.Add(Longest(hold)); until.After(b.until) {
+func (b *Bound) Extend(from time.Time, hold time.Duration) {
+	if until := from.Add(WithDrift(hold)); until.After(b.until) {
 		b.until = until
 	}
 }
@@ -66,10 +66,10 @@
 // Until returns when the answered grants have expired. It does not include a grant in flight.
 func (b *Bound) Until() time.Time { return b.until }
 
-// Over reports whether the keys are certainly no longer held.
-func (b *Bound) Over(now time.Time) bool { return !b.inFlight && !now.Before(b.until) }
+// Expired reports whether the keys are certainly no longer held.
+func (b *Bound) Expired(now time.Time) bool { return !b.inFlight && !now.Before(b.until) }
 
-// Longest returns how long a hold may last by the sender's clock, given ClockDrift.
-func Longest(hold time.Duration) time.Duration {
+// WithDrift returns how long a hold may last by the sender's clock, given ClockDrift.
+func WithDrift(hold time.Duration) time.Duration {
 	return time.Duration(float64(hold) * (1 + ClockDrift))
 }
--- a/internal/keyhold/bound_test.go
+++ b/internal/keyhold/bound_test.go
@@ -19,22 +19,22 @@
 	var bound keyhold.Bound
 	start := time.Now()
 	bound.Send(hold)
-	assert.Assert(t, !bound.Over(start.Add(time.Hour)))
+	assert.Assert(t, !bound.Expired(start.Add(time.Hour)))
 	bound.Answered(start.Add(time.Second))
-	assert.Assert(t, !bound.Over(start.Add(time.Second+hold)))
-	assert.Assert(t, bound.Over(start.Add(time.Second+keyhold.Longest(hold))))
+	assert.Assert(t, !bound.Expired(start.Add(time.Second+hold)))
+	assert.Assert(t, bound.Expired(start.Add(time.Second+keyhold.WithDrift(hold))))
 }
 
 func TestRejectedGrantDoesNotExtendBound(t *testing.T) {
 	var bound keyhold.Bound
 	start := time.Now()
-	bound.Given(start, hold)
+	bound.Extend(start, hold)
 	bound.Send(hold)
-	bound.NotTaken()
-	assert.Assert(t, bound.Over(start.Add(keyhold.Longest(hold))))
+	bound.Rejected()
+	assert.Assert(t, bound.Expired(start.Add(keyhold.WithDrift(hold))))
 	bound.Send(hold)
-	bound.TakenBack()
-	assert.Assert(t, bound.Over(start))
+	bound.Revoked()
+	assert.Assert(t, bound.Expired(start))
 }
 
 // Whatever is sent, answered late or refused: a back end with the slowest clock that ClockDrift
@@ -46,7 +46,7 @@
 		heldUntil := now
 		pass := func(label string) {
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, label)) * time.Millisecond)
-			if bound.Over(now) && now.Before(heldUntil) {
+			if bound.Expired(now) && now.Before(heldUntil) {
 				t.Fatalf("considered expired %v too early", heldUntil.Sub(now))
 			}
 		}
@@ -55,7 +55,7 @@
 			bound.Send(length)
 			pass("before it arrives")
 			if rapid.Bool().Draw(t, "refused") {
-				bound.NotTaken()
+				bound.Rejected()
 				pass("after the refusal")
 				continue
 			}
--- a/internal/keylease/instances.go
+++ b/internal/keylease/instances.go
@@ -39,9 +39,9 @@
 	return all
 }
 
-// Known returns the last reported state of the instance behind a gateway, nil
+// InstanceAt returns the last reported state of the instance behind a gateway, nil
 // where there is none.
-func (p *Planner) Known(node string) *fleetwire.Instance {
+func (p *Planner) InstanceAt(node string) *fleetwire.Instance {
 	known := p.instances[p.nodes[node]]
 	if known == nil {
 		return nil
--- a/internal/keylease/load.go
+++ b/internal/keylease/load.go
@@ -96,7 +96,7 @@
 // utilizations differ enough, or where the least loaded one has no keys. A back end
 // takes part in one decision at a time, but an overloaded one may give keys to several.
 func (p *Planner) rebalance(service string, now time.Duration) {
-	if now < p.nextRebalance || !p.Complete(now) {
+	if now < p.nextRebalance || !p.AllReported(now) {
 		return
 	}
 	used := p.usageOf(service, now)
--- a/internal/keylease/planner.go
+++ b/internal/keylease/planner.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// Complete reports whether every gateway has had the time to report.
-func (p *Planner) Complete(now time.Duration) bool { return now > p.began+p.config.SilentAfter }
+// AllReported reports whether every gateway has had the time to report.
+func (p *Planner) AllReported(now time.Duration) bool { return now > p.began+p.config.SilentAfter }
 
 // Report applies a gateway's report and returns its lease. The lease is empty if the
 // gateway has no back end.
@@ -222,9 +222,9 @@
 	return &batch
 }
 
-// Concerned returns the gateways for which something has changed since the last call.
+// TakeNodesToReport returns the gateways for which something has changed since the last call.
 // They should report now.
-func (p *Planner) Concerned() map[string]bool {
+func (p *Planner) TakeNodesToReport() map[string]bool {
 	nodes := p.nodesToReport
 	p.nodesToReport = map[string]bool{}
 	return nodes
--- a/internal/keylease/planner_test.go
+++ b/internal/keylease/planner_test.go
@@ -101,7 +101,7 @@
 	assert.Equal(t, len(lease.Held), 1)
 	assert.Equal(t, lease.Held[0].Keys, before[0].Range)
 	assert.Assert(t, lease.Held[0].Fence > before[0].Fence)
-	assert.Assert(t, l.planner.Concerned()["node-0"])
+	assert.Assert(t, l.planner.TakeNodesToReport()["node-0"])
 }
 
 func TestFirstOwnersShareKeysEvenly(t *testing.T) {
--- a/internal/overload/doc.go
+++ b/internal/overload/doc.go
@@ -5,7 +5,7 @@
 //
 //   - SlotQueue (slots.go, late.go, cold.go): the slots of a back end and the requests that
 //     wait for them.
-//   - FirstTries (retries.go): how long ago a caller that retries made its first attempt.
+//   - RetryDetector (retries.go): how long ago a caller that retries made its first attempt.
 //   - Refusals (refusals.go): when a refused request should be retried.
 //   - Link (link.go): the machine's network link and the large answers that are sent over it.
 //
--- a/internal/overload/late.go
+++ b/internal/overload/late.go
@@ -39,7 +39,7 @@
 }
 
 // timeLeft returns how much longer a request may wait as a late one.
-func (t *Ticket) timeLeft(now time.Time) time.Duration { return t.Latest - now.Sub(t.arrivedAt) }
+func (t *Ticket) timeLeft(now time.Time) time.Duration { return t.MaxWait - now.Sub(t.arrivedAt) }
 
 // untilCheck returns after how long to check a waiting request: when it can no longer be
 // answered in time, and from then on every lateCheckInterval.
@@ -47,7 +47,7 @@
 	if t.late {
 		return min(lateCheckInterval, t.timeLeft(now))
 	}
-	return t.Patience - now.Sub(t.arrivedAt)
+	return t.InTimeWait - now.Sub(t.arrivedAt)
 }
 
 // likelyToGetSlot reports whether a waiting late request is still likely to get a slot.
--- a/internal/overload/link.go
+++ b/internal/overload/link.go
@@ -68,8 +68,8 @@
 	Run time.Duration
 }
 
-// Kept is the share of a link that is reserved for a large answer.
-type Kept struct {
+// Reservation is the share of a link that is reserved for a large answer.
+type Reservation struct {
 	bytes int
 	// at is when the share was reserved, and sent the computed time from then until the
 	// answer has left this machine.
@@ -79,12 +79,12 @@
 
 // Admit reserves a share of the link for a large answer. It must be passed to Settle once the
 // answer has come or never will.
-func (l *Link) Admit(wanted Transfer, now time.Time) (kept Kept, ok bool) {
+func (l *Link) Admit(wanted Transfer, now time.Time) (kept Reservation, ok bool) {
 	if l.rate <= 0 {
-		return Kept{}, true
+		return Reservation{}, true
 	}
 	if l.size == 0 && l.inProgress >= maxWithoutSize {
-		return Kept{}, false
+		return Reservation{}, false
 	}
 	// The caller's machine forwards the answer while it arrives, so the answer is complete
 	// when this link has sent it.
@@ -92,11 +92,11 @@
 	sentBy := now.Add(time.Duration(l.margin * float64(sent)))
 	late := sentBy.After(wanted.Due)
 	if late && (sentBy.After(wanted.Deadline) || !l.admitsLate(wanted.Target, now)) {
-		return Kept{}, false
+		return Reservation{}, false
 	}
 	l.inProgressBytes += int(l.size)
 	l.inProgress++
-	return Kept{bytes: int(l.size), at: now, sent: sent}, true
+	return Reservation{bytes: int(l.size), at: now, sent: sent}, true
 }
 
 // admitsLate reports whether a late answer would leave capacity for those in time.
@@ -105,7 +105,7 @@
 }
 
 // Sent updates the margin after a large answer has left this machine completely.
-func (l *Link) Sent(kept Kept, now time.Time) {
+func (l *Link) Sent(kept Reservation, now time.Time) {
 	if kept.sent <= 0 {
 		return
 	}
@@ -113,9 +113,9 @@
 	l.margin += marginWeight * (min(max(took, minMargin), maxMargin) - l.margin)
 }
 
-// Settle releases what Admit reserved. Answered says that the answer has come, and bytes is its
+// Release releases what Admit reserved. Answered says that the answer has come, and bytes is its
 // size.
-func (l *Link) Settle(kept Kept, answered bool, bytes int) {
+func (l *Link) Release(kept Reservation, answered bool, bytes int) {
 	l.inProgressBytes -= kept.bytes
 	l.inProgress--
 	switch {
@@ -127,14 +127,14 @@
 	}
 }
 
-// Wait adds to the bytes that wait to be handed over. A negative number takes some away.
-func (l *Link) Wait(bytes int) {
+// AddWaiting adds to the bytes that wait to be handed over. A negative number takes some away.
+func (l *Link) AddWaiting(bytes int) {
 	l.waiting += bytes
 }
 
-// Note records bytes that are handed over to the link, and returns how long it is busy with
+// AddSent records bytes that are handed over to the link, and returns how long it is busy with
 // those before them.
-func (l *Link) Note(bytes int, now time.Time) time.Duration {
+func (l *Link) AddSent(bytes int, now time.Time) time.Duration {
 	if l.rate <= 0 {
 		return 0
 	}
--- a/internal/overload/retries.go
+++ b/internal/overload/retries.go
@@ -29,10 +29,10 @@
 	countWindow = 1024
 )
 
-// FirstTries estimates how long ago a caller made its first attempt, from the waiting times
+// RetryDetector estimates how long ago a caller made its first attempt, from the waiting times
 // that the callers of the same route state. The zero value has no counts and treats each
 // request as a first attempt.
-type FirstTries struct {
+type RetryDetector struct {
 	// counts has the counts of the most frequent stated times (Misra and Gries, 1982).
 	counts map[time.Duration]float64
 	total  float64
@@ -40,7 +40,7 @@
 
 // Age counts a request whose caller states how long it will wait, and returns how long ago
 // the caller made its first attempt.
-func (f *FirstTries) Age(stated time.Duration) time.Duration {
+func (f *RetryDetector) Age(stated time.Duration) time.Duration {
 	f.count(stated)
 	if f.isCommon(stated) {
 		return 0
@@ -55,13 +55,13 @@
 }
 
 // isCommon reports whether a stated time is that of first attempts.
-func (f *FirstTries) isCommon(stated time.Duration) bool {
+func (f *RetryDetector) isCommon(stated time.Duration) bool {
 	count := f.counts[stated]
 	return count >= minCommonCount && count >= minCommonShare*f.total
 }
 
 // count adds a stated time to the counts.
-func (f *FirstTries) count(stated time.Duration) {
+func (f *RetryDetector) count(stated time.Duration) {
 	if f.counts == nil {
 		f.counts = make(map[time.Duration]float64, trackedDeadlines)
 	}
@@ -82,7 +82,7 @@
 }
 
 // halve halves all counts.
-func (f *FirstTries) halve() {
+func (f *RetryDetector) halve() {
 	const half = 0.5
 	f.total *= half
 	for known := range f.counts {
--- a/internal/overload/retries_test.go
+++ b/internal/overload/retries_test.go
@@ -31,7 +31,7 @@
 // measure returns the share of first attempts that were mistaken for retries, and the share of
 // retries whose age was found, both without the first tenth of the callers.
 func (s *attemptStream) measure(callers int) (mistaken, found float64) {
-	var attempts FirstTries
+	var attempts RetryDetector
 	var firstCount, mistakenCount, retryCount, foundCount int
 	for caller := range callers {
 		stated, ages := s.next()
@@ -76,7 +76,7 @@
 // is treated as one.
 func TestScatteredTimesAreFirstAttempts(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 3))
-	var attempts FirstTries
+	var attempts RetryDetector
 	for range 5000 {
 		stated := time.Duration(1000+random.IntN(5000)) * time.Millisecond
 		assert.Equal(t, attempts.Age(stated), time.Duration(0))
@@ -85,7 +85,7 @@
 
 // Programs may change their waiting time at any time.
 func TestANewTimeBecomesCommon(t *testing.T) {
-	var attempts FirstTries
+	var attempts RetryDetector
 	for range 3000 {
 		attempts.Age(6 * time.Second)
 	}
@@ -102,7 +102,7 @@
 		stated, _ := stream.next()
 		all = append(all, stated...)
 	}
-	var attempts FirstTries
+	var attempts RetryDetector
 	b.ReportAllocs()
 	for i := range b.N {
 		attempts.Age(all[i%len(all)])
--- a/internal/overload/slots.go
+++ b/internal/overload/slots.go
@@ -97,9 +97,9 @@
 	ServiceTime, ShortService time.Duration
 	// ShortUpTo is the longest target of a short request.
 	ShortUpTo time.Duration
-	// Bears is how many requests a second the back end can serve while it is cold; zero
+	// MaxRate is how many requests a second the back end can serve while it is cold; zero
 	// is unlimited.
-	Bears float64
+	MaxRate float64
 }
 
 // Load returns the capacity and the load of the back end.
@@ -111,7 +111,7 @@
 		ServiceTime:  q.long.serviceTime,
 		ShortService: q.short.serviceTime,
 		ShortUpTo:    q.shortUpTo(),
-		Bears:        q.warmth.Bears(now),
+		MaxRate:      q.warmth.EnforcedRate(now),
 	}
 }
 
@@ -191,7 +191,7 @@
 		q.start(use, arrived, now)
 		return arrived, true
 	}
-	if q.estimate(&wanted, arrived.short, now) <= wanted.Patience {
+	if q.estimate(&wanted, arrived.short, now) <= wanted.InTimeWait {
 		heap.Push(&use.queue, arrived)
 		return arrived, true
 	}
@@ -269,8 +269,8 @@
 	q.admit(now)
 }
 
-// ComeBackIn counts a refusal and returns after how long there may be a slot for the request.
-func (q *SlotQueue) ComeBackIn(target time.Duration, now time.Time) time.Duration {
+// RetryAfter counts a refusal and returns after how long there may be a slot for the request.
+func (q *SlotQueue) RetryAfter(target time.Duration, now time.Time) time.Duration {
 	use := q.use(target <= q.shortUpTo())
 	rate := float64(q.capacity) / max(use.serviceTime, time.Millisecond).Seconds()
 	return use.refused.Add(rate, now)
--- a/internal/overload/tickets.go
+++ b/internal/overload/tickets.go
@@ -14,10 +14,10 @@
 	// requests with a short target: others that hold slots, here or elsewhere, may be
 	// waiting for their answers.
 	Target time.Duration
-	// Patience is how long the request may wait and still be answered in time, and Latest
+	// InTimeWait is how long the request may wait and still be answered in time, and Latest
 	// how long it may wait at all, if there are slots for late ones.
-	Patience time.Duration
-	Latest   time.Duration
+	InTimeWait time.Duration
+	MaxWait    time.Duration
 	// OnlyHere says that no other back end can serve the request, as this one owns its key.
 	OnlyHere bool
 }
--- a/internal/plannedstop/admission.go
+++ b/internal/plannedstop/admission.go
@@ -31,8 +31,8 @@
 // Stopping reports whether a planned stop has begun.
 func (a *Admission) Stopping() bool { return a.end.Load() != nil }
 
-// Left returns the remaining time of the planned stop, or zero if none has begun.
-func (a *Admission) Left(now time.Time) time.Duration {
+// Remaining returns the remaining time of the planned stop, or zero if none has begun.
+func (a *Admission) Remaining(now time.Time) time.Duration {
 	end := a.end.Load()
 	if end == nil {
 		return 0
--- a/internal/quarantine/desk.go
+++ b/internal/quarantine/desk.go
@@ -36,10 +36,10 @@
 	return nil
 }
 
-// Desk tracks since when trials are granted and requests are held back, for one term of
+// Timers tracks since when trials are granted and requests are held back, for one term of
 // leadership. A new leader starts from zero. The zero value is ready to use. It is not safe for
 // concurrent use.
-type Desk struct {
+type Timers struct {
 	trials map[trialKey]time.Duration
 	held   map[Digest]time.Duration
 }
@@ -50,9 +50,9 @@
 	number  uint64
 }
 
-// Review returns the changes that are due at now, by the leader's clock: trials that count as
+// Due returns the changes that are due at now, by the leader's clock: trials that count as
 // lost, and held requests that get one more trial.
-func (d *Desk) Review(set *Set, terms Terms, now time.Duration) Change {
+func (d *Timers) Due(set *Set, terms Terms, now time.Duration) Change {
 	var due Change
 	trials, held := map[trialKey]time.Duration{}, map[Digest]time.Duration{}
 	for i := range set.Suspects {
--- a/internal/quarantine/set.go
+++ b/internal/quarantine/set.go
@@ -6,26 +6,26 @@
 )
 
 const (
-	// ManyEnds is the number of incarnations of back ends that have ended while processing a
+	// LikelyCauseEnds is the number of incarnations of back ends that have ended while processing a
 	// request from which it counts as the likely cause.
-	ManyEnds = 3
-	// MaxLateTrials is how often a request may be sent in all once ManyEnds incarnations have
+	LikelyCauseEnds = 3
+	// MaxLateTrials is how often a request may be sent in all once LikelyCauseEnds incarnations have
 	// ended, unless it is answered.
 	MaxLateTrials = 3
-	// maxFailedTrials is the number of failed trials from which a request with ManyEnds is
+	// maxFailedTrials is the number of failed trials from which a request with LikelyCauseEnds is
 	// held back. Several ends at the same moment, as when a zone loses power, are not failed
 	// trials.
 	maxFailedTrials = 2
-	// MaxSuspects bounds the set. The oldest suspect with fewer than ManyEnds is evicted
+	// MaxSuspects bounds the set. The oldest suspect with fewer than LikelyCauseEnds is evicted
 	// first.
 	MaxSuspects = 512
 	// maxIncarnations bounds the incarnations whose end is remembered so that it counts once.
 	maxIncarnations = 512
 	// maxNameLength bounds names of services, incarnations and gateways, in bytes.
 	maxNameLength = 256
-	// MostEnded bounds the requests that are reported as in process when an incarnation
+	// MaxEndedRequests bounds the requests that are reported as in process when an incarnation
 	// ended.
-	MostEnded = 256
+	MaxEndedRequests = 256
 )
 
 // Trial lets one gateway send a request once.
@@ -44,20 +44,20 @@
 	// Ends is how many incarnations have ended while processing it, and FailedTrials how many
 	// of these were trials.
 	Ends, FailedTrials int
-	// LateTrials is how often it may have been sent since ManyEnds incarnations had ended.
+	// LateTrials is how often it may have been sent since LikelyCauseEnds incarnations had ended.
 	LateTrials int
 	// Further is how many failed trials it is allowed beyond maxFailedTrials.
 	Further int
 	// Trial is the current trial, nil where none is granted.
 	Trial *Trial
-	// Untold are the numbers of trials that were granted before ManyEnds incarnations had
+	// Untold are the numbers of trials that were granted before LikelyCauseEnds incarnations had
 	// ended and that were closed without a report of their gateways: they may still be sent.
 	Untold []uint64
 }
 
 // Held reports whether the request is held back, as no trial is left.
 func (s *Suspect) Held() bool {
-	return s.Exhausted() || s.Ends >= ManyEnds && s.FailedTrials >= maxFailedTrials+s.Further
+	return s.Exhausted() || s.Ends >= LikelyCauseEnds && s.FailedTrials >= maxFailedTrials+s.Further
 }
 
 // Exhausted reports whether all late trials are used up, so that a held request gets no
@@ -77,8 +77,8 @@
 	switch {
 	case e.Life == "" || len(e.Life) > maxNameLength || len(e.Service) > maxNameLength:
 		return fmt.Errorf("end of a back end: incarnation name of %d bytes, service name of %d bytes", len(e.Life), len(e.Service))
-	case len(e.Requests) > MostEnded:
-		return fmt.Errorf("end of back end %.64q: %d requests, %d at most", e.Life, len(e.Requests), MostEnded)
+	case len(e.Requests) > MaxEndedRequests:
+		return fmt.Errorf("end of back end %.64q: %d requests, %d at most", e.Life, len(e.Requests), MaxEndedRequests)
 	}
 	return nil
 }
@@ -151,7 +151,7 @@
 }
 
 // HasCounted reports whether the end of an incarnation was counted.
-func (s *Set) Knows(incarnation string) bool { return slices.Contains(s.Lives, incarnation) }
+func (s *Set) HasCounted(incarnation string) bool { return slices.Contains(s.Lives, incarnation) }
 
 // Clone returns a deep copy.
 func (s *Set) Clone() Set {
@@ -222,7 +222,7 @@
 
 // recordEnd counts the end of an incarnation for all requests that it was processing.
 func (s *Set) recordEnd(ended *Ended) bool {
-	if ended.Check() != nil || s.Knows(ended.Life) {
+	if ended.Check() != nil || s.HasCounted(ended.Life) {
 		return false
 	}
 	s.Lives = append(s.Lives[max(0, len(s.Lives)+1-maxIncarnations):], ended.Life)
@@ -254,7 +254,7 @@
 
 // loseTrial closes the current trial without a report of its gateway.
 func (s *Suspect) loseTrial() {
-	if s.Ends < ManyEnds {
+	if s.Ends < LikelyCauseEnds {
 		s.Untold = append(s.Untold, s.Trial.Number)
 	}
 	s.Trial = nil
@@ -265,7 +265,7 @@
 	if len(s.Suspects) < MaxSuspects {
 		return
 	}
-	oldest := max(0, slices.IndexFunc(s.Suspects, func(suspect Suspect) bool { return suspect.Ends < ManyEnds }))
+	oldest := max(0, slices.IndexFunc(s.Suspects, func(suspect Suspect) bool { return suspect.Ends < LikelyCauseEnds }))
 	s.Suspects = slices.Delete(s.Suspects, oldest, oldest+1)
 }
 
@@ -290,7 +290,7 @@
 	switch {
 	case over.Failed:
 		suspect.FailedTrials++
-	case !over.Sent && suspect.Ends >= ManyEnds:
+	case !over.Sent && suspect.Ends >= LikelyCauseEnds:
 		suspect.LateTrials--
 	}
 	return true
@@ -303,7 +303,7 @@
 		return false
 	}
 	s.Untold = slices.Delete(s.Untold, place, place+1)
-	if over.Sent && s.Ends >= ManyEnds {
+	if over.Sent && s.Ends >= LikelyCauseEnds {
 		s.LateTrials++
 	}
 	return true
@@ -324,7 +324,7 @@
 		return false
 	}
 	suspect.Trial = &Trial{Node: asked.Node, Boot: asked.Boot, Number: index}
-	if suspect.Ends >= ManyEnds {
+	if suspect.Ends >= LikelyCauseEnds {
 		suspect.LateTrials++
 	}
 	return true
--- a/internal/quarantine/set_test.go
+++ b/internal/quarantine/set_test.go
@@ -64,7 +64,7 @@
 		assert.Assert(t, !h.ask(cause, "b"), "one at a time")
 		h.ends(cause)
 	}
-	assert.Equal(t, h.Find(cause).Ends, quarantine.ManyEnds)
+	assert.Equal(t, h.Find(cause).Ends, quarantine.LikelyCauseEnds)
 	assert.Assert(t, h.Find(cause).Held())
 	assert.Assert(t, !h.ask(cause, "a"))
 	assert.Assert(t, !h.Find(harmless).Held())
@@ -108,7 +108,7 @@
 // Late trials without an answer are limited; an operator may still release the request.
 func TestLateTrialsAreLimited(t *testing.T) {
 	var h history
-	for range quarantine.ManyEnds {
+	for range quarantine.LikelyCauseEnds {
 		h.ends(cause)
 	}
 	for range quarantine.MaxLateTrials {
@@ -121,11 +121,11 @@
 	assert.Assert(t, h.Find(cause) == nil)
 }
 
-// Thousands of distinct requests evict the oldest ones first. Requests with ManyEnds are evicted
+// Thousands of distinct requests evict the oldest ones first. Requests with LikelyCauseEnds are evicted
 // last.
 func TestSetIsBounded(t *testing.T) {
 	var h history
-	for range quarantine.ManyEnds {
+	for range quarantine.LikelyCauseEnds {
 		h.ends(cause)
 	}
 	for number := range 3 * quarantine.MaxSuspects {
@@ -140,7 +140,7 @@
 // not used.
 type sender struct{ granted []uint64 }
 
-// Whatever is lost, delayed or repeated, and whichever gateway asks: once ManyEnds incarnations
+// Whatever is lost, delayed or repeated, and whichever gateway asks: once LikelyCauseEnds incarnations
 // have ended while processing a request, it is sent at most MaxLateTrials times until it is
 // answered.
 func TestNoOrderOfEventsGivesMoreLateTrials(t *testing.T) {
@@ -161,7 +161,7 @@
 			case 2: // a granted trial is used, once, whatever the state of the set is by now
 				if granted := senders[node].granted; len(granted) > 0 {
 					senders[node].granted = granted[1:]
-					if suspect := h.Find(cause); suspect.Ends >= quarantine.ManyEnds {
+					if suspect := h.Find(cause); suspect.Ends >= quarantine.LikelyCauseEnds {
 						late++
 					}
 					failed := rapid.Bool().Draw(t, "failed")
@@ -184,7 +184,7 @@
 				}
 			}
 			if late > quarantine.MaxLateTrials {
-				t.Fatalf("sent %d times after %d ends", late, quarantine.ManyEnds)
+				t.Fatalf("sent %d times after %d ends", late, quarantine.LikelyCauseEnds)
 			}
 			assert.NilError(t, h.Check())
 		}
@@ -198,12 +198,12 @@
 	assert.NilError(t, terms.Check())
 	assert.ErrorContains(t, quarantine.Terms{TrialLimit: -1}.Check(), "trial limit")
 	var h history
-	var desk quarantine.Desk
+	var desk quarantine.Timers
 	h.ends(cause)
 	h.ask(cause, "a")
-	due := desk.Review(&h.Set, terms, time.Second)
+	due := desk.Due(&h.Set, terms, time.Second)
 	assert.Assert(t, due.Empty())
-	due = desk.Review(&h.Set, terms, time.Second+terms.TrialLimit)
+	due = desk.Due(&h.Set, terms, time.Second+terms.TrialLimit)
 	assert.Equal(t, len(due.Over), 1)
 	assert.Assert(t, h.apply(due))
 	for range 2 {
@@ -212,7 +212,7 @@
 	}
 	now, further := time.Hour, 0
 	for h.Find(cause).Held() && further <= quarantine.MaxLateTrials {
-		due = desk.Review(&h.Set, terms, now)
+		due = desk.Due(&h.Set, terms, now)
 		now += terms.FurtherAfter
 		if !h.apply(due) {
 			if h.Find(cause).Exhausted() {
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -194,7 +194,7 @@
 		return err
 	}
 	c.received.add(uint64(headerSize) + uint64(header.length))
-	if err := gobcheck.Whole(c.inBuf.Bytes()); err != nil {
+	if err := gobcheck.CheckLengths(c.inBuf.Bytes()); err != nil {
 		return fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
 	if err := c.decoder.Decode(message); err != nil {
--- a/internal/warmup/share.go
+++ b/internal/warmup/share.go
@@ -16,15 +16,15 @@
 // random number from 0 to 1 and becomes the share's first tokens, so that senders don't all
 // begin at the same time.
 func (s *Share) Take(rate float64, senders int, draw float64, now time.Time) bool {
-	if !s.Has(rate, senders, draw, now) {
+	if !s.Available(rate, senders, draw, now) {
 		return false
 	}
 	s.tokens--
 	return true
 }
 
-// Has reports whether the sender may send a request now, without counting it.
-func (s *Share) Has(rate float64, senders int, draw float64, now time.Time) bool {
+// Available reports whether the sender may send a request now, without counting it.
+func (s *Share) Available(rate float64, senders int, draw float64, now time.Time) bool {
 	if s.at.IsZero() {
 		s.tokens = draw
 	} else if elapsed := now.Sub(s.at); elapsed > 0 {
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -57,27 +57,27 @@
 // unlimited.
 func (l *Limiter) Rate() float64 { return l.rate }
 
-// Suspect records that it isn't known whether the back end is cold. It is considered cold
+// MarkUnknown records that it isn't known whether the back end is cold. It is considered cold
 // until it reports its state, but no longer than a back end stays cold after its start.
-func (l *Limiter) Suspect(now time.Time) {
+func (l *Limiter) MarkUnknown(now time.Time) {
 	l.stateUnknown = true
 	l.assumedColdUntil = now.Add(l.coldTime)
 }
 
-// Suspected reports whether the back end should be asked for its state.
-func (l *Limiter) Suspected() bool { return l.stateUnknown && l.rate > 0 }
+// StateUnknown reports whether the back end should be asked for its state.
+func (l *Limiter) StateUnknown() bool { return l.stateUnknown && l.rate > 0 }
 
-// Tell records how much longer the back end stays cold, as it answered a question that was
+// RecordAnswer records how much longer the back end stays cold, as it answered a question that was
 // asked after the last call of Suspect.
-func (l *Limiter) Tell(left time.Duration, now time.Time) {
+func (l *Limiter) RecordAnswer(left time.Duration, now time.Time) {
 	l.stateUnknown = false
-	l.Hear(left, now)
+	l.RecordReport(left, now)
 }
 
-// Hear records how much longer the back end stays cold, as it reported in any other message.
+// RecordReport records how much longer the back end stays cold, as it reported in any other message.
 // Such a message may be older than an event that made the back end cold: it never shortens
 // the cold time, and one that reports a warm back end doesn't clear an unknown state.
-func (l *Limiter) Hear(left time.Duration, now time.Time) {
+func (l *Limiter) RecordReport(left time.Duration, now time.Time) {
 	if left > 0 {
 		l.stateUnknown = false
 	}
@@ -86,17 +86,17 @@
 	}
 }
 
-// Forget resets the state after a restart of the back end. The settings stay.
-func (l *Limiter) Forget() { *l = Limiter{rate: l.rate, coldTime: l.coldTime} }
+// Reset resets the state after a restart of the back end. The settings stay.
+func (l *Limiter) Reset() { *l = Limiter{rate: l.rate, coldTime: l.coldTime} }
 
 // Cold reports whether the back end is considered cold and the limit is enforced.
 func (l *Limiter) Cold(now time.Time) bool {
 	return l.rate > 0 && (now.Before(l.coldUntil) || l.stateUnknown && now.Before(l.assumedColdUntil))
 }
 
-// Bears returns the limit that is enforced now, in requests per second; zero is
+// EnforcedRate returns the limit that is enforced now, in requests per second; zero is
 // unlimited.
-func (l *Limiter) Bears(now time.Time) float64 {
+func (l *Limiter) EnforcedRate(now time.Time) float64 {
 	if !l.Cold(now) {
 		return unlimitedRate
 	}
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -47,7 +47,7 @@
 func TestColdBackEndGetsItsConfiguredRate(t *testing.T) {
 	l := &warmup.Limiter{}
 	l.Configure(rate, coldTime)
-	l.Tell(10*time.Second, start)
+	l.RecordAnswer(10*time.Second, start)
 	sent := sendAll(l, start, 8*time.Second)
 	assert.Assert(t, float64(maxPerSecond(sent)) <= maxInAnySecond, "%d in one second", maxPerSecond(sent))
 	assert.Assert(t, float64(len(sent)) >= 0.95*8*rate, "%d in 8 s", len(sent))
@@ -61,7 +61,7 @@
 		l.Sent(start.Add(time.Duration(i) * 5 * time.Millisecond))
 	}
 	now := start.Add(time.Second)
-	l.Tell(5*time.Second, now)
+	l.RecordAnswer(5*time.Second, now)
 	assert.Assert(t, l.Wait(now) > 900*time.Millisecond)
 	assert.Assert(t, l.Wait(now) < 1200*time.Millisecond)
 }
@@ -70,30 +70,30 @@
 	l := &warmup.Limiter{}
 	l.Configure(rate, coldTime)
 	assert.Assert(t, !l.Cold(start))
-	l.Suspect(start)
-	assert.Assert(t, l.Cold(start) && l.Suspected())
-	assert.Equal(t, l.Bears(start), rate)
-	l.Tell(0, start)
-	assert.Assert(t, !l.Cold(start) && !l.Suspected())
-	assert.Equal(t, l.Bears(start), 0.0)
+	l.MarkUnknown(start)
+	assert.Assert(t, l.Cold(start) && l.StateUnknown())
+	assert.Equal(t, l.EnforcedRate(start), rate)
+	l.RecordAnswer(0, start)
+	assert.Assert(t, !l.Cold(start) && !l.StateUnknown())
+	assert.Equal(t, l.EnforcedRate(start), 0.0)
 }
 
 // A heartbeat that reports a warm back end may have been sent before it became cold.
 func TestHeartbeatReportingWarmDoesNotClearUnknownState(t *testing.T) {
 	l := &warmup.Limiter{}
 	l.Configure(rate, coldTime)
-	l.Suspect(start)
-	l.Hear(0, start)
-	assert.Assert(t, l.Cold(start) && l.Suspected())
-	l.Hear(time.Second, start)
-	assert.Assert(t, l.Cold(start) && !l.Suspected(), "the back end has reported its cold time")
+	l.MarkUnknown(start)
+	l.RecordReport(0, start)
+	assert.Assert(t, l.Cold(start) && l.StateUnknown())
+	l.RecordReport(time.Second, start)
+	assert.Assert(t, l.Cold(start) && !l.StateUnknown(), "the back end has reported its cold time")
 }
 
 // A back end that never answers isn't considered cold forever.
 func TestUnknownStateExpires(t *testing.T) {
 	l := &warmup.Limiter{}
 	l.Configure(rate, coldTime)
-	l.Suspect(start)
+	l.MarkUnknown(start)
 	assert.Assert(t, l.Cold(start.Add(coldTime-time.Millisecond)))
 	assert.Assert(t, !l.Cold(start.Add(coldTime)))
 }
@@ -102,12 +102,12 @@
 func TestLateMessageDoesNotShortenTheColdTime(t *testing.T) {
 	l := &warmup.Limiter{}
 	l.Configure(rate, coldTime)
-	l.Tell(3*time.Second, start)
-	l.Tell(0, start.Add(100*time.Millisecond))
+	l.RecordAnswer(3*time.Second, start)
+	l.RecordAnswer(0, start.Add(100*time.Millisecond))
 	assert.Assert(t, l.Cold(start.Add(2*time.Second)))
 	assert.Assert(t, !l.Cold(start.Add(3*time.Second)))
-	l.Tell(3*time.Second, start.Add(4*time.Second))
-	l.Forget()
+	l.RecordAnswer(3*time.Second, start.Add(4*time.Second))
+	l.Reset()
 	assert.Assert(t, !l.Cold(start.Add(4*time.Second)), "after a restart")
 	assert.Equal(t, l.Rate(), rate)
 }
@@ -116,11 +116,11 @@
 func TestWithoutARateNothingIsLimited(t *testing.T) {
 	l := &warmup.Limiter{}
 	l.Configure(-1, coldTime)
-	l.Suspect(start)
-	l.Tell(time.Hour, start)
+	l.MarkUnknown(start)
+	l.RecordAnswer(time.Hour, start)
 	l.Sent(start)
 	assert.Equal(t, l.Wait(start), time.Duration(0))
-	assert.Assert(t, !l.Suspected())
+	assert.Assert(t, !l.StateUnknown())
 }
 
 // Seventy senders that don't coordinate stay together close to the rate of one back end.
--- a/lab/simulate/agent_release.go
+++ b/lab/simulate/agent_release.go
@@ -99,7 +99,7 @@
 // to the next owner.
 func (a *agent) beginTransfer(running *release) {
 	running.stage = stageTransferring
-	running.grantEndsBy = a.grants.AllEndBy()
+	running.grantEndsBy = a.grants.AllExpiredBy()
 	a.syncGrants()
 	ended := func(moved bool) {
 		if running.transferred {
--- a/lab/simulate/in_force.go
+++ b/lab/simulate/in_force.go
@@ -19,7 +19,7 @@
 	from, report := c.status().ID, c.tracker.Report(true, c.clock())
 	c.cluster.network.send(c.process, leader.process, func() {
 		if leader.leads() {
-			leader.tracker.TakeReport(from, &report, leader.clock())
+			leader.tracker.ApplyReport(from, &report, leader.clock())
 		}
 	}, nil)
 }
