--- a/internal/routing/errors.go
+++ b/internal/routing/errors.go
@@ -6,7 +6,7 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// RevisionGapError says that a delta does not start at the table's revision.
+// RevisionGapError reports that a delta does not start at the table's revision.
 // The process then asks for a snapshot.
 type RevisionGapError struct {
 	Have topology.Revision
@@ -18,7 +18,7 @@
 	return fmt.Sprintf("routing delta starts at revision %d, table is at %d", e.From, e.Have)
 }
 
-// GroupMismatchError says that routing data of another group arrived.
+// GroupMismatchError reports that routing data of another group arrived.
 type GroupMismatchError struct {
 	Have topology.GroupID
 	Got  topology.GroupID
@@ -29,7 +29,7 @@
 	return fmt.Sprintf("routing data of group %d, table is of group %d", e.Got, e.Have)
 }
 
-// EpochDecreasedError says that routing data would lower a shard's epoch,
+// EpochDecreasedError reports that routing data would lower a shard's epoch,
 // which no accepted change does.
 type EpochDecreasedError struct {
 	Shard topology.ShardID
@@ -42,7 +42,8 @@
 	return fmt.Sprintf("shard %s: epoch %d after epoch %d", e.Shard, e.Got, e.Have)
 }
 
-// InvalidShardError says that a shard does not fit the division of its service.
+// InvalidShardError reports that a shard does not fit the other shards of its
+// service, or that its service is not known.
 type InvalidShardError struct {
 	Shard   topology.ShardID
 	Problem string
@@ -53,7 +54,8 @@
 	return fmt.Sprintf("shard %s: %s", e.Shard, e.Problem)
 }
 
-// InvalidServiceError says that a service cannot stand in a table.
+// InvalidServiceError reports that a service has no name, or that of another
+// service.
 type InvalidServiceError struct {
 	Service topology.ServiceID
 	Name    string
--- a/internal/routing/service.go
+++ b/internal/routing/service.go
@@ -6,11 +6,11 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// Service is a service, its shards and its back ends at one revision. It is
+// Service holds a service, its shards and its back ends at one revision. It is
 // immutable.
 type Service struct {
 	topology.Service
-	shards   *division
+	shards   *shardMap
 	backends []*topology.Backend
 }
 
@@ -18,15 +18,15 @@
 // change them.
 func (s *Service) Backends() []*topology.Backend { return s.backends }
 
-// ShardCount is how many shards divide the service.
+// ShardCount returns the number of shards of the service.
 func (s *Service) ShardCount() int { return len(s.shards.starts) }
 
 // Shards yields the service's shards ordered by Start. The caller must not
 // change them.
 func (s *Service) Shards() iter.Seq[*topology.Shard] {
 	return func(yield func(*topology.Shard) bool) {
-		for place := range s.shards.starts {
-			if !yield(s.shards.shardAt(place)) {
+		for rank := range s.shards.starts {
+			if !yield(s.shards.shardAt(rank)) {
 				return
 			}
 		}
@@ -34,13 +34,14 @@
 }
 
 // ShardsChangedSince yields the shards that may differ from those of an
-// earlier state of the service, and skips what both share in memory. Nil as
-// the earlier state yields all. Shards that were merged away are not yielded.
+// earlier state of the service; shards that both share in memory, or that are
+// equal, are skipped. If earlier is nil, it yields all shards. Shards that were
+// removed by a merge are not yielded.
 func (s *Service) ShardsChangedSince(earlier *Service) iter.Seq[*topology.Shard] {
 	return func(yield func(*topology.Shard) bool) {
-		for place := range s.shards.starts {
-			shard := s.shards.shardAt(place)
-			if earlier.has(shard) {
+		for rank := range s.shards.starts {
+			shard := s.shards.shardAt(rank)
+			if earlier.containsEqual(shard) {
 				continue
 			}
 			if !yield(shard) {
@@ -50,15 +51,16 @@
 	}
 }
 
-// has says whether the service holds an equal shard.
-func (s *Service) has(shard *topology.Shard) bool {
+// containsEqual reports whether the service holds an equal shard under the same
+// number. The receiver may be nil.
+func (s *Service) containsEqual(shard *topology.Shard) bool {
 	if s == nil {
 		return false
 	}
-	place, present := s.shards.places[shard.ID.Shard]
+	rank, present := s.shards.ranks[shard.ID.Shard]
 	if !present {
 		return false
 	}
-	own := s.shards.shardAt(int(place))
-	return own == shard || *own == *shard
+	held := s.shards.shardAt(int(rank))
+	return held == shard || *held == *shard
 }
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -13,19 +13,20 @@
 
 // Table is the routing data at one revision. It is immutable.
 type Table struct {
-	group    topology.GroupID
-	revision topology.Revision
-	services map[topology.ServiceID]*Service
-	names    map[string]*Service
-	backends map[topology.BackendID]*topology.Backend
-	// backendSet is the identity of backends: tables that share the map share it.
-	backendSet *backendSet
+	group          topology.GroupID
+	revision       topology.Revision
+	services       map[topology.ServiceID]*Service
+	servicesByName map[string]*Service
+	backends       map[topology.BackendID]*topology.Backend
+	// backendsID is the same pointer in all tables that share the backends map.
+	backendsID *backendsIdentity
 }
 
-// backendSet is not of size zero, so that each has its own address.
-type backendSet struct{ _ byte }
+// backendsIdentity is compared by address. It is not of size zero, because
+// pointers to distinct zero-size variables may be equal.
+type backendsIdentity struct{ _ byte }
 
-// Route is the answer of a look-up. Shard and Owner point into the table and
+// Route is the result of a lookup. Shard and Owner point into the table and
 // must not be changed.
 type Route struct {
 	Shard *topology.Shard
@@ -34,7 +35,7 @@
 	Owner *topology.Backend
 }
 
-// FromSnapshot makes a table. All findings are joined in the error.
+// FromSnapshot builds a table from a snapshot. All errors found are joined.
 func FromSnapshot(snapshot wire.RoutingSnapshot) (*Table, error) {
 	t := &Table{
 		group:    snapshot.Group,
@@ -42,13 +43,13 @@
 		services: make(map[topology.ServiceID]*Service, len(snapshot.Services)),
 		backends: make(map[topology.BackendID]*topology.Backend, len(snapshot.Backends)),
 
-		backendSet: new(backendSet),
+		backendsID: new(backendsIdentity),
 	}
-	var findings []error
+	var errs []error
 	for _, routes := range snapshot.Services {
-		shards, err := newDivision(routes.Service.ID, routes.Shards)
+		shards, err := newShardMap(routes.Service.ID, routes.Shards)
 		if err != nil {
-			findings = append(findings, err)
+			errs = append(errs, err)
 			continue
 		}
 		t.services[routes.Service.ID] = &Service{Service: routes.Service, shards: shards}
@@ -56,23 +57,23 @@
 	for _, backend := range snapshot.Backends {
 		t.backends[backend.ID] = &backend
 	}
-	t.linkBackends()
-	findings = append(findings, t.linkNames())
-	if err := errors.Join(findings...); err != nil {
+	t.indexBackendsByService()
+	errs = append(errs, t.indexServicesByName())
+	if err := errors.Join(errs...); err != nil {
 		return nil, err
 	}
 	return t, nil
 }
 
-// Revision is the revision of the control state that the table shows.
+// Revision returns the revision of the control state that the table reflects.
 func (t *Table) Revision() topology.Revision { return t.revision }
 
-// Group is the controllers' group that the table comes from.
+// Group returns the controller group that the table comes from.
 func (t *Table) Group() topology.GroupID { return t.group }
 
-// Lookup finds the shard of a position of a service and its owner. It
-// allocates nothing. False means that the service is not known or has no
-// shards.
+// Lookup returns the shard that covers a position in a service's hash space,
+// and its owner. It doesn't allocate. It returns false if the service is not
+// known or has no shards.
 func (t *Table) Lookup(service topology.ServiceID, position topology.KeyHash) (Route, bool) {
 	found, known := t.services[service]
 	if !known {
@@ -83,28 +84,28 @@
 
 // LookupIn is Lookup for a service of this table.
 func (t *Table) LookupIn(service *Service, position topology.KeyHash) (Route, bool) {
-	place, found := service.shards.find(position)
+	rank, found := service.shards.find(position)
 	if !found {
 		return Route{}, false
 	}
-	shard := service.shards.shardAt(place)
+	shard := service.shards.shardAt(rank)
 	return Route{Shard: shard, Owner: t.backends[shard.Owner]}, true
 }
 
-// Shard finds a shard by its identity.
+// Shard finds a shard by its ID.
 func (t *Table) Shard(id topology.ShardID) (*topology.Shard, bool) {
 	service, known := t.services[id.Service]
 	if !known {
 		return nil, false
 	}
-	place, present := service.shards.places[id.Shard]
+	rank, present := service.shards.ranks[id.Shard]
 	if !present {
 		return nil, false
 	}
-	return service.shards.shardAt(int(place)), true
+	return service.shards.shardAt(int(rank)), true
 }
 
-// Service finds a service by its identity.
+// Service finds a service by its ID.
 func (t *Table) Service(id topology.ServiceID) (*Service, bool) {
 	service, known := t.services[id]
 	return service, known
@@ -112,11 +113,11 @@
 
 // ServiceByName finds a service by its name.
 func (t *Table) ServiceByName(name string) (*Service, bool) {
-	service, known := t.names[name]
+	service, known := t.servicesByName[name]
 	return service, known
 }
 
-// Services yields the services in no set order.
+// Services yields the services in no particular order.
 func (t *Table) Services() iter.Seq[*Service] { return maps.Values(t.services) }
 
 // Backend finds a back end. The caller must not change it.
@@ -125,16 +126,17 @@
 	return backend, known
 }
 
-// SharesBackends says that both tables have the same back ends, none changed,
-// because one was made from the other by deltas that left them alone. False
-// proves nothing.
-func (t *Table) SharesBackends(other *Table) bool { return t.backendSet == other.backendSet }
+// SharesBackends reports whether both tables share one map of back ends, which
+// is the case if only deltas without changes of back ends or services lie
+// between them. False doesn't mean that the back ends differ.
+func (t *Table) SharesBackends(other *Table) bool { return t.backendsID == other.backendsID }
 
-// Backends yields the back ends in no set order.
+// Backends yields the back ends in no particular order.
 func (t *Table) Backends() iter.Seq[*topology.Backend] { return maps.Values(t.backends) }
 
-// linkBackends gives each service the list of its back ends.
-func (t *Table) linkBackends() {
+// indexBackendsByService builds each service's list of back ends, ordered by
+// ID.
+func (t *Table) indexBackendsByService() {
 	for _, service := range t.services {
 		service.backends = nil
 	}
@@ -148,18 +150,19 @@
 	}
 }
 
-// linkNames builds the look-up by name.
-func (t *Table) linkNames() error {
-	var findings []error
-	t.names = make(map[string]*Service, len(t.services))
+// indexServicesByName builds the index of services by name, and returns an
+// error for each name that is empty or taken.
+func (t *Table) indexServicesByName() error {
+	var errs []error
+	t.servicesByName = make(map[string]*Service, len(t.services))
 	for _, service := range t.services {
 		if service.Name == "" {
-			findings = append(findings, &InvalidServiceError{service.ID, service.Name, "has no name"})
+			errs = append(errs, &InvalidServiceError{service.ID, service.Name, "has no name"})
 		}
-		if other, taken := t.names[service.Name]; taken {
-			findings = append(findings, &InvalidServiceError{max(service.ID, other.ID), service.Name, "name is taken"})
+		if other, taken := t.servicesByName[service.Name]; taken {
+			errs = append(errs, &InvalidServiceError{max(service.ID, other.ID), service.Name, "name is taken"})
 		}
-		t.names[service.Name] = service
+		t.servicesByName[service.Name] = service
 	}
-	return errors.Join(findings...)
+	return errors.Join(errs...)
 }
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -16,7 +16,7 @@
 
 const testService = topology.ServiceID(1)
 
-// snapshot divides one service evenly into shards, owned by back ends in turn.
+// snapshot returns one service with shards of equal width, assigned to back ends round-robin.
 func snapshot(shardCount, backendCount int) wire.RoutingSnapshot {
 	result := wire.RoutingSnapshot{Group: 1, Revision: 10}
 	routes := wire.ServiceRoutes{Service: topology.Service{ID: testService, Name: "wayfinder"}}
@@ -46,7 +46,7 @@
 	return table
 }
 
-func TestLookupFindsTheRangeOfAPosition(t *testing.T) {
+func TestLookupFindsContainingShard(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		starts := rapid.SliceOfNDistinct(rapid.Uint64Min(1), 0, 300, rapid.ID).Draw(t, "starts")
 		from := wire.RoutingSnapshot{Services: []wire.ServiceRoutes{{Service: topology.Service{ID: testService, Name: "a"}}}}
@@ -66,7 +66,7 @@
 	})
 }
 
-// linearSearch is the definition that Lookup must agree with.
+// linearSearch is the reference implementation for Lookup.
 func linearSearch(shards []topology.Shard, position topology.KeyHash) topology.KeyHash {
 	var best topology.KeyHash
 	for _, shard := range shards {
@@ -77,7 +77,7 @@
 	return best
 }
 
-func TestApplyLeavesTheEarlierTableAsItIs(t *testing.T) {
+func TestApplyDoesNotModifyReceiver(t *testing.T) {
 	before := mustTable(t, snapshot(1000, 4))
 	route, _ := before.Lookup(testService, 1)
 	moved := *route.Shard
@@ -93,7 +93,7 @@
 	assert.Equal(t, after.Revision(), topology.Revision(11))
 }
 
-func TestTablesShareBackendsUntilThoseChange(t *testing.T) {
+func TestSharesBackendsUntilBackendsOrServicesChange(t *testing.T) {
 	before := mustTable(t, snapshot(4, 2))
 	route, _ := before.Lookup(testService, 1)
 	moved := *route.Shard
@@ -116,7 +116,7 @@
 	assert.Assert(t, !mustTable(t, snapshot(4, 2)).SharesBackends(before))
 }
 
-func TestChangedShardsAreOnlyThoseOfTheDelta(t *testing.T) {
+func TestShardsChangedSinceYieldsOnlyChangedShards(t *testing.T) {
 	before := mustTable(t, snapshot(1000, 4))
 	route, _ := before.Lookup(testService, ^topology.KeyHash(0))
 	moved := *route.Shard
@@ -133,7 +133,7 @@
 	assert.DeepEqual(t, changed, []topology.Shard{moved})
 }
 
-func TestSplitAndMergeChangeTheDivision(t *testing.T) {
+func TestApplySplitAndMerge(t *testing.T) {
 	table := mustTable(t, snapshot(2, 1))
 	upper := topology.Shard{
 		ID: topology.ShardID{Service: testService, Shard: 3}, Start: 100, Phase: topology.ShardOwned, Owner: 1, Epoch: 1,
@@ -153,7 +153,7 @@
 	assert.Assert(t, !present)
 }
 
-func TestServicesAndBackendsComeAndGo(t *testing.T) {
+func TestApplyAddsAndRemovesServicesAndBackends(t *testing.T) {
 	table := mustTable(t, snapshot(2, 1))
 	added, err := table.Apply(wire.RoutingDelta{
 		Group: 1, From: 10, To: 11,
@@ -181,7 +181,7 @@
 	assert.Assert(t, !found)
 }
 
-func TestApplyRefusesWhatCannotFollow(t *testing.T) {
+func TestApplyRejectsInvalidDeltas(t *testing.T) {
 	table := mustTable(t, snapshot(4, 2))
 	lowered := topology.Shard{ID: topology.ShardID{Service: testService, Shard: 1}, Epoch: 0}
 	overlapping := topology.Shard{ID: topology.ShardID{Service: testService, Shard: 9}, Start: 0, Epoch: 1}
@@ -203,7 +203,7 @@
 	assert.Assert(t, errors.As(err, &shard))
 
 	_, err = table.Apply(wire.RoutingDelta{Group: 1, From: 10, To: 11, RemovedShards: []topology.ShardID{{Service: testService, Shard: 1}}})
-	assert.Assert(t, errors.As(err, &shard), "no shard would cover the lowest positions")
+	assert.Assert(t, errors.As(err, &shard), "no shard would cover the start of the hash space")
 }
 
 func TestLookupDoesNotAllocate(t *testing.T) {
@@ -218,7 +218,7 @@
 	assert.Equal(t, allocations, 0.0)
 }
 
-// Shards and back ends of the users' target size.
+// Target size: shards and back ends.
 const (
 	targetShards   = 75_000
 	targetBackends = 1100
@@ -229,7 +229,7 @@
 	b.ReportAllocs()
 	position := topology.KeyHash(0)
 	for b.Loop() {
-		position += 0x9E3779B97F4A7C15 // visits the space evenly, in no order that a cache could follow
+		position += 0x9E3779B97F4A7C15 // covers the hash space evenly, in an order that caches don't benefit from
 		table.Lookup(testService, position)
 	}
 }
@@ -269,7 +269,7 @@
 	}
 	var before, after runtime.MemStats
 	runtime.GC()
-	runtime.GC() // frees what the first one only marked
+	runtime.GC() // frees what the first run only marked
 	runtime.ReadMemStats(&before)
 	kept := mustTable(b, from)
 	runtime.GC()
