--- a/internal/loadtable/average.go
+++ b/internal/loadtable/average.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// average is an exponential moving average over irregular intervals, without
-// the bias to zero of its first samples.
+// average is an exponential moving average over irregular intervals. It divides
+// by the sum of the weights, so that it isn't biased to zero while there are
+// few samples.
 type average struct {
 	sum, weight float64
 }
 
-// add takes a value that held for an interval.
+// add adds a value that held for an interval.
 func (a *average) add(value float64, interval, window time.Duration) {
-	kept := math.Exp(-interval.Seconds() / window.Seconds())
-	a.sum = a.sum*kept + value*(1-kept)
-	a.weight = a.weight*kept + (1 - kept)
+	decay := math.Exp(-interval.Seconds() / window.Seconds())
+	a.sum = a.sum*decay + value*(1-decay)
+	a.weight = a.weight*decay + (1 - decay)
 }
 
 // value returns the average, or 0 without samples.
@@ -26,13 +27,14 @@
 	return a.sum / a.weight
 }
 
-func (a *average) scale(share float64) { a.sum *= share }
+// scale multiplies the average by a factor.
+func (a *average) scale(factor float64) { a.sum *= factor }
 
-// join makes the average that of the sum of both.
-func (a *average) join(other average) {
-	joined := a.value() + other.value()
+// merge turns the average into that of the sum of both quantities.
+func (a *average) merge(other average) {
+	merged := a.value() + other.value()
 	a.weight = math.Max(a.weight, other.weight)
-	a.sum = joined * a.weight
+	a.sum = merged * a.weight
 }
 
 // cost is the mean slot time per request.
@@ -40,14 +42,14 @@
 	requests, busy average
 }
 
-// add takes the requests completed and the slot-seconds used in an interval.
+// add adds the requests completed and the slot-seconds used in an interval.
 func (c *cost) add(requests, busy float64, interval time.Duration) {
 	c.requests.add(requests/interval.Seconds(), interval, slowWindow)
 	c.busy.add(busy/interval.Seconds(), interval, slowWindow)
 }
 
-// perRequest returns slot-seconds per request. The prior's mean cost is mixed
-// in, more so the fewer requests were seen.
+// perRequest returns slot-seconds per request, weighted with the prior's mean
+// cost: the fewer requests were seen, the more the prior counts.
 func (c *cost) perRequest(prior *cost) float64 {
 	expected := 0.0
 	if rate := prior.requests.value(); rate > 0 {
@@ -58,12 +60,14 @@
 	return (used + priorRequests*expected) / (seen + priorRequests)
 }
 
-func (c *cost) scale(share float64) {
-	c.requests.scale(share)
-	c.busy.scale(share)
+// scale multiplies both averages by a factor.
+func (c *cost) scale(factor float64) {
+	c.requests.scale(factor)
+	c.busy.scale(factor)
 }
 
-func (c *cost) join(other cost) {
-	c.requests.join(other.requests)
-	c.busy.join(other.busy)
+// merge adds the requests and slot time of another cost.
+func (c *cost) merge(other cost) {
+	c.requests.merge(other.requests)
+	c.busy.merge(other.busy)
 }
--- a/internal/loadtable/table.go
+++ b/internal/loadtable/table.go
@@ -1,16 +1,19 @@
-// Package loadtable turns the reports of agents and routers into the load of
-// each shard and back end. Reports lag and mislead, so:
+// Package loadtable estimates the load of each shard and back end from the
+// reports of agents and routers. Reports are late and may be wrong, so:
 //
 //   - Shard load comes only from what agents measured at their own limit of
-//     slots; a back end's claim is compared and counted, never used.
-//   - What callers offered counts, including requests that were refused.
-//   - What is averaged is a shard's share of its service's requests, so that a
-//     rise of the whole service, as over a day, changes nothing between shards.
-//   - A slow average keeps noise out; when the share leaves its confidence band,
-//     the slow average jumps to the fast one, so that a shift is seen within a
-//     second or two (change detection as in Shewhart's control charts, 1931).
+//     slots. The load that a back end claims itself is compared with it, and
+//     contradictions are counted, but it is never used.
+//   - Load is the load that callers offer, including requests that were refused.
+//   - The average is taken of a shard's share of its service's requests, so that
+//     a rise of the whole service, for example over a day, doesn't change the
+//     shards' loads relative to each other.
+//   - A slow average filters out noise. When the share leaves its confidence
+//     band, the slow average is reset to the fast one, so that a shift is seen
+//     within a second or two (change detection as in Shewhart's control charts,
+//     1931).
 //
-// Nothing here reads a clock.
+// The package reads no clock: callers pass the time.
 package loadtable
 
 import (
@@ -26,67 +29,72 @@
 const (
 	fastWindow = 1 * time.Second
 	slowWindow = 20 * time.Second
-	// longestInterval bounds the time that one report can stand for.
-	longestInterval = 2 * time.Second
+	// maxInterval bounds the time that one report is taken to cover.
+	maxInterval = 2 * time.Second
 )
 
 const (
-	// changeDeviations is the half width of the confidence band, in standard
+	// changeThreshold is the half width of the confidence band, in standard
 	// deviations of the fast average.
-	changeDeviations = 4.0
-	// priorRequests is how many requests at the service's mean cost are mixed
-	// into a shard's own mean cost, against the noise of few samples.
+	changeThreshold = 4.0
+	// priorRequests is the weight of the service's mean cost in a shard's own
+	// mean cost, as a number of requests. It reduces the noise of few samples.
 	priorRequests = 100.0
-	// presumedRate is how many requests per second are presumed to succeed, so
-	// that old failures fade and a single one proves little.
-	presumedRate = 1.0
+	// priorSuccessRate is a number of successful requests per second that is
+	// added to those observed, so that the failure share falls as failures get
+	// older and a single failure has little effect.
+	priorSuccessRate = 1.0
 )
 
-// Table keeps what was observed. It is not safe for concurrent use.
+// Table holds the averages of all services, shards and back ends. It is not safe
+// for concurrent use.
 type Table struct {
 	shards   map[topology.ShardID]*shard
 	backends map[topology.BackendID]*backend
 	services map[topology.ServiceID]*service
-	// discounted counts claims that contradicted what was observed.
-	discounted uint64
+	// contradictedClaims counts reports whose claimed load contradicted the
+	// observed load.
+	contradictedClaims uint64
 }
 
-// service is what was observed of one service.
+// service holds the observations of one service.
 type service struct {
 	cost cost
-	// newest is when its newest report came.
-	newest   time.Duration
-	backends []*backend
+	// latestReport is when the latest report of any of its back ends arrived.
+	latestReport time.Duration
+	backends     []*backend
 }
 
-// shard is what was observed of one shard.
+// shard holds the observations of one shard.
 type shard struct {
 	reporter topology.BackendID
 	// rate is the requests offered per second, over the fast window; share is
-	// their part of those offered to the service, over the slow window.
+	// the fraction of the service's offered requests, over the slow window.
 	rate, share average
 	cost        cost
 	hotKeys     []wire.KeyLoad
 	longRunning uint32
 	// changedAt is when the share last left its confidence band.
 	changedAt time.Duration
-	// reported numbers the reporter's last report that named the shard.
-	reported uint64
+	// lastReportNumber is the reporter's reportCount at its last report that
+	// listed the shard.
+	lastReportNumber uint64
 }
 
-// backend is what was observed of one back end.
+// backend holds the observations of one back end.
 type backend struct {
-	lastReport time.Duration
-	reports    uint64
-	shards     map[topology.ShardID]bool
-	// offered requests per second.
-	offered   average
-	claimed   average
-	observed  average
+	lastReport  time.Duration
+	reportCount uint64
+	shards      map[topology.ShardID]bool
+	// offered is requests per second; claimed and observed are load in slots.
+	offered  average
+	claimed  average
+	observed average
+	// completed and failed are requests per second as routers report them.
 	completed average
 	failed    average
-	// routed is when a router last reported of it.
-	routed time.Duration
+	// lastRouterReport is when a router last reported on the back end.
+	lastRouterReport time.Duration
 }
 
 // New returns an empty table.
@@ -98,14 +106,14 @@
 	}
 }
 
-// AgentReport takes an agent's report of its back end's shards.
+// AgentReport records an agent's report on the shards of its back end.
 func (t *Table) AgentReport(service topology.ServiceID, id topology.BackendID, renew *wire.Renew, now time.Duration) {
 	reporter := t.backend(id)
-	t.service(service).join(reporter, now)
-	interval := min(now-reporter.lastReport, longestInterval)
+	t.service(service).recordReport(reporter, now)
+	interval := min(now-reporter.lastReport, maxInterval)
 	reporter.lastReport = now
-	reporter.reports++
-	if reporter.reports == 1 || interval <= 0 {
+	reporter.reportCount++
+	if reporter.reportCount == 1 || interval <= 0 {
 		return
 	}
 	offered := 0.0
@@ -117,23 +125,25 @@
 	busy := 0.0
 	for _, load := range renew.Load {
 		shardID := topology.ShardID{Service: service, Shard: load.Shard}
-		t.shardReport(shardID, id, load, interval, total, now)
+		t.recordShardLoad(shardID, id, load, interval, total, now)
 		busy += float64(load.BusyMicros) / 1e6
 	}
-	t.absentShards(reporter, interval, total, now)
+	t.recordAbsentShards(reporter, interval, total, now)
 	reporter.observed.add(busy/interval.Seconds(), interval, fastWindow)
-	t.claim(reporter, float64(renew.Backend.Claimed), interval)
+	t.recordClaim(reporter, float64(renew.Backend.Claimed), interval)
 }
 
-// claim compares a back end's word with what its agent observed.
-func (t *Table) claim(reporter *backend, claimed float64, interval time.Duration) {
+// recordClaim compares the load that a back end claims with what its agent
+// observed.
+func (t *Table) recordClaim(reporter *backend, claimed float64, interval time.Duration) {
 	reporter.claimed.add(claimed, interval, fastWindow)
 	if placement.Contradicts(reporter.claimed.value(), reporter.observed.value()) {
-		t.discounted++
+		t.contradictedClaims++
 	}
 }
 
-func (t *Table) shardReport(id topology.ShardID, from topology.BackendID, load wire.ShardLoad, interval time.Duration, total float64, now time.Duration) {
+// recordShardLoad records one shard's load from an agent's report.
+func (t *Table) recordShardLoad(id topology.ShardID, from topology.BackendID, load wire.ShardLoad, interval time.Duration, total float64, now time.Duration) {
 	observed, known := t.shards[id]
 	if !known {
 		observed = &shard{}
@@ -141,37 +151,37 @@
 	}
 	if observed.reporter != from {
 		if load.Requests == 0 && load.Refused == 0 && load.LongRunning == 0 {
-			return // A previous owner's last word.
+			return // an empty report of a previous owner
 		}
 		delete(t.backend(observed.reporter).shards, id)
 		observed.reporter = from
 	}
 	reporter := t.backend(from)
 	reporter.shards[id] = true
-	observed.reported = reporter.reports
+	observed.lastReportNumber = reporter.reportCount
 	observed.longRunning = load.LongRunning
 	observed.cost.add(float64(load.Requests), float64(load.BusyMicros)/1e6, interval)
 	t.service(id.Service).cost.add(float64(load.Requests), float64(load.BusyMicros)/1e6, interval)
-	observed.offered(float64(load.Requests)+float64(load.Refused), interval, total, now)
+	observed.addOffered(float64(load.Requests)+float64(load.Refused), interval, total, now)
 	if len(load.HotKeys) > 0 {
 		observed.hotKeys = load.HotKeys
 	}
 }
 
-// absentShards counts shards that a report left out as without requests.
-func (t *Table) absentShards(reporter *backend, interval time.Duration, total float64, now time.Duration) {
+// recordAbsentShards records no requests for shards that a report doesn't list.
+func (t *Table) recordAbsentShards(reporter *backend, interval time.Duration, total float64, now time.Duration) {
 	for id := range reporter.shards {
 		observed := t.shards[id]
-		if observed.reported != reporter.reports {
-			observed.offered(0, interval, total, now)
+		if observed.lastReportNumber != reporter.reportCount {
+			observed.addOffered(0, interval, total, now)
 			observed.longRunning = 0
 		}
 	}
 }
 
-// offered takes the requests of an interval into both averages. Where the
-// share has left its confidence band it starts anew.
-func (s *shard) offered(requests float64, interval time.Duration, total float64, now time.Duration) {
+// addOffered adds the requests of an interval to both averages. It resets the
+// share to the present one if it has left its confidence band.
+func (s *shard) addOffered(requests float64, interval time.Duration, total float64, now time.Duration) {
 	s.rate.add(requests/interval.Seconds(), interval, fastWindow)
 	if total <= 0 {
 		return
@@ -181,7 +191,7 @@
 	expected := s.share.value() * total
 	// An exponential average over window w has the variance of a mean over 2w.
 	deviation := math.Sqrt(math.Max(expected, 1) / (2 * fastWindow.Seconds()))
-	if math.Abs(s.rate.value()-expected) > changeDeviations*deviation {
+	if math.Abs(s.rate.value()-expected) > changeThreshold*deviation {
 		s.changedAt = now
 		s.share = average{}
 		s.share.add(present, interval, slowWindow)
@@ -189,32 +199,33 @@
 	}
 }
 
-// join adds a back end to a service's and notes its report.
-func (s *service) join(reporter *backend, now time.Duration) {
-	if reporter.reports == 0 {
+// recordReport records the time of a back end's report, and adds the back end to
+// the service at its first one.
+func (s *service) recordReport(reporter *backend, now time.Duration) {
+	if reporter.reportCount == 0 {
 		s.backends = append(s.backends, reporter)
 	}
-	s.newest = max(s.newest, now)
+	s.latestReport = max(s.latestReport, now)
 }
 
-// rate returns the requests per second that are offered to the service, by the
-// back ends that reported lately.
+// rate returns the requests per second that are offered to the service, as the
+// sum over the back ends that reported within maxInterval of the latest report.
 func (s *service) rate() float64 {
 	total := 0.0
 	for _, reporter := range s.backends {
-		if s.newest-reporter.lastReport <= longestInterval {
+		if s.latestReport-reporter.lastReport <= maxInterval {
 			total += reporter.offered.value()
 		}
 	}
 	return total
 }
 
-// RouterReport takes what a router saw of back ends in an interval.
+// RouterReport records what a router observed of back ends in an interval.
 func (t *Table) RouterReport(report *wire.RouterLoad, interval, now time.Duration) {
 	seconds := interval.Seconds()
 	for _, observed := range report.Observed {
 		seen := t.backend(observed.Backend)
-		seen.routed = now
+		seen.lastRouterReport = now
 		seen.completed.add(float64(observed.Completed)/seconds, interval, fastWindow)
 		seen.failed.add((float64(observed.Failed)+float64(observed.TimedOut))/seconds, interval, fastWindow)
 	}
@@ -238,8 +249,8 @@
 	return t.Service(id.Service).Shard(id).HotKeys
 }
 
-// Split divides what is known of a shard between it and its new right part.
-// Hot keys go to the part that holds them; the rest goes by width.
+// Split divides the load of a shard between it and its new right part. The load
+// of hot keys goes to the part that contains them; the rest is divided by width.
 func (t *Table) Split(left, right topology.ShardID, at topology.KeyHash, leftWidthShare float64) {
 	observed, known := t.shards[left]
 	if !known {
@@ -264,8 +275,8 @@
 	t.backend(part.reporter).shards[right] = true
 }
 
-// scale keeps a share of a shard's rate and the given keys, whose shares grow
-// accordingly.
+// scale reduces a shard's load to a share of it and keeps the given hot keys,
+// whose own shares grow accordingly.
 func (s *shard) scale(share float64, keys []wire.KeyLoad) {
 	s.rate.scale(share)
 	s.share.scale(share)
@@ -277,48 +288,50 @@
 	}
 }
 
-// Merge adds what is known of the right shard to the left and forgets it.
+// Merge adds the load of the right shard to the left one and removes the right
+// one.
 func (t *Table) Merge(left, right topology.ShardID) {
-	ended, known := t.shards[right]
+	removed, known := t.shards[right]
 	if !known {
 		return
 	}
 	delete(t.shards, right)
-	delete(t.backend(ended.reporter).shards, right)
+	delete(t.backend(removed.reporter).shards, right)
 	if kept, found := t.shards[left]; found {
-		kept.rate.join(ended.rate)
-		kept.longRunning += ended.longRunning
-		kept.share.join(ended.share)
-		kept.cost.join(ended.cost)
+		kept.rate.merge(removed.rate)
+		kept.longRunning += removed.longRunning
+		kept.share.merge(removed.share)
+		kept.cost.merge(removed.cost)
 	}
 }
 
-// Backend is what was observed of a back end.
+// Backend is the observed load and failure share of a back end.
 type Backend struct {
 	// Observed and Claimed load in slots.
 	Observed, Claimed float64
-	// FailureShare is the share of requests that failed at routers. It fades
-	// when no router sends the back end any.
+	// FailureShare is the share of requests that failed or timed out at routers.
+	// It decays while no router reports on the back end.
 	FailureShare float64
 }
 
-// Backend returns what was observed of a back end until now.
+// Backend returns the observed load and failure share of a back end at a time.
 func (t *Table) Backend(id topology.BackendID, now time.Duration) Backend {
 	seen, known := t.backends[id]
 	if !known {
 		return Backend{}
 	}
 	result := Backend{Observed: seen.observed.value(), Claimed: seen.claimed.value()}
-	faded := math.Exp(-(now - seen.routed).Seconds() / fastWindow.Seconds())
-	failed, completed := seen.failed.value()*faded, seen.completed.value()*faded
-	result.FailureShare = failed / (failed + completed + presumedRate)
+	decay := math.Exp(-(now - seen.lastRouterReport).Seconds() / fastWindow.Seconds())
+	failed, completed := seen.failed.value()*decay, seen.completed.value()*decay
+	result.FailureShare = failed / (failed + completed + priorSuccessRate)
 	return result
 }
 
 // Discounted returns how many reports carried a claim that contradicted what
 // was observed.
-func (t *Table) Discounted() uint64 { return t.discounted }
+func (t *Table) Discounted() uint64 { return t.contradictedClaims }
 
+// backend returns the entry of a back end, and adds one if there is none.
 func (t *Table) backend(id topology.BackendID) *backend {
 	known, found := t.backends[id]
 	if !found {
@@ -328,6 +341,7 @@
 	return known
 }
 
+// service returns the entry of a service, and adds one if there is none.
 func (t *Table) service(id topology.ServiceID) *service {
 	known, found := t.services[id]
 	if !found {
--- a/internal/loadtable/table_test.go
+++ b/internal/loadtable/table_test.go
@@ -20,9 +20,10 @@
 
 var hotShard = topology.ShardID{Service: 1, Shard: 1}
 
-// feed reports Poisson requests for a while and returns the end: for shard 1 at
-// a rate, for shards 2 to 4 at 200 a second each.
-func feed(table *loadtable.Table, random *rand.Rand, rate float64, from, until time.Duration) time.Duration {
+// reportPoissonLoad reports Poisson-distributed requests from one time until
+// another, and returns the latter. Shard 1 gets the given rate, shards 2 to 4 get
+// 200 requests per second each.
+func reportPoissonLoad(table *loadtable.Table, random *rand.Rand, rate float64, from, until time.Duration) time.Duration {
 	for now := from; now < until; now += interval {
 		var loads []wire.ShardLoad
 		for number := topology.ShardNumber(1); number <= 4; number++ {
@@ -50,25 +51,25 @@
 	return count
 }
 
-func TestSteadyLoadIsKnownCloselyAndAShiftSeenSoon(t *testing.T) {
+func TestLoadEstimateIsAccurateAndFollowsShifts(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		table := loadtable.New()
-		now := feed(table, random, 200, 0, 30*time.Second)
+		now := reportPoissonLoad(table, random, 200, 0, 30*time.Second)
 		assert.Assert(t, math.Abs(table.Load(hotShard)-1) < 0.1, "seed %d: %v slots, want 1", seed, table.Load(hotShard))
-		feed(table, random, 600, now, now+3*time.Second)
+		reportPoissonLoad(table, random, 600, now, now+3*time.Second)
 		assert.Assert(t, math.Abs(table.Load(hotShard)-3) < 0.5, "seed %d: %v slots, want 3", seed, table.Load(hotShard))
 	}
 }
 
-func TestRiseOfTheWholeServiceKeepsShares(t *testing.T) {
+func TestServiceWideRiseKeepsShares(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	table := loadtable.New()
 	for now := time.Duration(0); now < time.Minute; now += interval {
-		day := 1 + 0.5*math.Sin(2*math.Pi*now.Minutes())
+		factor := 1 + 0.5*math.Sin(2*math.Pi*now.Minutes())
 		var loads []wire.ShardLoad
 		for number := topology.ShardNumber(1); number <= 4; number++ {
-			requests := poisson(random, 400*day*interval.Seconds())
+			requests := poisson(random, 400*factor*interval.Seconds())
 			loads = append(loads, wire.ShardLoad{
 				Shard: number, Requests: requests, BusyMicros: requests * uint32(work.Microseconds()),
 			})
@@ -82,13 +83,13 @@
 			mean += table.Load(topology.ShardID{Service: 1, Shard: number}) / 4
 		}
 		relative := table.Load(hotShard) / mean
-		assert.Assert(t, math.Abs(relative-1) < 0.06, "at %v the shard has %v of the mean", now, relative)
+		assert.Assert(t, math.Abs(relative-1) < 0.06, "at %v the shard has %v times the mean load", now, relative)
 	}
 }
 
-func TestShardLeftOutOfReportsCools(t *testing.T) {
+func TestLoadDecaysForShardAbsentFromReports(t *testing.T) {
 	table := loadtable.New()
-	now := feed(table, rand.New(rand.NewPCG(1, 1)), 200, 0, 10*time.Second)
+	now := reportPoissonLoad(table, rand.New(rand.NewPCG(1, 1)), 200, 0, 10*time.Second)
 	for range 40 {
 		now += interval
 		table.AgentReport(1, 1, &wire.Renew{}, now)
@@ -96,7 +97,7 @@
 	assert.Assert(t, table.Load(hotShard) < 0.05, "%v slots", table.Load(hotShard))
 }
 
-func TestLyingClaimIsCountedAndNotUsed(t *testing.T) {
+func TestContradictedClaimIsCountedAndNotUsed(t *testing.T) {
 	table := loadtable.New()
 	for now := time.Duration(0); now < 5*time.Second; now += interval {
 		table.AgentReport(1, 1, &wire.Renew{
@@ -108,7 +109,7 @@
 	assert.Assert(t, math.Abs(table.Load(hotShard)-8) < 0.1, "%v slots, want 8", table.Load(hotShard))
 }
 
-func TestSplitGivesTheHotKeyItsLoad(t *testing.T) {
+func TestSplitAndMergeFollowHotKeyLoad(t *testing.T) {
 	table := loadtable.New()
 	for now := time.Duration(0); now < 5*time.Second; now += interval {
 		table.AgentReport(1, 1, &wire.Renew{Load: []wire.ShardLoad{{
@@ -124,7 +125,7 @@
 	assert.Assert(t, math.Abs(table.Load(hotShard)-4) < 0.1, "merged %v", table.Load(hotShard))
 }
 
-func TestPreviousOwnersLastReportDoesNotCool(t *testing.T) {
+func TestEmptyReportOfPreviousOwnerIsIgnored(t *testing.T) {
 	table := loadtable.New()
 	full := &wire.Renew{Load: []wire.ShardLoad{{Shard: 1, Requests: 100, BusyMicros: 500_000}}}
 	empty := &wire.Renew{Load: []wire.ShardLoad{{Shard: 1}}}
@@ -135,7 +136,7 @@
 	assert.Assert(t, math.Abs(table.Load(hotShard)-4) < 0.1, "%v slots, want 4", table.Load(hotShard))
 }
 
-func TestFailuresFadeWhenNoRequestsCome(t *testing.T) {
+func TestFailureShareDecaysWithoutRequests(t *testing.T) {
 	table := loadtable.New()
 	now := time.Duration(0)
 	for range 20 {
