--- a/internal/upstream/bench_test.go
+++ b/internal/upstream/bench_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// BenchmarkRoundTrip compares one look-up sized exchange on a warm connection
+// BenchmarkRoundTrip compares a small request and response on a warm connection
 // of the pool with the same through http.Transport.
 func BenchmarkRoundTrip(b *testing.B) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -51,8 +51,9 @@
 	}
 }
 
-// BenchmarkIdlePools is what pools whose connections carry nothing cost in a
-// second: 300 of them, as a gateway among as many has, with four connections each.
+// BenchmarkIdlePools measures the processor time per second and the memory of
+// idle pools: 300 of them, as a gateway among as many others has, with four
+// connections each.
 func BenchmarkIdlePools(b *testing.B) {
 	const pools, connections = 300, 4
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
@@ -72,7 +73,7 @@
 			busy = append(busy, connection)
 		}
 		for _, connection := range busy {
-			connection.wake()
+			connection.acquireBuffers()
 			pool.release(connection)
 		}
 	}
@@ -87,7 +88,7 @@
 	b.ReportMetric(float64(memory.HeapInuse)/(pools*connections), "heap-B/connection")
 }
 
-// processorTime is what this process has used.
+// processorTime returns the processor time that this process has used.
 func processorTime(b *testing.B) time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -12,60 +12,63 @@
 
 const (
 	bufferSize = 8 << 10
-	// maxHeaderBytes bounds an answer's header.
+	// maxHeaderBytes bounds a response's header.
 	maxHeaderBytes = 64 << 10
 )
 
-// readers and writers are the buffers of connections in use.
+// readers and writers pool the buffers, which only connections in use hold.
 var (
 	readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, bufferSize) }}
 	writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferSize) }}
 )
 
-// conn is one connection. One request at a time uses it.
+// conn is one connection, used by one request at a time.
 type conn struct {
 	net net.Conn
-	// reader and writer are there from wake to rest.
+	// reader and writer are nil between releaseBuffers and acquireBuffers.
 	reader    *bufio.Reader
 	writer    *bufio.Writer
-	source    limitedSource
-	sink      countingSink
+	netReader limitedReader
+	netWriter countingWriter
 	idleSince time.Time
-	// rested says that nothing had used it for a while when it was taken.
-	rested bool
+	// wasIdle is set if the connection was idle before its present request, and
+	// not dialled for it or passed on directly by the request before.
+	wasIdle bool
 
-	// raw, peek and nothingToRead belong to quiet; broken: there is no raw.
+	// raw, peek and nothingToRead are used by healthy. rawConnFailed is set if
+	// there is no raw because SyscallConn failed.
 	raw           syscall.RawConn
 	peek          func(file uintptr) bool
 	nothingToRead bool
-	broken        bool
+	rawConnFailed bool
 
 	mutex sync.Mutex
-	// ending: awaitEnd has begun; interrupt changes nothing any more.
-	ending bool
+	// awaitingClose is set when awaitPeerClose has begun. From then on interrupt
+	// doesn't change the deadlines.
+	awaitingClose bool
 }
 
 func newConn(netConn net.Conn) *conn {
 	connection := &conn{net: netConn}
-	connection.source = limitedSource{net: netConn, left: math.MaxInt64}
-	connection.sink = countingSink{net: netConn}
-	connection.preparePeek()
+	connection.netReader = limitedReader{net: netConn, remaining: math.MaxInt64}
+	connection.netWriter = countingWriter{net: netConn}
+	connection.initPeek()
 	return connection
 }
 
-// wake gives a connection its buffers, before a request.
-func (connection *conn) wake() {
+// acquireBuffers takes buffers for a request, unless the connection has them.
+func (connection *conn) acquireBuffers() {
 	if connection.reader != nil {
 		return
 	}
 	connection.reader = readers.Get().(*bufio.Reader)
-	connection.reader.Reset(&connection.source)
+	connection.reader.Reset(&connection.netReader)
 	connection.writer = writers.Get().(*bufio.Writer)
-	connection.writer.Reset(&connection.sink)
+	connection.writer.Reset(&connection.netWriter)
 }
 
-// rest gives the buffers back, while nothing is in them and no request uses them.
-func (connection *conn) rest() {
+// releaseBuffers gives the buffers back. They must be empty and not in use.
+func (connection *conn) releaseBuffers() {
 	if connection.reader == nil {
 		return
 	}
@@ -78,110 +81,112 @@
 
 func (connection *conn) close() { _ = connection.net.Close() }
 
-// past is a deadline that ends reads and writes at once.
-var past = time.Unix(1, 0)
+// expiredDeadline is a deadline in the past, which ends reads and writes at once.
+var expiredDeadline = time.Unix(1, 0)
 
-// interrupt ends reads and writes in progress, and those to come until
-// awaitEnd.
+// interrupt ends reads and writes in progress, and later ones until
+// awaitPeerClose.
 func (connection *conn) interrupt() {
 	connection.mutex.Lock()
 	defer connection.mutex.Unlock()
-	if !connection.ending {
-		_ = connection.net.SetDeadline(past)
+	if !connection.awaitingClose {
+		_ = connection.net.SetDeadline(expiredDeadline)
 	}
 }
 
-// halfCloser can tell the peer that nothing more will be sent, and still read.
+// halfCloser is a connection that can be closed for writing and still be read.
 type halfCloser interface{ CloseWrite() error }
 
-// awaitEnd closes the connection for writing, which a server takes for the
-// client's leaving, and returns when the peer closes it too, or after the
-// limit. What the peer still sends is dropped.
-func (connection *conn) awaitEnd(limit time.Duration) {
+// awaitPeerClose closes the connection for writing, which a server takes as a
+// sign that the client is gone, and returns when the peer closes it too, or
+// after the limit. What the peer still sends is discarded.
+func (connection *conn) awaitPeerClose(limit time.Duration) {
 	half, ok := connection.net.(halfCloser)
 	if !ok || half.CloseWrite() != nil {
 		return
 	}
 	connection.mutex.Lock()
-	connection.ending = true
-	_ = connection.net.SetWriteDeadline(past)
+	connection.awaitingClose = true
+	_ = connection.net.SetWriteDeadline(expiredDeadline)
 	_ = connection.net.SetReadDeadline(time.Now().Add(limit))
 	connection.mutex.Unlock()
 	_, _ = io.Copy(io.Discard, connection.net)
 }
 
-// quiet says that an idle connection is open and has nothing to read. Bytes
-// that nobody asked for would be taken for the next request's answer. The
-// check costs one system call and can't see a close that is still on its way;
-// a request that meets such a close ends with ErrInterrupted, never with a
-// second write.
-func (connection *conn) quiet() bool {
+// healthy reports whether an idle connection is open and has nothing to read.
+// Unsolicited bytes would be taken for the response to the next request. The
+// check costs one system call and can't detect a close that is still in transit;
+// a request on such a connection ends with ErrInterrupted and is never written a
+// second time.
+func (connection *conn) healthy() bool {
 	if connection.raw == nil {
-		return !connection.broken
+		return !connection.rawConnFailed
 	}
 	connection.nothingToRead = false
 	return connection.raw.Read(connection.peek) == nil && connection.nothingToRead
 }
 
-// preparePeek makes what quiet needs once for all its calls. Connections
-// without a file, as under TLS, are taken for quiet.
-func (connection *conn) preparePeek() {
-	withFile, ok := connection.net.(syscall.Conn)
+// initPeek prepares raw and peek, once for all calls of healthy. Connections
+// without a file descriptor, as with TLS, always count as healthy.
+func (connection *conn) initPeek() {
+	syscallConn, ok := connection.net.(syscall.Conn)
 	if !ok {
 		return
 	}
-	raw, err := withFile.SyscallConn()
+	raw, err := syscallConn.SyscallConn()
 	if err != nil {
-		connection.broken = true
+		connection.rawConnFailed = true
 		return
 	}
 	var peeked [1]byte
 	connection.raw = raw
-	connection.peek = func(file uintptr) bool {
-		_, _, err := syscall.Recvfrom(int(file), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	connection.peek = func(descriptor uintptr) bool {
+		_, _, err := syscall.Recvfrom(int(descriptor), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		connection.nothingToRead = err == syscall.EAGAIN
 		return true
 	}
 }
 
-// limitedSource reads the connection and bounds how much of it a header takes.
-type limitedSource struct {
-	net  net.Conn
-	left int64
+// limitedReader reads from the connection at most the remaining bytes, which
+// bounds the size of a response's header.
+type limitedReader struct {
+	net       net.Conn
+	remaining int64
 }
 
-func (source *limitedSource) Read(buffer []byte) (int, error) {
-	if source.left <= 0 {
+func (source *limitedReader) Read(buffer []byte) (int, error) {
+	if source.remaining <= 0 {
 		return 0, errHeaderTooLarge
 	}
-	if int64(len(buffer)) > source.left {
-		buffer = buffer[:source.left]
+	if int64(len(buffer)) > source.remaining {
+		buffer = buffer[:source.remaining]
 	}
 	count, err := source.net.Read(buffer)
-	source.left -= int64(count)
+	source.remaining -= int64(count)
 	return count, err
 }
 
-// countingSink counts what was handed to the operating system since reset.
-type countingSink struct {
+// countingWriter counts the bytes that were handed to the operating system since
+// sent was reset.
+type countingWriter struct {
 	net  net.Conn
 	sent int64
 }
 
-func (sink *countingSink) Write(buffer []byte) (int, error) {
+func (sink *countingWriter) Write(buffer []byte) (int, error) {
 	count, err := sink.net.Write(buffer)
 	sink.sent += int64(count)
 	return count, err
 }
 
-// failureRecorder keeps the error of a request body's source, to tell it from
-// an error of the connection.
-type failureRecorder struct {
+// bodyErrorRecorder records the error of reading a request body, to distinguish
+// it from an error of the connection.
+type bodyErrorRecorder struct {
 	io.ReadCloser
 	err error
 }
 
-func (recorder *failureRecorder) Read(buffer []byte) (int, error) {
+func (recorder *bodyErrorRecorder) Read(buffer []byte) (int, error) {
 	count, err := recorder.ReadCloser.Read(buffer)
 	if err != nil && err != io.EOF {
 		recorder.err = err
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -11,29 +11,32 @@
 	"sync/atomic"
 )
 
-// inlineBodyLimit in bytes: bodies up to it are written before the answer is
-// read; larger ones are written beside it, so that an early answer is seen.
+// inlineBodyLimit is the size in bytes up to which a body is written before the
+// response is read. A larger one is written concurrently, so that an early
+// response is seen.
 const inlineBodyLimit = 32 << 10
 
-var errHeaderTooLarge = fmt.Errorf("answer header longer than %d bytes", maxHeaderBytes)
+var errHeaderTooLarge = fmt.Errorf("response header longer than %d bytes", maxHeaderBytes)
 
-// Do sends the request once and returns the answer's header. The caller reads
-// Response.Body to its end and closes it; a body that breaks off ends with an
-// error other than io.EOF. Cancelling ctx, also while the body is read, closes
-// the connection, which tells the peer (see Config.Linger). The request is written as by
-// http.Request.Write: URL, Host, Header, Body, ContentLength and Trailer count.
-// Every error wraps ErrNotSent or ErrInterrupted.
+// Do sends the request once and returns the response when its header has
+// arrived. The caller must read Response.Body to its end and close it; a
+// truncated body ends with an error other than io.EOF. Cancelling ctx, also
+// while the body is read, closes the connection, which tells the peer (see
+// Config.Linger). The request is written as by http.Request.Write: URL, Host,
+// Header, Body, ContentLength and Trailer are used. Every error wraps ErrNotSent
+// or ErrInterrupted.
 //
-// When the answer comes before the whole request body was read, the body may
+// When the response arrives before the whole request body was read, the body may
 // be read until Response.Body is closed and shortly after; a server handler
-// that passes its own body on must end that read with a read deadline.
+// that forwards its own body must end that read with a read deadline.
 func (pool *Pool) Do(ctx context.Context, request *http.Request) (*http.Response, error) {
 	return pool.DoNotify(ctx, request, func() {})
 }
 
-// DoNotify is Do and calls ended once, on any goroutine, when the peer has
-// ended with the request: it answered whole, nothing was sent, the connection
-// broke, or, for a request that was given up, as Config.Linger says.
+// DoNotify is like Do, and calls ended once, on any goroutine, when the peer is
+// done with the request: when the whole response was read, nothing was sent, the
+// connection broke or, for a cancelled request, when the peer has closed the
+// connection or Config.Linger is over.
 func (pool *Pool) DoNotify(ctx context.Context, request *http.Request, ended func()) (*http.Response, error) {
 	connection, err := pool.acquire(ctx)
 	if err != nil {
@@ -41,12 +44,12 @@
 		ended()
 		return nil, fmt.Errorf("%w: %s: %w", ErrNotSent, pool.config.Address, err)
 	}
-	connection.wake()
-	running := &exchange{pool: pool, conn: connection, ctx: ctx, ended: ended}
-	running.stopWatch = context.AfterFunc(ctx, running.interrupt)
-	response, err := running.run(request)
+	connection.acquireBuffers()
+	e := &exchange{pool: pool, conn: connection, ctx: ctx, ended: ended}
+	e.stopInterrupt = context.AfterFunc(ctx, e.interrupt)
+	response, err := e.run(request)
 	if err != nil {
-		return nil, running.fail(err)
+		return nil, e.fail(err)
 	}
 	return response, nil
 }
@@ -57,49 +60,52 @@
 	}
 }
 
-// exchange is one request and its answer on one connection.
+// exchange is one request and its response on one connection.
 type exchange struct {
-	pool      *Pool
-	conn      *conn
-	ctx       context.Context
-	ended     func()
-	stopWatch func() bool
-	// inlineWrite says that the request is written before the answer is read.
+	pool          *Pool
+	conn          *conn
+	ctx           context.Context
+	ended         func()
+	stopInterrupt func() bool
+	// inlineWrite is set if the request is written before the response is read.
 	inlineWrite bool
-	// written is set once the whole request has been handed over.
+	// written is set once the whole request was handed to the operating system.
 	written   atomic.Bool
 	bodyError atomic.Pointer[error]
 	keepAlive bool
-	finish    sync.Once
+	endOnce   sync.Once
 }
 
-func (running *exchange) run(request *http.Request) (*http.Response, error) {
-	running.conn.sink.sent = 0
-	running.inlineWrite = inlineBody(request)
-	if running.inlineWrite {
-		if err := running.write(request); err != nil {
+// run writes the request and reads the response's header.
+func (e *exchange) run(request *http.Request) (*http.Response, error) {
+	e.conn.netWriter.sent = 0
+	e.inlineWrite = canWriteInline(request)
+	if e.inlineWrite {
+		if err := e.write(request); err != nil {
 			return nil, err
 		}
 	} else {
-		go func() { _ = running.write(request) }()
+		go func() { _ = e.write(request) }()
 	}
-	response, err := running.readHeader(request)
+	response, err := e.readHeader(request)
 	if err != nil {
 		return nil, err
 	}
-	if undelimited(response) {
+	if isUndelimited(response) {
 		return nil, ErrUndelimited
 	}
-	running.keepAlive = !response.Close && !request.Close
+	e.keepAlive = !response.Close && !request.Close
 	if response.Body == http.NoBody {
-		running.end(true)
+		e.end(true)
 		return response, nil
 	}
-	response.Body = &answerBody{source: response.Body, exchange: running}
+	response.Body = &responseBody{source: response.Body, exchange: e}
 	return response, nil
 }
 
-func inlineBody(request *http.Request) bool {
+// canWriteInline reports whether the request is written before the response is
+// read: it has no body, or one of known length up to inlineBodyLimit.
+func canWriteInline(request *http.Request) bool {
 	if request.Body == nil || request.Body == http.NoBody {
 		return true
 	}
@@ -108,40 +114,41 @@
 
 // write hands the request to the operating system. When the request's own
 // body fails, the connection is closed: the peer must not wait for the rest.
-func (running *exchange) write(request *http.Request) error {
-	var recorder *failureRecorder
+func (e *exchange) write(request *http.Request) error {
+	var recorder *bodyErrorRecorder
 	if request.Body != nil && request.Body != http.NoBody {
-		recorder = &failureRecorder{ReadCloser: request.Body}
+		recorder = &bodyErrorRecorder{ReadCloser: request.Body}
 		copied := *request
 		copied.Body = recorder
 		request = &copied
 	}
-	err := writeRequest(running.conn.writer, request)
+	err := writeRequest(e.conn.writer, request)
 	if err == nil {
-		err = running.conn.writer.Flush()
+		err = e.conn.writer.Flush()
 	}
 	if err == nil {
-		running.written.Store(true)
+		e.written.Store(true)
 		return nil
 	}
 	if recorder != nil && recorder.err != nil {
-		running.bodyError.Store(&recorder.err)
-		running.conn.close()
+		e.bodyError.Store(&recorder.err)
+		e.conn.close()
 	}
 	return err
 }
 
-// readHeader reads the final answer's header; interim ones (1xx) are dropped.
-func (running *exchange) readHeader(request *http.Request) (*http.Response, error) {
+// readHeader reads the final response's header and discards interim responses
+// (1xx).
+func (e *exchange) readHeader(request *http.Request) (*http.Response, error) {
 	for {
-		running.conn.source.left = maxHeaderBytes
-		response, err := http.ReadResponse(running.conn.reader, request)
-		running.conn.source.left = math.MaxInt64
+		e.conn.netReader.remaining = maxHeaderBytes
+		response, err := http.ReadResponse(e.conn.reader, request)
+		e.conn.netReader.remaining = math.MaxInt64
 		if err != nil {
 			return nil, err
 		}
 		if response.StatusCode == http.StatusSwitchingProtocols {
-			return nil, errors.New("peer switched protocols unasked")
+			return nil, errors.New("peer switched protocols without a request to do so")
 		}
 		if response.StatusCode >= http.StatusOK {
 			return response, nil
@@ -149,105 +156,106 @@
 	}
 }
 
-// undelimited says that only the connection's end would end the body.
-func undelimited(response *http.Response) bool {
+// isUndelimited reports whether only the end of the connection would end the
+// body.
+func isUndelimited(response *http.Response) bool {
 	if response.ContentLength >= 0 || len(response.TransferEncoding) > 0 {
 		return false
 	}
 	return response.Body != http.NoBody
 }
 
-// interrupt wakes up whoever uses the connection of a request that was given
-// up.
-func (running *exchange) interrupt() {
-	if running.pool.config.Linger > 0 {
-		running.conn.interrupt()
+// interrupt ends reads and writes on the connection of a cancelled request.
+func (e *exchange) interrupt() {
+	if e.pool.config.Linger > 0 {
+		e.conn.interrupt()
 		return
 	}
-	running.conn.close()
+	e.conn.close()
 }
 
-// fail ends an exchange that has no answer and classifies its error.
-func (running *exchange) fail(err error) error {
-	running.suspectIdle()
-	running.endBroken()
-	if cause := context.Cause(running.ctx); cause != nil {
+// fail ends an exchange that has no response and classifies its error.
+func (e *exchange) fail(err error) error {
+	e.closeIdleAfterTimeout()
+	e.endFailed()
+	if cause := context.Cause(e.ctx); cause != nil {
 		err = errors.Join(cause, err)
 	}
-	if bodyError := running.bodyError.Load(); bodyError != nil {
+	if bodyError := e.bodyError.Load(); bodyError != nil {
 		err = fmt.Errorf("request body: %w", *bodyError)
 	}
 	kind := ErrInterrupted
-	if running.nothingSent() {
+	if e.nothingSent() {
 		kind = ErrNotSent
 	}
-	return fmt.Errorf("%w: %s: %w", kind, running.pool.config.Address, err)
+	return fmt.Errorf("%w: %s: %w", kind, e.pool.config.Address, err)
 }
 
-// suspectIdle closes the idle connections to a peer that has answered nothing in
-// time on a connection that had been idle: where that one has gone silent, so may
-// the others have. If the peer is merely slow, they are made anew when needed.
-func (running *exchange) suspectIdle() {
-	if running.conn.rested && running.written.Load() && errors.Is(context.Cause(running.ctx), context.DeadlineExceeded) {
-		running.pool.CloseIdle()
+// closeIdleAfterTimeout closes the peer's idle connections if a request on a
+// connection that had been idle got no response before its deadline: if that
+// connection has silently failed, the others may have as well. If the peer is
+// merely slow, new connections are dialled when needed.
+func (e *exchange) closeIdleAfterTimeout() {
+	if e.conn.wasIdle && e.written.Load() && errors.Is(context.Cause(e.ctx), context.DeadlineExceeded) {
+		e.pool.CloseIdle()
 	}
 }
 
-// nothingSent is true only for an inline write that handed over no byte. A
-// write beside the reading may still go on, so it proves nothing.
-func (running *exchange) nothingSent() bool {
-	return running.inlineWrite && running.conn.sink.sent == 0
+// nothingSent reports whether it is certain that no byte was sent. That is so
+// only for an inline write: a concurrent one may still be in progress.
+func (e *exchange) nothingSent() bool {
+	return e.inlineWrite && e.conn.netWriter.sent == 0
 }
 
-// end gives the connection back once, or closes it. Whole says that the whole
-// answer was read.
-func (running *exchange) end(whole bool) {
-	running.finish.Do(func() {
-		inTime := running.stopWatch()
-		reusable := whole && inTime && running.keepAlive && running.written.Load() &&
-			running.conn.reader.Buffered() == 0
+// end returns the connection to the pool or closes it. Only the first call of end
+// or endFailed has an effect. Whole tells whether the whole response was read.
+func (e *exchange) end(whole bool) {
+	e.endOnce.Do(func() {
+		inTime := e.stopInterrupt()
+		reusable := whole && inTime && e.keepAlive && e.written.Load() &&
+			e.conn.reader.Buffered() == 0
 		switch {
 		case reusable:
-			running.pool.release(running.conn)
-		case !whole && running.pool.config.Linger > 0:
-			go running.linger()
+			e.pool.release(e.conn)
+		case !whole && e.pool.config.Linger > 0:
+			go e.linger()
 			return
 		default:
-			running.pool.discard(running.conn)
+			e.pool.discard(e.conn)
 		}
-		running.ended()
+		e.ended()
 	})
 }
 
-// endBroken ends an exchange whose connection failed. Where that came from
-// giving up, the peer may still be at work.
-func (running *exchange) endBroken() {
-	if running.ctx.Err() != nil && !running.nothingSent() {
-		running.end(false)
+// endFailed ends an exchange whose connection failed. If the reason is that the
+// request was cancelled, the peer may still be working on it.
+func (e *exchange) endFailed() {
+	if e.ctx.Err() != nil && !e.nothingSent() {
+		e.end(false)
 		return
 	}
-	running.finish.Do(func() {
-		running.stopWatch()
-		running.pool.discard(running.conn)
-		running.ended()
+	e.endOnce.Do(func() {
+		e.stopInterrupt()
+		e.pool.discard(e.conn)
+		e.ended()
 	})
 }
 
 // linger waits until the peer closes its side of the connection.
-func (running *exchange) linger() {
-	running.conn.awaitEnd(running.pool.config.Linger)
-	running.pool.discard(running.conn)
-	running.ended()
+func (e *exchange) linger() {
+	e.conn.awaitPeerClose(e.pool.config.Linger)
+	e.pool.discard(e.conn)
+	e.ended()
 }
 
-// answerBody gives the connection back when the answer was read to its end.
-type answerBody struct {
+// responseBody ends the exchange when the response was read to its end.
+type responseBody struct {
 	source   io.ReadCloser
 	exchange *exchange
 }
 
 // Read returns io.EOF only at the end of a whole body.
-func (body *answerBody) Read(buffer []byte) (int, error) {
+func (body *responseBody) Read(buffer []byte) (int, error) {
 	count, err := body.source.Read(buffer)
 	switch {
 	case err == io.EOF:
@@ -256,14 +264,14 @@
 		if cause := context.Cause(body.exchange.ctx); cause != nil {
 			err = errors.Join(cause, err)
 		}
-		body.exchange.endBroken()
+		body.exchange.endFailed()
 	}
 	return count, err
 }
 
-// Close ends the exchange; the connection is closed too unless the body had
-// been read to its end.
-func (body *answerBody) Close() error {
+// Close ends the exchange. It closes the connection too, unless the body was
+// read to its end.
+func (body *responseBody) Close() error {
 	body.exchange.end(false)
 	return nil
 }
--- a/internal/upstream/idle_test.go
+++ b/internal/upstream/idle_test.go
@@ -15,35 +15,36 @@
 	"gotest.tools/v3/assert"
 )
 
-// A process has a pool for each of hundreds of peers, most of which it rarely
-// sends anything.
-func TestAPoolWithoutConnectionsRunsNothing(t *testing.T) {
+// A process has a pool for each of hundreds of peers, and rarely sends requests
+// to most of them. Such pools must not use goroutines or timers.
+func TestPoolWithoutConnectionsRunsNothing(t *testing.T) {
 	before := runtime.NumGoroutine()
 	for range 50 {
 		pool := newPool(t, Config{Address: "127.0.0.1:1", MinWarm: -1})
-		assert.Assert(t, !pool.planned)
+		assert.Assert(t, !pool.maintenanceScheduled)
 	}
 	assert.Equal(t, runtime.NumGoroutine(), before)
 }
 
-// Idle connections cost nothing until one of them is to be closed.
-func TestUnusedConnectionsAreClosedInTime(t *testing.T) {
+// Maintenance of idle connections is scheduled for the time at which one of them
+// must be closed, and not at all once none is left.
+func TestUnusedConnectionsAreClosedAfterIdleTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pool := newPool(t, Config{Address: "pipe", MinWarm: -1, IdleTimeout: 20 * time.Second, Dial: func(context.Context, string) (net.Conn, error) {
-			near, far := net.Pipe()
-			t.Cleanup(func() { _ = far.Close() })
-			return near, nil
+			client, server := net.Pipe()
+			t.Cleanup(func() { _ = server.Close() })
+			return client, nil
 		}})
 		var busy []*conn
 		for range 3 {
 			connection, err := pool.acquire(t.Context())
 			assert.NilError(t, err)
-			connection.wake()
+			connection.acquireBuffers()
 			busy = append(busy, connection)
 		}
 		for _, connection := range busy {
 			pool.release(connection)
-			assert.Assert(t, connection.reader == nil, "it keeps its buffers while it is idle")
+			assert.Assert(t, connection.reader == nil, "an idle connection must not keep its buffers")
 			time.Sleep(5 * time.Second)
 		}
 		began := time.Now() // 15 s after the first release
@@ -54,19 +55,19 @@
 		assert.Equal(t, pool.Stats().Idle, 0)
 		assert.Equal(t, pool.Stats().Open, 0)
 		assert.Assert(t, time.Since(began) < 16*time.Second)
-		assert.Assert(t, !pool.planned)
+		assert.Assert(t, !pool.maintenanceScheduled)
 	})
 }
 
-// expiring is a context whose deadline passes when the test says so.
-type expiring struct {
+// manualDeadlineContext is a context whose deadline passes when done is closed.
+type manualDeadlineContext struct {
 	context.Context
 	done chan struct{}
 }
 
-func (e *expiring) Done() <-chan struct{} { return e.done }
+func (e *manualDeadlineContext) Done() <-chan struct{} { return e.done }
 
-func (e *expiring) Err() error {
+func (e *manualDeadlineContext) Err() error {
 	select {
 	case <-e.done:
 		return context.DeadlineExceeded
@@ -75,31 +76,32 @@
 	}
 }
 
-// awaitRequests returns when a peer has read a number of requests.
-func awaitRequests(scripted *peer, count int64) {
+// awaitRequests waits until a peer has read a number of requests.
+func awaitRequests(scripted *scriptedPeer, count int64) {
 	for scripted.requests.Load() < count {
 		runtime.Gosched()
 	}
 }
 
-// Open connections may go silent while new ones work; only time tells. One request
-// finds it out, not one for each idle connection.
-func TestConnectionsThatHaveGoneSilentCostOneRequest(t *testing.T) {
+// Open connections can fail silently while new ones work, which only a timeout
+// reveals. After one request has timed out on an idle connection, the others must
+// be closed, so that no further request fails.
+func TestTimeoutOnIdleConnectionClosesAllIdle(t *testing.T) {
 	const kept = 3
 	var silent atomic.Bool
-	answer := make(chan struct{})
+	respond := make(chan struct{})
 	scripted := startPeer(t, func(_ int, conn net.Conn, next func() (*http.Request, error)) {
-		old := false
+		reused := false
 		for {
 			if _, err := next(); err != nil {
 				return
 			}
-			if old && silent.Load() {
+			if reused && silent.Load() {
 				continue
 			}
-			<-answer
-			_, _ = io.WriteString(conn, okAnswer)
-			old = true
+			<-respond
+			_, _ = io.WriteString(conn, okResponse)
+			reused = true
 		}
 	})
 	pool := newPool(t, Config{Address: scripted.listener.Addr().String(), MinWarm: -1})
@@ -112,11 +114,11 @@
 		})
 	}
 	awaitRequests(scripted, kept)
-	close(answer)
+	close(respond)
 	all.Wait()
 	assert.Equal(t, pool.Stats().Idle, kept)
 	silent.Store(true)
-	ctx := &expiring{t.Context(), make(chan struct{})}
+	ctx := &manualDeadlineContext{t.Context(), make(chan struct{})}
 	go func() {
 		awaitRequests(scripted, kept+1)
 		close(ctx.done)
--- a/internal/upstream/linger_test.go
+++ b/internal/upstream/linger_test.go
@@ -18,15 +18,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestGivenUpRequestEndsWhenThePeerSaysSo: the caller hears at once, the end is
-// told once the peer has stopped its run.
-func TestGivenUpRequestEndsWhenThePeerSaysSo(t *testing.T) {
+// The caller of a cancelled request gets its error at once, while ended is called
+// only when the peer has stopped running the request and closed the connection.
+func TestCancelledRequestEndsWhenPeerCloses(t *testing.T) {
 	received, stopRun := make(chan struct{}), make(chan struct{})
 	scripted := startPeer(t, func(_ int, conn net.Conn, next func() (*http.Request, error)) {
 		_, _ = next()
 		close(received)
 		_, err := next()
-		assert.Check(t, err == io.EOF, "the peer sees that the caller left: %v", err)
+		assert.Check(t, err == io.EOF, "the peer must see that the connection is closed for writing: %v", err)
 		<-stopRun
 	})
 	pool := newPool(t, Config{Address: scripted.listener.Addr().String(), MinWarm: -1, MaxConnections: 1, Linger: time.Minute})
@@ -42,21 +42,23 @@
 	assert.ErrorIs(t, <-failed, ErrInterrupted)
 	select {
 	case <-ended:
-		t.Fatal("ended while the peer runs it")
+		t.Fatal("ended was called while the peer still runs the request")
 	default:
 	}
-	assert.Equal(t, pool.Stats().Open, 1, "the connection counts until then")
+	assert.Equal(t, pool.Stats().Open, 1, "the connection counts as open until the peer closes it")
 	close(stopRun)
 	<-ended
 	assert.Equal(t, pool.Stats().Open, 0)
 }
 
+// A peer that hangs and never closes the connection must not hold it open for
+// longer than Linger.
 func TestLingerIsBounded(t *testing.T) {
 	received := make(chan struct{})
 	scripted := startPeer(t, func(_ int, _ net.Conn, next func() (*http.Request, error)) {
 		_, _ = next()
 		close(received)
-		select {} // frozen
+		select {} // hangs
 	})
 	pool := newPool(t, Config{Address: scripted.listener.Addr().String(), MinWarm: -1, Linger: 10 * time.Millisecond})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -70,54 +72,54 @@
 	<-ended
 }
 
-func TestEndIsToldOnceForEachRequest(t *testing.T) {
-	answers := 0
+func TestEndedIsCalledOncePerRequest(t *testing.T) {
+	responses := 0
 	scripted := startPeer(t, func(_ int, conn net.Conn, next func() (*http.Request, error)) {
 		for {
 			if _, err := next(); err != nil {
 				return
 			}
-			answers++
-			if answers == 3 {
+			responses++
+			if responses == 3 {
 				return
 			}
-			_, _ = io.WriteString(conn, okAnswer)
+			_, _ = io.WriteString(conn, okResponse)
 		}
 	})
 	pool := newPool(t, Config{Address: scripted.listener.Addr().String(), MinWarm: -1, Linger: time.Minute})
-	ends := 0
+	endedCalls := 0
 	for range 2 {
-		response, err := pool.DoNotify(context.Background(), newRequest(t, http.MethodGet, ""), func() { ends++ })
+		response, err := pool.DoNotify(context.Background(), newRequest(t, http.MethodGet, ""), func() { endedCalls++ })
 		assert.NilError(t, err)
 		readAll(t, response)
 	}
-	assert.Equal(t, ends, 2)
-	_, err := pool.DoNotify(context.Background(), newRequest(t, http.MethodGet, ""), func() { ends++ })
+	assert.Equal(t, endedCalls, 2)
+	_, err := pool.DoNotify(context.Background(), newRequest(t, http.MethodGet, ""), func() { endedCalls++ })
 	assert.ErrorIs(t, err, ErrInterrupted)
-	assert.Equal(t, ends, 3)
+	assert.Equal(t, endedCalls, 3)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_, err = pool.DoNotify(ctx, newRequest(t, http.MethodGet, ""), func() { ends++ })
+	_, err = pool.DoNotify(ctx, newRequest(t, http.MethodGet, ""), func() { endedCalls++ })
 	assert.ErrorIs(t, err, ErrNotSent)
-	assert.Equal(t, ends, 4)
+	assert.Equal(t, endedCalls, 4)
 }
 
-// netHTTPClients are names of net/http that send requests by http.Transport,
-// which sends some requests twice.
+// netHTTPClients are the names of net/http that send requests through
+// http.Transport, which sends some requests twice.
 var netHTTPClients = []string{"Transport", "Client", "DefaultClient", "DefaultTransport", "Get", "Head", "Post", "PostForm"}
 
-// offRequestPath may use them: operators' calls carry their own request ids,
-// and the machine list is only read.
-var offRequestPath = []string{"admin", "controller"}
+// packagesOffRequestPath may use netHTTPClients: operators' calls carry their own
+// request IDs, and the machine list is only read.
+var packagesOffRequestPath = []string{"admin", "controller"}
 
-// TestRequestPathUsesNoNetHTTPClient looks through the product's sources.
+// TestRequestPathUsesNoNetHTTPClient parses the sources of all internal packages.
 func TestRequestPathUsesNoNetHTTPClient(t *testing.T) {
 	files := 0
 	err := filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
 		}
-		if slices.Contains(offRequestPath, strings.Split(path, string(filepath.Separator))[1]) {
+		if slices.Contains(packagesOffRequestPath, strings.Split(path, string(filepath.Separator))[1]) {
 			return nil
 		}
 		files++
@@ -131,13 +133,13 @@
 			if !ok {
 				return true
 			}
-			of, ok := selector.X.(*ast.Ident)
-			used := ok && of.Name == "http" && slices.Contains(netHTTPClients, selector.Sel.Name)
+			packageName, ok := selector.X.(*ast.Ident)
+			used := ok && packageName.Name == "http" && slices.Contains(netHTTPClients, selector.Sel.Name)
 			assert.Check(t, !used, "%s uses http.%s", set.Position(node.Pos()), selector.Sel.Name)
 			return true
 		})
 		return nil
 	})
 	assert.NilError(t, err)
-	assert.Assert(t, files > 100, "%d files", files)
+	assert.Assert(t, files > 100, "only %d files were checked", files)
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -12,14 +12,14 @@
 // Errors of Pool.Do. One of ErrNotSent and ErrInterrupted is in every error
 // that Do returns; the cause is wrapped beside it.
 var (
-	// ErrNotSent is proof that no byte of the request left this process.
+	// ErrNotSent proves that no byte of the request left this process.
 	ErrNotSent = errors.New("request not sent")
-	// ErrInterrupted says that at least one byte may have left and no whole
-	// answer header arrived: the peer may have run the request.
+	// ErrInterrupted means that at least one byte may have left and no whole
+	// response header arrived: the peer may have run the request.
 	ErrInterrupted = errors.New("request interrupted")
-	// ErrUndelimited says that the answer had neither length nor chunks.
-	ErrUndelimited = errors.New("answer without length or chunks")
-	// ErrClosed says that the pool was closed.
+	// ErrUndelimited means that the response had neither length nor chunks.
+	ErrUndelimited = errors.New("response without length or chunks")
+	// ErrClosed means that the pool was closed.
 	ErrClosed = errors.New("connection pool closed")
 )
 
@@ -29,31 +29,31 @@
 	DefaultMinWarm        = 2
 	DefaultDialTimeout    = 500 * time.Millisecond
 	DefaultIdleTimeout    = 60 * time.Second
-	// maintenanceInterval is how often connections are examined that are kept open,
-	// and at most how often unused ones are closed.
+	// maintenanceInterval is how often warm connections are checked, and the
+	// shortest interval at which unused ones are closed.
 	maintenanceInterval = time.Second
 )
 
-// Config of a Pool. Zero fields take the defaults.
+// Config configures a Pool. Zero fields take the defaults.
 type Config struct {
 	// Address of the peer, "IP:port".
 	Address string
-	// MaxConnections bounds open connections, busy, idle and being dialled.
+	// MaxConnections bounds open connections: busy, idle and being dialled.
 	MaxConnections int
 	// MinWarm is how many connections are kept open when nothing is sent.
 	// Negative keeps none.
 	MinWarm int
-	// DialTimeout bounds the making of one connection.
+	// DialTimeout bounds one dial.
 	DialTimeout time.Duration
-	// IdleTimeout closes connections beyond MinWarm that were unused for so
-	// long. It must be shorter than the peer's own idle timeout.
+	// IdleTimeout is how long a connection beyond MinWarm may be unused before
+	// it is closed. It must be shorter than the peer's own idle timeout.
 	IdleTimeout time.Duration
-	// Linger is for how long the connection of a request that was given up stays
-	// open, closed for writing only, until the peer closes it. A peer that stops
-	// the run then has done so before the connection counts as closed. Zero
-	// closes at once.
+	// Linger is how long the connection of a cancelled request stays open, closed
+	// for writing only, until the peer closes it. A peer that stops running the
+	// request when it notices has then done so before the connection counts as
+	// closed. Zero closes at once.
 	Linger time.Duration
-	// Dial makes a connection to Address; nil dials TCP.
+	// Dial opens a connection to Address; nil dials TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
@@ -82,13 +82,14 @@
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// Stats are counts of a pool since it was made, and its present size.
+// Stats holds counters of a pool since its creation, and its present size.
 type Stats struct {
-	// Open connections, of which Idle are unused; Dialling are being made.
+	// Open counts open connections, Idle the unused ones among them, and Dialling
+	// those that are being dialled and are not open yet.
 	Open, Idle, Dialling int
-	// Waiting requests have no connection yet.
+	// Waiting counts requests that have no connection yet.
 	Waiting int
-	// Dials begun, and those of them that failed.
+	// Dials counts started dials, DialFailures those of them that failed.
 	Dials, DialFailures uint64
 	// Reused counts requests sent on a connection that had carried another.
 	Reused uint64
@@ -105,27 +106,29 @@
 	mutex  sync.Mutex
 	closed bool
 	idle   []*conn // the last one was used most recently
-	// maintenance runs when connections are to be examined; planned says that it
-	// will. Without connections it never runs: a process may have a pool for each of
-	// hundreds of peers.
-	maintenance *time.Timer
-	planned     bool
-	open        int
-	dialling    int
-	waiters     []*waiter // first come, first served
-	stats       Stats
+	// maintenance calls maintain; maintenanceScheduled is set while a call is
+	// due. A pool without connections and with MinWarm 0 schedules none, because
+	// a process may have a pool for each of hundreds of peers.
+	maintenance          *time.Timer
+	maintenanceScheduled bool
+	open                 int
+	dialling             int
+	waiters              []*waiter // first come, first served
+	stats                Stats
 }
 
-// waiter is a request without a connection; result takes one value.
-type waiter struct{ result chan dialled }
+// waiter is a request that waits for a connection. Exactly one value is sent to
+// result, unless the waiter is removed first.
+type waiter struct{ result chan acquireResult }
 
-type dialled struct {
+// acquireResult is a connection for a waiter, or the error that it gets.
+type acquireResult struct {
 	conn *conn
 	err  error
 }
 
-// New returns a pool and begins to make its warm connections in the
-// background. Close ends it.
+// New returns a pool and starts to dial its warm connections in the background.
+// The caller must Close it.
 func New(config Config) (*Pool, error) {
 	if config.Address == "" {
 		return nil, errors.New("upstream: no address")
@@ -136,12 +139,13 @@
 	pool := &Pool{config: config.withDefaults()}
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	pool.topUp()
-	pool.planMaintenance()
+	pool.dialWarm()
+	pool.scheduleMaintenance()
 	return pool, nil
 }
 
-// Close closes idle connections, and busy ones when their request ends.
+// Close closes idle connections at once and busy ones when their request ends.
+// Waiting and later requests fail with ErrClosed.
 func (pool *Pool) Close() {
 	pool.mutex.Lock()
 	if pool.closed {
@@ -160,12 +164,12 @@
 		connection.close()
 	}
 	for _, waiting := range waiters {
-		waiting.result <- dialled{err: ErrClosed}
+		waiting.result <- acquireResult{err: ErrClosed}
 	}
 }
 
-// CloseIdle closes the connections that carry no request now. Later requests
-// make new ones.
+// CloseIdle closes the connections that are idle now. Later requests dial new
+// ones.
 func (pool *Pool) CloseIdle() {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
@@ -192,12 +196,13 @@
 	pool.dialForWaiters()
 }
 
-// overLimit says that a connection must be closed. The caller holds the mutex.
+// overLimit reports whether there are more connections than MaxConnections. The
+// caller holds the mutex.
 func (pool *Pool) overLimit() bool {
 	return pool.open+pool.dialling > pool.config.MaxConnections
 }
 
-// Stats returns the pool's counts.
+// Stats returns the pool's counters and present size.
 func (pool *Pool) Stats() Stats {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
@@ -209,8 +214,8 @@
 	return stats
 }
 
-// acquire returns a connection that the caller alone may use until release.
-// It waits for one to become free when MaxConnections are open.
+// acquire returns a connection for the caller's exclusive use until release or
+// discard. It waits for a free one when MaxConnections are open.
 func (pool *Pool) acquire(ctx context.Context) (*conn, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, context.Cause(ctx)
@@ -222,18 +227,20 @@
 	}
 	if connection := pool.takeIdle(); connection != nil {
 		pool.stats.Reused++
-		connection.rested = true
+		connection.wasIdle = true
 		pool.mutex.Unlock()
 		return connection, nil
 	}
-	waiting := &waiter{result: make(chan dialled, 1)}
+	waiting := &waiter{result: make(chan acquireResult, 1)}
 	pool.waiters = append(pool.waiters, waiting)
 	pool.dialForWaiters()
 	pool.mutex.Unlock()
-	return pool.wait(ctx, waiting)
+	return pool.awaitConnection(ctx, waiting)
 }
 
-func (pool *Pool) wait(ctx context.Context, waiting *waiter) (*conn, error) {
+// awaitConnection waits for the result of a waiter. When the context ends first,
+// a connection that arrives at the same time goes back to the pool.
+func (pool *Pool) awaitConnection(ctx context.Context, waiting *waiter) (*conn, error) {
 	select {
 	case result := <-waiting.result:
 		return result.conn, result.err
@@ -248,7 +255,8 @@
 	return nil, context.Cause(ctx)
 }
 
-// removeWaiter returns false when a result is already on its way.
+// removeWaiter removes a waiter, or returns false if its result was sent already
+// or is about to be.
 func (pool *Pool) removeWaiter(waiting *waiter) bool {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
@@ -261,14 +269,14 @@
 	return false
 }
 
-// takeIdle returns the most recently used idle connection that the peer has
-// not closed, or nil. The caller holds the mutex.
+// takeIdle removes and returns the most recently used idle connection that is
+// healthy, or nil, and closes those that are not. The caller holds the mutex.
 func (pool *Pool) takeIdle() *conn {
 	for len(pool.idle) > 0 {
 		last := len(pool.idle) - 1
 		connection := pool.idle[last]
 		pool.idle = pool.idle[:last]
-		if connection.quiet() {
+		if connection.healthy() {
 			return connection
 		}
 		pool.stats.FoundClosed++
@@ -278,22 +286,23 @@
 	return nil
 }
 
-// dialForWaiters begins a dial for each waiter that has none coming, as far
-// as MaxConnections allows. The caller holds the mutex.
+// dialForWaiters starts dials until there are as many as waiters, as far as
+// MaxConnections allows. The caller holds the mutex.
 func (pool *Pool) dialForWaiters() {
 	for pool.dialling < len(pool.waiters) && pool.open+pool.dialling < pool.config.MaxConnections {
 		pool.beginDial()
 	}
 }
 
-// beginDial makes one connection in the background: a request that gives up
-// while it is made doesn't waste it. The caller holds the mutex.
+// beginDial dials one connection in the background, so that it isn't lost when
+// the request that waits for it is cancelled. The caller holds the mutex.
 func (pool *Pool) beginDial() {
 	pool.dialling++
 	pool.stats.Dials++
 	go pool.dial()
 }
 
+// dial opens a connection and gives it to the first waiter or to the pool.
 func (pool *Pool) dial() {
 	ctx, cancel := context.WithTimeout(context.Background(), pool.config.DialTimeout)
 	defer cancel()
@@ -310,14 +319,14 @@
 	pool.release(connection)
 }
 
-// dialFailed tells the first waiter; the others' own dials go on.
+// dialFailed fails the first waiter. The dials for the other waiters go on.
 func (pool *Pool) dialFailed(err error) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
 	pool.dialling--
 	pool.stats.DialFailures++
 	if waiting := pool.nextWaiter(); waiting != nil {
-		waiting.result <- dialled{err: err}
+		waiting.result <- acquireResult{err: err}
 	}
 	pool.dialForWaiters()
 }
@@ -333,7 +342,7 @@
 	return first
 }
 
-// release gives back a connection that can carry another request.
+// release returns a connection that can carry another request to the pool.
 func (pool *Pool) release(connection *conn) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
@@ -342,15 +351,15 @@
 		connection.close()
 		return
 	}
-	connection.rested = false
+	connection.wasIdle = false
 	if waiting := pool.nextWaiter(); waiting != nil {
-		waiting.result <- dialled{conn: connection}
+		waiting.result <- acquireResult{conn: connection}
 		return
 	}
-	connection.rest()
+	connection.releaseBuffers()
 	connection.idleSince = time.Now()
 	pool.idle = append(pool.idle, connection)
-	pool.planMaintenance()
+	pool.scheduleMaintenance()
 }
 
 // discard closes a connection that can't carry another request.
@@ -362,18 +371,18 @@
 	pool.dialForWaiters()
 }
 
-// planMaintenance makes maintain run when there will be something to do, unless it
-// is planned already. The caller holds the mutex.
-func (pool *Pool) planMaintenance() {
-	if pool.planned || pool.closed || (pool.config.MinWarm == 0 && len(pool.idle) == 0) {
+// scheduleMaintenance schedules the next call of maintain, unless one is due
+// already or there will be nothing to do. The caller holds the mutex.
+func (pool *Pool) scheduleMaintenance() {
+	if pool.maintenanceScheduled || pool.closed || (pool.config.MinWarm == 0 && len(pool.idle) == 0) {
 		return
 	}
 	wait := maintenanceInterval
 	if pool.config.MinWarm == 0 {
-		// The first of the idle ones has been unused for longest.
+		// The first idle connection has been unused for longest.
 		wait = max(wait, time.Until(pool.idle[0].idleSince.Add(pool.config.IdleTimeout)))
 	}
-	pool.planned = true
+	pool.maintenanceScheduled = true
 	if pool.maintenance == nil {
 		pool.maintenance = time.AfterFunc(wait, pool.maintain)
 		return
@@ -381,28 +390,29 @@
 	pool.maintenance.Reset(wait)
 }
 
-// maintain keeps MinWarm connections open and closes idle ones beyond them.
+// maintain keeps MinWarm connections open and closes those beyond that were
+// unused for too long.
 func (pool *Pool) maintain() {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
-	pool.planned = false
+	pool.maintenanceScheduled = false
 	pool.closeUnused(time.Now())
-	pool.topUp()
-	pool.planMaintenance()
+	pool.dialWarm()
+	pool.scheduleMaintenance()
 }
 
-// closeUnused closes idle connections that the peer closed, and those beyond
+// closeUnused closes idle connections that are not healthy, and those beyond
 // MinWarm that were unused for IdleTimeout. The caller holds the mutex.
 func (pool *Pool) closeUnused(now time.Time) {
 	kept := pool.idle[:0]
 	for _, connection := range pool.idle {
 		unused := now.Sub(connection.idleSince) >= pool.config.IdleTimeout
 		excess := unused && pool.open > pool.config.MinWarm
-		quiet := connection.quiet()
-		if !quiet {
+		healthy := connection.healthy()
+		if !healthy {
 			pool.stats.FoundClosed++
 		}
-		if quiet && !excess {
+		if healthy && !excess {
 			kept = append(kept, connection)
 			continue
 		}
@@ -413,11 +423,11 @@
 	pool.idle = kept
 }
 
-// topUp begins to make the connections that MinWarm lacks. The caller holds the
-// mutex.
-func (pool *Pool) topUp() {
-	warm := min(pool.config.MinWarm, pool.config.MaxConnections)
-	for !pool.closed && pool.open+pool.dialling < warm {
+// dialWarm starts dials until MinWarm connections are open or being dialled. The
+// caller holds the mutex.
+func (pool *Pool) dialWarm() {
+	wanted := min(pool.config.MinWarm, pool.config.MaxConnections)
+	for !pool.closed && pool.open+pool.dialling < wanted {
 		pool.beginDial()
 	}
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -18,18 +18,19 @@
 	"gotest.tools/v3/poll"
 )
 
-// peer is a scripted server: each connection runs script with its number,
-// counted from 1.
-type peer struct {
+// scriptedPeer is a server that runs a script on each connection.
+type scriptedPeer struct {
 	listener net.Listener
 	requests atomic.Int64
 }
 
-func startPeer(t *testing.T, script func(number int, conn net.Conn, next func() (*http.Request, error))) *peer {
+// startPeer starts a scripted peer. The script gets the number of the
+// connection, counted from 1, and a function that reads the next request.
+func startPeer(t *testing.T, script func(number int, conn net.Conn, next func() (*http.Request, error))) *scriptedPeer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	scripted := &peer{listener: listener}
+	scripted := &scriptedPeer{listener: listener}
 	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for number := 1; ; number++ {
@@ -80,15 +81,18 @@
 	return string(body)
 }
 
-const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-func TestRequestOnBrokenReusedConnectionIsNeverSentAgain(t *testing.T) {
-	answerOnceThenBreak := func(_ int, conn net.Conn, next func() (*http.Request, error)) {
+// The peer closes a reused connection after it has read the second request, and
+// without a response. The request may have run, so it must not be sent again, even
+// with an Idempotency-Key; http.Transport sends it again.
+func TestRequestOnBrokenReusedConnectionIsNotResent(t *testing.T) {
+	respondOnceThenClose := func(_ int, conn net.Conn, next func() (*http.Request, error)) {
 		if _, err := next(); err != nil {
 			return
 		}
-		_, _ = io.WriteString(conn, okAnswer)
-		_, _ = next() // reads the second request and closes without an answer
+		_, _ = io.WriteString(conn, okResponse)
+		_, _ = next() // reads the second request and closes without a response
 	}
 	send := func(t *testing.T, do func(*http.Request) (*http.Response, error)) error {
 		t.Helper()
@@ -103,8 +107,8 @@
 		}
 		return err
 	}
-	t.Run("net/http does send again", func(t *testing.T) {
-		scripted := startPeer(t, answerOnceThenBreak)
+	t.Run("net/http resends", func(t *testing.T) {
+		scripted := startPeer(t, respondOnceThenClose)
 		transport := &http.Transport{}
 		defer transport.CloseIdleConnections()
 		err := send(t, func(request *http.Request) (*http.Response, error) {
@@ -114,8 +118,8 @@
 		assert.NilError(t, err)
 		assert.Equal(t, scripted.requests.Load(), int64(3))
 	})
-	t.Run("pool does not", func(t *testing.T) {
-		scripted := startPeer(t, answerOnceThenBreak)
+	t.Run("pool does not resend", func(t *testing.T) {
+		scripted := startPeer(t, respondOnceThenClose)
 		pool := newPool(t, Config{Address: scripted.listener.Addr().String(), MinWarm: -1})
 		err := send(t, func(request *http.Request) (*http.Response, error) {
 			return pool.Do(context.Background(), request)
@@ -127,13 +131,13 @@
 	})
 }
 
-func TestConnectionClosedWhileIdleIsFoundBeforeWriting(t *testing.T) {
+func TestConnectionClosedWhileIdleIsDetectedBeforeWriting(t *testing.T) {
 	closed := make(chan struct{})
 	scripted := startPeer(t, func(number int, conn net.Conn, next func() (*http.Request, error)) {
 		if _, err := next(); err != nil {
 			return
 		}
-		_, _ = io.WriteString(conn, okAnswer)
+		_, _ = io.WriteString(conn, okResponse)
 		if number == 1 {
 			_ = conn.Close()
 			close(closed)
@@ -152,7 +156,7 @@
 	assert.Equal(t, pool.Stats().FoundClosed, uint64(1))
 }
 
-func TestRefusedConnectionProvesNotSent(t *testing.T) {
+func TestRefusedConnectionReturnsErrNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := listener.Addr().String()
@@ -163,15 +167,15 @@
 	assert.Equal(t, pool.Stats().Open, 0)
 }
 
-func TestTruncatedAnswersAreSeen(t *testing.T) {
-	for name, answer := range map[string]string{
+func TestTruncatedResponsesAreDetected(t *testing.T) {
+	for name, truncated := range map[string]string{
 		"length": "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nok",
 		"chunks": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			scripted := startPeer(t, func(_ int, conn net.Conn, next func() (*http.Request, error)) {
 				_, _ = next()
-				_, _ = io.WriteString(conn, answer)
+				_, _ = io.WriteString(conn, truncated)
 			})
 			pool := newPool(t, Config{Address: scripted.listener.Addr().String(), MinWarm: -1})
 			response, err := pool.Do(context.Background(), newRequest(t, http.MethodGet, ""))
@@ -192,18 +196,18 @@
 	})
 }
 
-func TestLateAnswerNeverReachesAnotherRequest(t *testing.T) {
-	gaveUp := make(chan struct{})
+func TestLateResponseNeverReachesAnotherRequest(t *testing.T) {
+	cancelled := make(chan struct{})
 	scripted := startPeer(t, func(number int, conn net.Conn, next func() (*http.Request, error)) {
 		if _, err := next(); err != nil {
 			return
 		}
 		if number == 1 {
-			<-gaveUp
+			<-cancelled
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate")
 			return
 		}
-		_, _ = io.WriteString(conn, okAnswer)
+		_, _ = io.WriteString(conn, okResponse)
 	})
 	pool := newPool(t, Config{Address: scripted.listener.Addr().String(), MinWarm: -1, MaxConnections: 1})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -212,26 +216,26 @@
 			if scripted.requests.Load() == 1 {
 				return poll.Success()
 			}
-			return poll.Continue("request not there yet")
+			return poll.Continue("request has not arrived yet")
 		})
 		cancel()
 	}()
 	_, err := pool.Do(ctx, newRequest(t, http.MethodGet, ""))
 	assert.ErrorIs(t, err, context.Canceled)
 	assert.ErrorIs(t, err, ErrInterrupted)
-	close(gaveUp)
+	close(cancelled)
 	response, err := pool.Do(context.Background(), newRequest(t, http.MethodGet, ""))
 	assert.NilError(t, err)
 	assert.Equal(t, readAll(t, response), "ok")
 }
 
-func TestUnaskedBytesEndAConnection(t *testing.T) {
+func TestUnsolicitedBytesCloseConnection(t *testing.T) {
 	wrote := make(chan struct{})
 	scripted := startPeer(t, func(number int, conn net.Conn, next func() (*http.Request, error)) {
 		if _, err := next(); err != nil {
 			return
 		}
-		_, _ = io.WriteString(conn, okAnswer)
+		_, _ = io.WriteString(conn, okResponse)
 		if number == 1 {
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
 			close(wrote)
@@ -248,7 +252,7 @@
 	assert.Equal(t, pool.Stats().Dials, uint64(2))
 }
 
-func TestConnectionsNeverExceedTheLimit(t *testing.T) {
+func TestConnectionsNeverExceedLimit(t *testing.T) {
 	const limit, callers = 3, 40
 	var open, highest atomic.Int64
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -279,7 +283,7 @@
 	assert.Assert(t, pool.Stats().Open <= limit)
 }
 
-func TestWaitingForAConnectionEndsWithTheContext(t *testing.T) {
+func TestWaitingForConnectionEndsWithContext(t *testing.T) {
 	finish := make(chan struct{})
 	scripted := startPeer(t, func(_ int, conn net.Conn, next func() (*http.Request, error)) {
 		_, _ = next()
@@ -290,15 +294,15 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var group sync.WaitGroup
 	group.Go(func() { _, _ = pool.Do(ctx, newRequest(t, http.MethodGet, "")) })
-	waitForWaiting(t, pool, scripted, 0)
-	waitingContext, giveUp := context.WithCancel(context.Background())
+	waitForWaiters(t, pool, scripted, 0)
+	waitingContext, cancelWaiting := context.WithCancel(context.Background())
 	result := make(chan error, 1)
 	go func() {
 		_, err := pool.Do(waitingContext, newRequest(t, http.MethodGet, ""))
 		result <- err
 	}()
-	waitForWaiting(t, pool, scripted, 1)
-	giveUp()
+	waitForWaiters(t, pool, scripted, 1)
+	cancelWaiting()
 	err := <-result
 	assert.ErrorIs(t, err, ErrNotSent)
 	assert.Equal(t, scripted.requests.Load(), int64(1))
@@ -306,7 +310,9 @@
 	group.Wait()
 }
 
-func waitForWaiting(t *testing.T, pool *Pool, scripted *peer, waiting int) {
+// waitForWaiters waits until the peer has read one request and a number of others
+// wait for a connection.
+func waitForWaiters(t *testing.T, pool *Pool, scripted *scriptedPeer, waiting int) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if scripted.requests.Load() == 1 && pool.Stats().Waiting == waiting {
@@ -316,7 +322,7 @@
 	})
 }
 
-func TestEarlyAnswerToALargeBodyIsSeen(t *testing.T) {
+func TestEarlyResponseToLargeBodyIsRead(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer listener.Close()
@@ -339,30 +345,30 @@
 	response, err := pool.Do(context.Background(), request)
 	assert.NilError(t, err)
 	assert.Equal(t, response.StatusCode, http.StatusRequestEntityTooLarge)
-	assert.Equal(t, pool.Stats().Open, 0, "a half-written connection is not kept")
+	assert.Equal(t, pool.Stats().Open, 0, "a connection with a partly written request must not be kept")
 }
 
-func TestBrokenRequestBodyClosesTheConnection(t *testing.T) {
-	sawEnd := make(chan error, 1)
+func TestFailedRequestBodyClosesConnection(t *testing.T) {
+	readErr := make(chan error, 1)
 	scripted := startPeer(t, func(_ int, _ net.Conn, next func() (*http.Request, error)) {
 		_, err := next()
-		sawEnd <- err
+		readErr <- err
 	})
 	pool := newPool(t, Config{Address: scripted.listener.Addr().String(), MinWarm: -1})
-	broken := errors.New("caller went away")
+	bodyErr := errors.New("caller disconnected")
 	request := newRequest(t, http.MethodPut, "")
-	request.Body = io.NopCloser(io.MultiReader(bytes.NewReader(make([]byte, 100)), failing{broken}))
+	request.Body = io.NopCloser(io.MultiReader(bytes.NewReader(make([]byte, 100)), errorReader{bodyErr}))
 	request.ContentLength = 1 << 20
 	_, err := pool.Do(context.Background(), request)
-	assert.ErrorIs(t, err, broken)
+	assert.ErrorIs(t, err, bodyErr)
 	assert.ErrorIs(t, err, ErrInterrupted)
-	assert.ErrorIs(t, <-sawEnd, io.ErrUnexpectedEOF)
+	assert.ErrorIs(t, <-readErr, io.ErrUnexpectedEOF)
 }
 
 type zeros struct{}
 
 func (zeros) Read(buffer []byte) (int, error) { return len(buffer), nil }
 
-type failing struct{ err error }
+type errorReader struct{ err error }
 
-func (source failing) Read([]byte) (int, error) { return 0, source.err }
+func (source errorReader) Read([]byte) (int, error) { return 0, source.err }
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -6,11 +6,12 @@
 	"strings"
 )
 
-// writeRequest writes a request as http.Request.Write does, which sorts the
-// header and looks at much that a look-up has not got. Requests without a body
-// and without anything unusual are written directly.
+// writeRequest writes a request that a server reads like the one that
+// http.Request.Write writes. It is faster for simple requests without a body,
+// as http.Request.Write sorts the header and handles many cases that these
+// don't have. All others are left to http.Request.Write.
 func writeRequest(writer *bufio.Writer, request *http.Request) error {
-	if !isPlain(request) {
+	if !isSimpleRequest(request) {
 		return request.Write(writer)
 	}
 	target := request.URL.RequestURI()
@@ -27,14 +28,14 @@
 			}
 		}
 	}
-	// A failed write sticks to the writer and is returned by Flush.
+	// The writer keeps the first error, and Flush returns it.
 	_, _ = writer.WriteString(request.Method)
 	_ = writer.WriteByte(' ')
 	_, _ = writer.WriteString(target)
 	_, _ = writer.WriteString(" HTTP/1.1\r\n")
 	writeField(writer, "Host", request.Host)
 	for name, values := range request.Header {
-		if isWrittenApart(name) {
+		if isReservedField(name) {
 			continue
 		}
 		for _, value := range values {
@@ -55,10 +56,10 @@
 	_, _ = writer.WriteString("\r\n")
 }
 
-// isPlain says that a request is a look-up without body, trailer or wish for
-// the connection's end, to a host of plain characters, and states its agent
-// (net/http adds its own where the header is absent).
-func isPlain(request *http.Request) bool {
+// isSimpleRequest reports whether a request is a GET or HEAD without body,
+// trailer or "Connection: close", to a host of plain characters, with a
+// User-Agent field (net/http adds its own where that is absent).
+func isSimpleRequest(request *http.Request) bool {
 	if request.Body != nil && request.Body != http.NoBody || request.ContentLength != 0 ||
 		request.Close || len(request.Trailer) > 0 || len(request.TransferEncoding) > 0 {
 		return false
@@ -66,13 +67,13 @@
 	if request.Method != http.MethodGet && request.Method != http.MethodHead {
 		return false
 	}
-	_, statesAgent := request.Header["User-Agent"]
-	return statesAgent && isHost(request.Host)
+	_, hasUserAgent := request.Header["User-Agent"]
+	return hasUserAgent && isHost(request.Host)
 }
 
-// isWrittenApart names the fields that net/http writes from other members of a
-// request.
-func isWrittenApart(name string) bool {
+// isReservedField reports whether net/http ignores a field in the header, because
+// it writes it from another field of the request, or handles it on its own.
+func isReservedField(name string) bool {
 	switch name {
 	case "Host", "User-Agent", "Content-Length", "Transfer-Encoding", "Trailer":
 		return true
@@ -80,6 +81,8 @@
 	return false
 }
 
+// isHost reports whether a host consists of letters, digits and the characters
+// of IP addresses and ports.
 func isHost(host string) bool {
 	for i := range len(host) {
 		if !isAlphanumeric(host[i]) && !strings.ContainsRune(".:-[]", rune(host[i])) {
@@ -89,7 +92,7 @@
 	return host != ""
 }
 
-// isToken says that a field name consists of letters, digits and hyphens.
+// isToken reports whether a field name consists of letters, digits and hyphens.
 func isToken(name string) bool {
 	for i := range len(name) {
 		if !isAlphanumeric(name[i]) && name[i] != '-' {
@@ -99,7 +102,8 @@
 	return name != ""
 }
 
-// isPrintable says that there is neither space nor control character.
+// isPrintable reports whether a text is not empty and has neither spaces nor
+// ASCII control characters.
 func isPrintable(text string) bool {
 	for i := range len(text) {
 		if text[i] <= ' ' || text[i] == 0x7f {
