--- a/internal/httpserver/accept_test.go
+++ b/internal/httpserver/accept_test.go
@@ -16,13 +16,13 @@
 	"github.com/quartzdock/quartzdock/internal/httpserver"
 )
 
-// exhausted is a listener of a process without a file for one more connection.
-type exhausted struct {
+// exhaustedListener is a listener of a process that has run out of file descriptors.
+type exhaustedListener struct {
 	once   sync.Once
 	closed chan struct{}
 }
 
-func (l *exhausted) Accept() (net.Conn, error) {
+func (l *exhaustedListener) Accept() (net.Conn, error) {
 	select {
 	case <-l.closed:
 		return nil, net.ErrClosed
@@ -31,25 +31,25 @@
 	}
 }
 
-func (l *exhausted) Close() error {
+func (l *exhaustedListener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
-func (l *exhausted) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *exhaustedListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (l *exhausted) SetDeadline(time.Time) error { return nil }
+func (l *exhaustedListener) SetDeadline(time.Time) error { return nil }
 
-// A listener that finds no file for a connection is tried again and again; a
-// stop does not wait for the next try. Time is virtual.
-func TestStopDoesNotWaitForTheNextTryToAccept(t *testing.T) {
+// When the process has run out of file descriptors, Accept is retried after a delay,
+// which a stop must not wait for. Time is virtual.
+func TestStopDoesNotWaitForAcceptRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		quiet := log.New(io.Discard, "", 0)
-		server := httpserver.New(&http.Server{ErrorLog: quiet}, &exhausted{closed: make(chan struct{})}, 0)
+		server := httpserver.New(&http.Server{ErrorLog: quiet}, &exhaustedListener{closed: make(chan struct{})}, 0)
 		served := make(chan error, 1)
 		go func() { served <- server.Serve() }()
-		// Long enough for the pauses of net/http to have grown to their full
-		// second, and in the midst of one.
+		// Long enough for the delays of net/http to have grown to their full
+		// second, and in the middle of one.
 		time.Sleep(10 * time.Second)
 		began := time.Now()
 		assert.NilError(t, server.Stop(t.Context()))
--- a/internal/httpserver/connection.go
+++ b/internal/httpserver/connection.go
@@ -10,46 +10,49 @@
 	"time"
 )
 
-// lastReadWait is how long the last read of a retired connection waits. What the
-// caller sent before is in the kernel already; a deadline that has passed would
-// not read it.
-const lastReadWait = time.Millisecond
+// finalReadTimeout bounds the last read of a retired connection. What the client
+// sent before is in the kernel already, but a read whose deadline has passed would
+// not return it.
+const finalReadTimeout = time.Millisecond
 
-// trackedConnection knows whether the caller has begun another request, which
-// http.ConnState shows only once the whole header was read.
+// trackedConnection records whether the client has begun to send another request.
+// http.ConnState shows this only once the whole header was read.
 type trackedConnection struct {
 	net.Conn
-	// free gives the slot of a limited connection back; nil where there is none.
-	free func()
+	// release releases the connection's slot; nil if it has none.
+	release func()
 
 	mutex sync.Mutex
-	// deadline for reading as the server set it.
+	// deadline is the read deadline that the server has set.
 	deadline time.Time
-	// received says that bytes were read since the connection became idle.
+	// received is set if bytes were read since the connection became idle.
 	received bool
-	// retiring says that reading ends once nothing more has arrived.
+	// retiring is set while the connection is being retired: the next read returns
+	// what has arrived, or io.EOF if nothing has.
 	retiring bool
 }
 
-// tracked returns the tracked connection below one that the server names.
-func tracked(connection net.Conn) (*trackedConnection, bool) {
-	if secured, ok := connection.(*tls.Conn); ok {
-		connection = secured.NetConn()
+// trackedConnectionOf returns the tracked connection behind one of the
+// http.Server's, which may be that of TLS.
+func trackedConnectionOf(connection net.Conn) (*trackedConnection, bool) {
+	if tlsConn, ok := connection.(*tls.Conn); ok {
+		connection = tlsConn.NetConn()
 	}
 	found, ok := connection.(*trackedConnection)
 	return found, ok
 }
 
-// Close implements net.Conn.
+// Close implements net.Conn. It releases the connection's slot.
 func (c *trackedConnection) Close() error {
 	err := c.Conn.Close()
-	if c.free != nil {
-		c.free()
+	if c.release != nil {
+		c.release()
 	}
 	return err
 }
 
-// SetReadDeadline implements net.Conn.
+// SetReadDeadline implements net.Conn. While the connection is being retired, it
+// only records the deadline.
 func (c *trackedConnection) SetReadDeadline(deadline time.Time) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -66,49 +69,49 @@
 }
 
 // Read implements net.Conn. On a retired connection it returns what has arrived,
-// which calls the retirement off, or io.EOF.
+// which cancels the retirement, or io.EOF.
 func (c *trackedConnection) Read(buffer []byte) (int, error) {
 	count, err := c.Conn.Read(buffer)
-	if count == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.beginLastRead() {
+	if count == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.beginFinalRead() {
 		if count, err = c.Conn.Read(buffer); count == 0 {
 			return 0, io.EOF
 		}
 	}
 	if count > 0 {
-		c.resume()
+		c.markReceiving()
 	}
 	return count, err
 }
 
-// beginLastRead returns whether the connection is retired, and gives its last
-// read a moment.
-func (c *trackedConnection) beginLastRead() bool {
+// beginFinalRead reports whether the connection is being retired, and sets the
+// deadline of its last read.
+func (c *trackedConnection) beginFinalRead() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.retiring && c.Conn.SetReadDeadline(time.Now().Add(lastReadWait)) == nil
+	return c.retiring && c.Conn.SetReadDeadline(time.Now().Add(finalReadTimeout)) == nil
 }
 
-// resume notes that a request has begun.
-func (c *trackedConnection) resume() {
+// markReceiving records that a request has begun, and cancels a retirement.
+func (c *trackedConnection) markReceiving() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.received = true
 	if c.retiring {
 		c.retiring = false
-		// A connection that can't take it fails at the next read.
+		// If this fails, the next read fails as well.
 		_ = c.Conn.SetReadDeadline(c.deadline)
 	}
 }
 
-// idle notes that the answer to the last request was written.
-func (c *trackedConnection) idle() {
+// markIdle records that no byte of the next request was read yet.
+func (c *trackedConnection) markIdle() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.received = false
 }
 
-// receiving says that a request has begun.
-func (c *trackedConnection) receiving() bool {
+// hasReceived reports whether a request has begun.
+func (c *trackedConnection) hasReceived() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.received
@@ -122,5 +125,5 @@
 		return
 	}
 	c.retiring = true
-	_ = c.Conn.SetReadDeadline(time.Now()) // wakes the reader; one that is closed has ended
+	_ = c.Conn.SetReadDeadline(time.Now()) // wakes the reader; fails only if the connection is closed
 }
--- a/internal/httpserver/pipelinereader.go
+++ b/internal/httpserver/pipelinereader.go
@@ -10,44 +10,47 @@
 	"time"
 )
 
-// bodyPiece is how much of a request's body is passed on at once.
-const bodyPiece = 16 << 10
+// bodyChunkSize is the size of the reads that forward or discard bytes, and the capacity
+// above which an empty buffer is not kept.
+const bodyChunkSize = 16 << 10
 
-// chunkedEnd ends a chunked body, with or without trailers.
-const chunkedEnd = "\r\n\r\n"
+// chunkedBodyEnd is the end of a chunked body, with or without trailers.
+const chunkedBodyEnd = "\r\n\r\n"
 
-// errLongHeader says that a header is longer than what is read ahead.
-var errLongHeader = errors.New("header longer than the read-ahead")
+// errHeaderTooLong means that a header is longer than Pipelining.ReadAhead.
+var errHeaderTooLong = errors.New("header longer than the read-ahead")
 
-// recorder keeps what was read through it until it is taken.
-type recorder struct {
+// recordingReader keeps the bytes that were read through it until they are taken, so that
+// they can be forwarded unchanged.
+type recordingReader struct {
 	source io.Reader
 	raw    []byte
-	// limit bounds raw; zero is no bound.
+	// limit bounds raw; zero means no limit.
 	limit int
-	// beforeRead is called before more is read; nil is not.
+	// beforeRead is called before each read, unless it is nil.
 	beforeRead func()
 }
 
 // Read implements io.Reader.
-func (r *recorder) Read(buffer []byte) (int, error) {
+func (r *recordingReader) Read(buffer []byte) (int, error) {
 	if r.beforeRead != nil {
 		r.beforeRead()
 	}
 	if r.limit > 0 && len(r.raw) >= r.limit {
-		return 0, errLongHeader
+		return 0, errHeaderTooLong
 	}
 	count, err := r.source.Read(buffer)
 	r.raw = append(r.raw, buffer[:count]...)
 	return count, err
 }
 
-// take returns what was read, but for what a buffer behind it still holds.
-func (r *recorder) take(buffered int) []byte {
+// take removes and returns the recorded bytes, except for the last ones, which the
+// bufio.Reader above still buffers; buffered is their number.
+func (r *recordingReader) take(buffered int) []byte {
 	consumed := len(r.raw) - buffered
 	taken := append([]byte(nil), r.raw[:consumed]...)
-	if r.raw = append(r.raw[:0], r.raw[consumed:]...); len(r.raw) == 0 && cap(r.raw) > bodyPiece {
-		r.raw = nil // an idle connection keeps little
+	if r.raw = append(r.raw[:0], r.raw[consumed:]...); len(r.raw) == 0 && cap(r.raw) > bodyChunkSize {
+		r.raw = nil // an idle connection should not hold a large buffer
 	}
 	return taken
 }
@@ -55,62 +58,63 @@
 // requestReader reads the requests of a pipeline.
 type requestReader struct {
 	*pipeline
-	source   recorder
+	source   recordingReader
 	buffered *bufio.Reader
-	// afterPost says that the request before was a POST.
+	// afterPost is set if the previous request was a POST.
 	afterPost bool
-	// failure is why reading ended; nil where the pipeline takes no more.
-	failure error
+	// readErr is why reading ended; nil if the pipeline accepts no more requests.
+	readErr error
 }
 
 // run reads requests until the connection ends.
 func (p *pipeline) run() {
 	defer p.server.remove(p)
 	defer p.abort()
-	r := &requestReader{pipeline: p, source: recorder{source: p.connection}}
+	r := &requestReader{pipeline: p, source: recordingReader{source: p.connection}}
 	r.buffered = bufio.NewReader(&r.source)
-	p.bound(p.server.headerTimeout())
+	p.setReadTimeout(p.server.headerTimeout())
 	for r.readRequest() {
 	}
-	if r.failure == nil {
-		r.failure = p.watch()
+	if r.readErr == nil {
+		r.readErr = p.awaitClose()
 	}
-	if errors.Is(r.failure, io.EOF) {
-		p.callerLeft()
+	if errors.Is(r.readErr, io.EOF) {
+		p.drainAfterClientLeft()
 	}
 }
 
-// watch notices the end of a connection on which no further request is taken.
-func (p *pipeline) watch() error {
-	discarded := make([]byte, bodyPiece)
+// awaitClose reads and discards bytes until the connection ends, and returns the error. It
+// is used when no further request is accepted.
+func (p *pipeline) awaitClose() error {
+	buffer := make([]byte, bodyChunkSize)
 	for {
-		if _, err := p.connection.Read(discarded); err != nil {
+		if _, err := p.connection.Read(buffer); err != nil {
 			return err
 		}
 	}
 }
 
-// readRequest reads one request and returns whether another may follow.
+// readRequest reads one request and reports whether another may follow.
 func (r *requestReader) readRequest() bool {
-	if !r.awaitRoom(r.buffered.Buffered()) {
+	if !r.awaitCapacity(r.buffered.Buffered()) {
 		return false
 	}
-	if _, r.failure = r.buffered.Peek(1); r.failure != nil {
+	if _, r.readErr = r.buffered.Peek(1); r.readErr != nil {
 		return false
 	}
-	r.receiving()
+	r.beginHeader()
 	if r.afterPost {
-		r.skipLineEnds()
+		r.skipLineBreaks()
 	}
 	r.source.limit = r.server.settings.ReadAhead
 	request, err := http.ReadRequest(r.buffered)
 	r.source.limit = 0
-	if endedBefore(err) {
-		r.failure = err
+	if isConnectionError(err) {
+		r.readErr = err
 		return false
 	}
 	if err != nil || request.ProtoMajor != 1 || request.ProtoMinor != 1 {
-		r.passAll(request)
+		r.forwardConnection(request)
 		return false
 	}
 	r.afterPost = request.Method == http.MethodPost
@@ -119,26 +123,27 @@
 		return false
 	}
 	if request.Body == http.NoBody {
-		r.bound(0)
+		r.setReadTimeout(0)
 		return true
 	}
-	return r.passBody(e)
+	return r.forwardBody(e)
 }
 
-// skipLineEnds drops what old callers write behind the body of a POST, as http.Server does
-// (RFC 9112, section 2.2).
-func (r *requestReader) skipLineEnds() {
-	const most = 4
-	next, _ := r.buffered.Peek(most) // an error comes again
-	ends := len(next) - len(bytes.TrimLeft(next, "\r\n"))
-	_, _ = r.buffered.Discard(ends)
+// skipLineBreaks discards the line breaks that old clients send after the body of a POST,
+// as http.Server does (RFC 9112, section 2.2).
+func (r *requestReader) skipLineBreaks() {
+	const maxSkipped = 4
+	next, _ := r.buffered.Peek(maxSkipped) // the next read returns the error as well
+	lineBreaks := len(next) - len(bytes.TrimLeft(next, "\r\n"))
+	_, _ = r.buffered.Discard(lineBreaks)
 	r.source.take(r.buffered.Buffered())
 }
 
-// endedBefore says that a connection ended, or was silent for too long, before a request
-// was read; http.Server answers nothing to this either. Errors about what was read are
-// answered, though those about URLs look like errors of the net package.
-func endedBefore(err error) bool {
+// isConnectionError reports whether an error of reading a request means that the
+// connection has ended or timed out. There is no response to that, as with http.Server.
+// Syntax errors get one. Those from parsing the URL implement net.Error too, so that this
+// type alone doesn't tell them apart.
+func isConnectionError(err error) bool {
 	if errors.Is(err, io.EOF) {
 		return true
 	}
@@ -149,147 +154,147 @@
 	return errors.As(err, &operation)
 }
 
-// awaitRoom waits until another request may be read, with a number of bytes of it read
-// already, and returns false where none may.
-func (p *pipeline) awaitRoom(buffered int) bool {
+// awaitCapacity waits until another request may be read, and returns false if none may be
+// read any more. If none of its bytes are buffered, the connection becomes idle.
+func (p *pipeline) awaitCapacity(buffered int) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for p.unread >= p.server.settings.ReadAhead && !p.sealed && !p.over {
-		p.room.Wait()
+	for p.unreadInput >= p.server.settings.ReadAhead && !p.inputClosed && !p.closed {
+		p.readerWake.Wait()
 	}
-	if p.sealed || p.over {
+	if p.inputClosed || p.closed {
 		return false
 	}
 	if buffered == 0 {
-		p.connection.idle()
-		p.between = true
-		p.awaitNext()
+		p.connection.markIdle()
+		p.awaitingRequest = true
+		p.setIdleDeadline()
 	}
 	return true
 }
 
-// receiving bounds how long the header of a request takes.
-func (p *pipeline) receiving() {
+// beginHeader sets the time limit for a request's header, whose first byte was read.
+func (p *pipeline) beginHeader() {
 	p.mutex.Lock()
-	p.between = false
+	p.awaitingRequest = false
 	p.mutex.Unlock()
-	p.bound(p.server.headerTimeout())
+	p.setReadTimeout(p.server.headerTimeout())
 }
 
-// bound bounds how long the caller may send nothing; zero is no bound.
-func (p *pipeline) bound(limit time.Duration) {
+// setReadTimeout sets the read deadline to a time from now; zero means no deadline.
+func (p *pipeline) setReadTimeout(limit time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if !p.over {
+	if !p.closed {
 		_ = p.connection.SetReadDeadline(deadlineAfter(limit))
 	}
 }
 
-// bodyPasser passes the body of one request on.
-type bodyPasser struct {
+// bodyForwarder forwards the body of one request to its exchange.
+type bodyForwarder struct {
 	*requestReader
 	exchange *exchange
-	// end is the last that was passed on.
-	end []byte
+	// tail is the end of what was forwarded, at most as long as chunkedBodyEnd.
+	tail []byte
 }
 
-// take returns what was read and not passed on.
-func (b *bodyPasser) take() []byte {
+// take returns what was read and not forwarded yet.
+func (b *bodyForwarder) take() []byte {
 	taken := b.source.take(b.buffered.Buffered())
-	b.end = append(b.end, taken...)
-	b.end = b.end[max(0, len(b.end)-len(chunkedEnd)):]
+	b.tail = append(b.tail, taken...)
+	b.tail = b.tail[max(0, len(b.tail)-len(chunkedBodyEnd)):]
 	return taken
 }
 
-// passBody passes the body of a request on as it comes, and returns whether another
-// request may follow. How long it may take is for http.Server and the handler to say.
-func (r *requestReader) passBody(e *exchange) bool {
-	r.bound(0)
-	b := &bodyPasser{requestReader: r, exchange: e}
+// forwardBody forwards the body of a request as it arrives, and reports whether another
+// request may follow. Its time is limited by http.Server and the handler only.
+func (r *requestReader) forwardBody(e *exchange) bool {
+	r.setReadTimeout(0)
+	b := &bodyForwarder{requestReader: r, exchange: e}
 	r.source.beforeRead = func() { r.deliver(e, b.take()) }
 	_, err := io.Copy(io.Discard, e.request.Body)
 	r.source.beforeRead = nil
 	rest := b.take()
 	switch {
-	case endedBefore(err):
-		r.failure = err
+	case isConnectionError(err):
+		r.readErr = err
 		return false
-	case err != nil || !wholeBody(e.request, b.end):
-		r.unframe(e)
+	case err != nil || !isBodyComplete(e.request, b.tail):
+		r.makeUnframed(e)
 		if r.deliver(e, rest) {
-			r.passRest(e)
+			r.forwardRest(e)
 		}
 		return false
 	}
 	return r.deliver(e, rest)
 }
 
-// wholeBody says, of a body that was read to its end, whether its last bytes are those of a
-// body that any reader takes for whole. Whether http.Server accepts another end of a
-// chunked one depends on what follows.
-func wholeBody(request *http.Request, end []byte) bool {
-	return len(request.TransferEncoding) == 0 || string(end) == chunkedEnd
+// isBodyComplete reports whether a body that was read to its end has the regular end, which
+// every reader accepts. A chunked body may have another end, and whether http.Server
+// accepts that depends on the bytes that follow.
+func isBodyComplete(request *http.Request, end []byte) bool {
+	return len(request.TransferEncoding) == 0 || string(end) == chunkedBodyEnd
 }
 
-// unframe makes all that follows on the connection part of an exchange.
-func (p *pipeline) unframe(e *exchange) {
+// makeUnframed makes all further bytes of the connection part of an exchange.
+func (p *pipeline) makeUnframed(e *exchange) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	e.framing = unframed
-	p.sealed = true
+	p.inputClosed = true
 }
 
-// passAll hands the connection, with all that follows, to http.Server: it answers what is
-// malformed, and ends the connection then.
-func (r *requestReader) passAll(request *http.Request) {
+// forwardConnection forwards a request and all further bytes of the connection as one
+// unframed exchange. http.Server responds to malformed requests and closes the connection.
+func (r *requestReader) forwardConnection(request *http.Request) {
 	if e := r.enqueue(request, unframed, nil); e != nil {
-		r.bound(0)
-		r.passRest(e)
+		r.setReadTimeout(0)
+		r.forwardRest(e)
 	}
 }
 
-// passRest passes on all that was read and all that comes.
-func (r *requestReader) passRest(e *exchange) {
+// forwardRest forwards the bytes that were read and all further ones.
+func (r *requestReader) forwardRest(e *exchange) {
 	if !r.deliver(e, r.source.take(0)) {
 		return
 	}
-	piece := make([]byte, bodyPiece)
+	chunk := make([]byte, bodyChunkSize)
 	for {
-		count, err := r.connection.Read(piece)
-		if !r.deliver(e, piece[:count]) {
+		count, err := r.connection.Read(chunk)
+		if !r.deliver(e, chunk[:count]) {
 			return
 		}
 		if err != nil {
-			r.failure = err
+			r.readErr = err
 			return
 		}
 	}
 }
 
-// deliver adds to what http.Server reads of an exchange, and waits where there is much of
-// it. It returns false where the connection is over.
+// deliver appends to the input of an exchange, and waits while Pipelining.ReadAhead is
+// exceeded. It returns false if the pipeline is closed.
 func (p *pipeline) deliver(e *exchange, read []byte) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	e.input = append(e.input, read...)
-	p.unread += len(read)
-	e.wake.Broadcast()
-	for p.unread >= p.server.settings.ReadAhead && !p.over && !e.finished {
-		p.room.Wait()
+	p.unreadInput += len(read)
+	e.changed.Broadcast()
+	for p.unreadInput >= p.server.settings.ReadAhead && !p.closed && !e.finished {
+		p.readerWake.Wait()
 	}
-	return !p.over
+	return !p.closed
 }
 
-// headerTimeout is how long a request's header may take.
-func (s *pipelines) headerTimeout() time.Duration {
+// headerTimeout returns how long a request's header may take.
+func (s *pipelineServer) headerTimeout() time.Duration {
 	if s.http.ReadHeaderTimeout != 0 {
 		return s.http.ReadHeaderTimeout
 	}
 	return s.http.ReadTimeout
 }
 
-// idleTimeout is how long a connection may rest.
-func (s *pipelines) idleTimeout() time.Duration {
+// idleTimeout returns how long a connection may be idle.
+func (s *pipelineServer) idleTimeout() time.Duration {
 	if s.http.IdleTimeout != 0 {
 		return s.http.IdleTimeout
 	}
--- a/internal/httpserver/pipelining.go
+++ b/internal/httpserver/pipelining.go
@@ -9,124 +9,129 @@
 	"time"
 )
 
-// Pipelining says how a server treats requests that a caller sends before earlier ones
-// of the same connection are answered (RFC 9112, section 9.3.2). Zero values take the
-// defaults.
+// Pipelining configures how a server handles requests that a client sends before it
+// has received the responses to earlier ones on the same connection (RFC 9112,
+// section 9.3.2). Zero values take the defaults.
 type Pipelining struct {
-	// Requests is how many of one connection are in progress at once.
+	// Requests is the maximum number of requests in progress per connection.
 	Requests int
-	// ReadAhead is how many bytes of requests that have not begun are read of one
-	// connection. What is beyond stays with the caller. An end of the connection is
-	// noticed only behind what was read.
+	// ReadAhead is the maximum number of bytes per connection that are read of
+	// requests that have not started. The rest stays in the kernel or with the client.
+	// The end of a connection is noticed only after everything before it was read.
 	ReadAhead int
-	// AnswersKept is how many bytes of answers are kept for one connection until it is
-	// their turn. A handler that has more to write waits.
-	AnswersKept int
-	// WriteStall is how long a caller may take nothing of an answer; its connection is
-	// closed then.
+	// OutputBuffer is the maximum number of bytes per connection that are buffered of
+	// responses whose turn has not come. A handler that writes more blocks.
+	OutputBuffer int
+	// WriteStall is the time in which a client must accept the next part of a response,
+	// of up to 32 KiB (writeChunkSize). If it doesn't, its connection is closed.
 	WriteStall time.Duration
-	// Repeatable says whether a request may run beside others of its connection. An
-	// answer may close the connection, and callers take what they sent behind it as not
-	// read and send it again. Nil is never.
+	// Repeatable reports whether a request may run concurrently with others of its
+	// connection. Any response may close the connection, and clients then take the
+	// requests behind it as not read and send them again. Nil means that none may.
 	Repeatable func(*http.Request) bool
-	// Observer is told what happens; nil is nobody.
+	// Observer is notified of events; nil means none.
 	Observer PipelineObserver
 }
 
 // Defaults of Pipelining.
 const (
-	// DefaultPipelinedRequests lets a caller use one connection as it would use as many
-	// as a browser opens to all hosts of a page.
+	// DefaultPipelinedRequests is about the number of connections that a browser opens
+	// to all hosts of a page, so that one connection can replace them.
 	DefaultPipelinedRequests = 32
-	// DefaultReadAhead is about 200 requests without a body.
+	// DefaultReadAhead holds about 200 requests without a body.
 	DefaultReadAhead = 64 << 10
-	// DefaultAnswersKept is a dozen answers of usual size.
-	DefaultAnswersKept = 64 << 10
-	// DefaultWriteStall is how long a mobile caller may be out of reach and still get the
-	// rest.
+	// DefaultOutputBuffer holds about a dozen responses of usual size.
+	DefaultOutputBuffer = 64 << 10
+	// DefaultWriteStall is how long a mobile client may be unreachable and still
+	// receive the rest of a response.
 	DefaultWriteStall = 10 * time.Second
 )
 
 func (p Pipelining) withDefaults() Pipelining {
 	p.Requests = cmp.Or(p.Requests, DefaultPipelinedRequests)
 	p.ReadAhead = cmp.Or(p.ReadAhead, DefaultReadAhead)
-	p.AnswersKept = cmp.Or(p.AnswersKept, DefaultAnswersKept)
+	p.OutputBuffer = cmp.Or(p.OutputBuffer, DefaultOutputBuffer)
 	p.WriteStall = cmp.Or(p.WriteStall, DefaultWriteStall)
 	if p.Repeatable == nil {
 		p.Repeatable = func(*http.Request) bool { return false }
 	}
 	if p.Observer == nil {
-		p.Observer = noObserver{}
+		p.Observer = nopObserver{}
 	}
 	return p
 }
 
-// PipelineObserver is told what happens on pipelined connections. It must not block.
+// PipelineObserver is notified of events on pipelined connections. Its methods must
+// not block.
 type PipelineObserver interface {
-	// Begun tells of a request that begins while others of its connection, all before it,
-	// are unanswered.
+	// Begun is called when a request starts while a number of earlier requests on its
+	// connection are unanswered.
 	Begun(request *http.Request, before int)
-	// Waited tells of an answer that was ready for a time before its turn came, and of
-	// the request whose answer went just before it.
+	// Waited is called when a response that was ready for some time gets its turn.
+	// behind is the request whose response was sent just before it.
 	Waited(request, behind *http.Request, wait time.Duration)
-	// Stalled tells of a connection that was closed because its caller took nothing of an
-	// answer.
+	// Stalled is called when a connection is closed because its client didn't accept a
+	// part of a response within Pipelining.WriteStall.
 	Stalled(remote net.Addr, unanswered int)
 }
 
-type noObserver struct{}
+type nopObserver struct{}
 
-func (noObserver) Begun(*http.Request, int)                           {}
-func (noObserver) Waited(*http.Request, *http.Request, time.Duration) {}
-func (noObserver) Stalled(net.Addr, int)                              {}
+func (nopObserver) Begun(*http.Request, int)                           {}
+func (nopObserver) Waited(*http.Request, *http.Request, time.Duration) {}
+func (nopObserver) Stalled(net.Addr, int)                              {}
 
-// exchangeKey finds the exchange in the context of a request.
+// exchangeKey is the key of the exchange in a request's context.
 type exchangeKey struct{}
 
+// exchangeOf returns the exchange of a request's context, or nil.
 func exchangeOf(ctx context.Context) *exchange {
-	found, _ := ctx.Value(exchangeKey{}).(*exchange)
-	return found
+	e, _ := ctx.Value(exchangeKey{}).(*exchange)
+	return e
 }
 
-// AwaitTurn returns once an answer written now goes to the caller and is not kept for its
-// turn, or when the context ends. Handlers call it before they take something that others
-// wait for, as a share of the link.
+// AwaitTurn blocks until the handler's writes go to the client directly and not into the
+// buffer, which is when all earlier responses of the connection were sent, or until the
+// context ends. It takes the context of the request. Handlers call it before they acquire
+// something that others wait for, for example a share of the link.
 func AwaitTurn(ctx context.Context) {
-	if found := exchangeOf(ctx); found != nil {
-		found.awaitTurn(ctx)
+	if e := exchangeOf(ctx); e != nil {
+		e.awaitTurn(ctx)
 	}
 }
 
-// MayRunBeside says that a request may be in progress beside others of its connection, as
-// Pipelining.Repeatable has decided when it was read.
+// MayRunBeside reports whether a request may run concurrently with others of its
+// connection, as decided with Pipelining.Repeatable when it was read.
 func MayRunBeside(r *http.Request) bool {
-	found := exchangeOf(r.Context())
-	return found != nil && found.repeatable
+	e := exchangeOf(r.Context())
+	return e != nil && e.repeatable
 }
 
-// EndConnection asks the caller to leave the connection with this answer, unless requests
-// that were sent behind this one have been read already: they are answered first. It is
-// called before the header is written.
+// EndConnection makes this response the last one of its connection, by
+// "Connection: close", unless later requests on it have been read already: these are
+// answered first. It must be called before the header is written.
 func EndConnection(w http.ResponseWriter, r *http.Request) {
-	if found := exchangeOf(r.Context()); found != nil && !found.endConnection() {
+	if e := exchangeOf(r.Context()); e != nil && !e.endConnection() {
 		return
 	}
 	w.Header().Set("Connection", "close")
 }
 
-// pipelines are the connections of a server that takes pipelined requests.
-type pipelines struct {
+// pipelineServer serves the connections of a server that supports pipelining. It reads
+// the requests of each connection and gives every one to http.Server as a connection of
+// its own.
+type pipelineServer struct {
 	settings Pipelining
 	http     *http.Server
-	// exchanges go to http.Server as connections.
+	// exchanges is the listener from which http.Server accepts exchanges.
 	exchanges exchangeListener
 
 	mutex sync.Mutex
 	open  map[*pipeline]struct{}
 }
 
-func newPipelines(server *http.Server, settings Pipelining, address net.Addr) *pipelines {
-	return &pipelines{
+func newPipelineServer(server *http.Server, settings Pipelining, address net.Addr) *pipelineServer {
+	return &pipelineServer{
 		settings:  settings.withDefaults(),
 		http:      server,
 		exchanges: exchangeListener{address: address, next: make(chan *exchange), closed: make(chan struct{})},
@@ -134,8 +139,9 @@
 	}
 }
 
-// serve takes connections of a listener until it is closed, and returns its error.
-func (s *pipelines) serve(listener net.Listener) error {
+// serve accepts connections until the listener fails or is closed, and returns its
+// error.
+func (s *pipelineServer) serve(listener net.Listener) error {
 	go func() { _ = s.http.Serve(&s.exchanges) }()
 	for {
 		connection, err := listener.Accept()
@@ -150,14 +156,14 @@
 	}
 }
 
-func (s *pipelines) remove(p *pipeline) {
+func (s *pipelineServer) remove(p *pipeline) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	delete(s.open, p)
 }
 
-// each calls a function for every open connection.
-func (s *pipelines) each(call func(*pipeline)) {
+// forEach calls a function for every open connection.
+func (s *pipelineServer) forEach(call func(*pipeline)) {
 	s.mutex.Lock()
 	all := make([]*pipeline, 0, len(s.open))
 	for p := range s.open {
@@ -169,34 +175,34 @@
 	}
 }
 
-// retireIdle ends connections without a request and returns whether there is something to
-// wait for: requests in progress, or a connection that is being ended.
-func (s *pipelines) retireIdle() (left bool) {
-	s.each(func(p *pipeline) { left = p.retire() || left })
-	return left
+// retireIdle ends connections without a request and reports whether there is something
+// to wait for: requests in progress, or connections that are being ended.
+func (s *pipelineServer) retireIdle() (pending bool) {
+	s.forEach(func(p *pipeline) { pending = p.retire() || pending })
+	return pending
 }
 
-// count counts connections that are new or idle, and the requests
-// in progress on active ones.
-func (s *pipelines) count(state http.ConnState) (count int) {
-	s.each(func(p *pipeline) {
+// count returns the number of connections that are new or idle or, for
+// http.StateActive, the number of requests in progress.
+func (s *pipelineServer) count(state http.ConnState) (count int) {
+	s.forEach(func(p *pipeline) {
 		unanswered := p.unanswered()
 		if state == http.StateActive {
 			count += unanswered
-		} else if unanswered == 0 && state == p.restState() {
+		} else if unanswered == 0 && state == p.idleState() {
 			count++
 		}
 	})
 	return count
 }
 
-// close closes all connections, with the requests that they carry.
-func (s *pipelines) close() {
-	s.each(func(p *pipeline) { p.abort() })
+// close closes all connections, and cancels the requests in progress.
+func (s *pipelineServer) close() {
+	s.forEach(func(p *pipeline) { p.abort() })
 	s.exchanges.close()
 }
 
-// exchangeListener hands exchanges to http.Server.
+// exchangeListener is a net.Listener whose connections are exchanges.
 type exchangeListener struct {
 	address net.Addr
 	next    chan *exchange
@@ -214,8 +220,9 @@
 	}
 }
 
-// begin hands an exchange over. After the close it ends at once.
-func (l *exchangeListener) begin(e *exchange) {
+// send passes an exchange to http.Server. After the listener is closed it closes the
+// exchange instead.
+func (l *exchangeListener) send(e *exchange) {
 	select {
 	case l.next <- e:
 	case <-l.closed:
@@ -225,7 +232,7 @@
 
 func (l *exchangeListener) close() { l.once.Do(func() { close(l.closed) }) }
 
-// Close implements net.Listener. Exchanges that have begun go on.
+// Close implements net.Listener. Exchanges that were accepted go on.
 func (l *exchangeListener) Close() error {
 	l.close()
 	return nil
--- a/internal/httpserver/pipelining_fuzz_test.go
+++ b/internal/httpserver/pipelining_fuzz_test.go
@@ -15,13 +15,13 @@
 	"github.com/quartzdock/quartzdock/internal/httpserver"
 )
 
-// lastRequest ends a line, where what stands before it is whole.
-const lastRequest = "GET /safe/last HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
+// closingRequest ends a connection if the requests before it are complete.
+const closingRequest = "GET /safe/last HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
 
-// date is the one field in which two answers to the same request differ.
-var date = regexp.MustCompile(`Date: [^\r]*\r\n`)
+// dateHeader matches the only field in which two responses to the same request differ.
+var dateHeader = regexp.MustCompile(`Date: [^\r]*\r\n`)
 
-// echo answers with what the handler was given.
+// echo responds with a description of the request.
 func echo(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	sum := fnv.New64a()
@@ -29,7 +29,7 @@
 	fmt.Fprintf(w, "%s %s %q %d %x %t", r.Method, r.RequestURI, r.Host, len(body), sum.Sum64(), err == nil)
 }
 
-// echoServer serves echo, with or without requests sent ahead.
+// echoServer serves echo and returns its address.
 func echoServer(t testing.TB, newServer constructor) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,25 +41,25 @@
 	return listener.Addr().String()
 }
 
-// conversation sends bytes in pieces and returns all that is answered.
-func conversation(t testing.TB, address string, sent []byte, piece int) string {
+// exchangeBytes sends bytes in chunks and returns all that is received.
+func exchangeBytes(t testing.TB, address string, sent []byte, chunk int) string {
 	t.Helper()
 	c := connect(t, address)
 	defer c.Close()
 	go func() {
-		for rest := sent; len(rest) > 0; rest = rest[min(piece, len(rest)):] {
-			if _, err := c.Write(rest[:min(piece, len(rest))]); err != nil {
+		for rest := sent; len(rest) > 0; rest = rest[min(chunk, len(rest)):] {
+			if _, err := c.Write(rest[:min(chunk, len(rest))]); err != nil {
 				return
 			}
 		}
 	}()
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
-	answers, _ := io.ReadAll(c.answers)
-	return date.ReplaceAllString(string(answers), "")
+	received, _ := io.ReadAll(c.responses)
+	return dateHeader.ReplaceAllString(string(received), "")
 }
 
-// For any bytes, in any pieces, callers get what http.Server answers to the same bytes one
-// request after the other.
+// For any bytes, in chunks of any size, the responses must be those of http.Server without
+// pipelining.
 func FuzzPipelining(f *testing.F) {
 	get := "GET /safe/1 HTTP/1.1\r\nHost: a\r\n\r\n"
 	for _, seed := range []string{
@@ -82,13 +82,13 @@
 	}
 	plain := echoServer(f, httpserver.New)
 	pipelined := echoServer(f, func(server *http.Server, listener httpserver.Listener, limit int) *httpserver.Server {
-		return httpserver.NewPipelined(server, listener, limit, httpserver.Pipelining{Repeatable: safePath})
+		return httpserver.NewPipelined(server, listener, limit, httpserver.Pipelining{Repeatable: isSafePath})
 	})
-	f.Fuzz(func(t *testing.T, sent []byte, piece uint16) {
-		line := append([]byte(nil), sent...)
-		line = append(line, lastRequest...)
-		want := conversation(t, plain, line, max(1, int(piece)))
-		got := conversation(t, pipelined, line, max(1, int(piece)))
+	f.Fuzz(func(t *testing.T, sent []byte, chunk uint16) {
+		requests := append([]byte(nil), sent...)
+		requests = append(requests, closingRequest...)
+		want := exchangeBytes(t, plain, requests, max(1, int(chunk)))
+		got := exchangeBytes(t, pipelined, requests, max(1, int(chunk)))
 		if got != want {
 			t.Fatalf("pipelined:\n%s\nhttp.Server:\n%s", got, want)
 		}
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -1,17 +1,16 @@
-// Package httpserver stops an http.Server without losing a request, and lets callers send
-// requests before earlier ones are answered (Pipelining).
+// Package httpserver shuts an http.Server down without losing requests, and adds
+// HTTP/1.1 pipelining (Pipelining).
 //
-// http.Server.Shutdown alone loses some: it closes the listener while
-// connections wait in the kernel's backlog, which resets them, and it closes a
-// connection whose next request is being read when the stop begins without an
-// answer. A caller can't tell such a request from one that ran. Stop takes the
-// backlog first, and answers with "Connection: close" from then on, so that
-// callers leave connections before they are closed (RFC 9112, section 9.6). It
-// gives open connections a moment to send a request, and answers every one whose
-// first byte arrived in it. A request that is sent in the very moment in which
-// its connection is closed, after that, still has no answer, as HTTP/1.1 can't
-// tell the caller in time; a handler that answers "Connection: close" earlier
-// makes this rarer.
+// http.Server.Shutdown alone loses requests: it closes the listener while
+// connections wait in the kernel's backlog, which resets them, and it closes,
+// without a response, a connection whose next request is being read. A client
+// can't tell such a request from one that ran. Stop accepts the backlog first, and
+// responds with "Connection: close" from then on, so that clients stop using
+// connections before they are closed (RFC 9112, section 9.6). It gives open
+// connections a grace period to send a request, and responds to every request
+// whose first byte arrived in it. A request that is sent just when its connection
+// is closed after that still gets no response, as HTTP/1.1 can't tell the client
+// in time; a handler that sends "Connection: close" earlier makes this rarer.
 package httpserver
 
 import (
@@ -26,62 +25,64 @@
 )
 
 const (
-	// stopPoll is how often a stop looks whether requests are in progress.
-	stopPoll = 2 * time.Millisecond
-	// requestGrace is how long an open connection may take, after the listener
-	// closed, for its next request's header. Connections without one are closed
-	// then.
+	// stopPollInterval is how often Stop checks whether requests are in progress.
+	stopPollInterval = 2 * time.Millisecond
+	// requestGrace is how long after the closing of the listener a request may
+	// begin on an open connection. Connections without a request are closed then.
 	requestGrace = 250 * time.Millisecond
 )
 
-// CutOffError says that a stop was given up with requests in progress, whose
-// connections it closed.
+// CutOffError reports that a stop ran out of time with requests in progress, and
+// closed their connections.
 type CutOffError struct{ Requests int }
 
 // Error implements error.
 func (e *CutOffError) Error() string { return fmt.Sprintf("%d requests were cut off", e.Requests) }
 
-// Server is an http.Server with a listener. Make one with New.
+// Server is an http.Server with its listener. Use New or NewPipelined to create
+// one.
 type Server struct {
 	http     *http.Server
 	listener *stoppableListener
-	// accepting is closed when Serve returns.
-	accepting chan struct{}
+	// serveDone is closed when Serve returns.
+	serveDone chan struct{}
 	// states holds the http.ConnState of each open connection by net.Conn.
 	states sync.Map
-	// pipelines are the connections of a server that takes pipelined requests, else nil.
-	pipelines *pipelines
+	// pipelined serves the connections if the server supports pipelining; else it
+	// is nil.
+	pipelined *pipelineServer
 }
 
-// Listener is what New needs of a listener; *net.TCPListener is one.
+// Listener is the type of listener that New needs; *net.TCPListener implements it.
 type Listener interface {
 	net.Listener
 	SetDeadline(time.Time) error
 }
 
-// New prepares a server. It takes over server.ConnState and wraps
-// server.Handler. At most maximumConnections are open at once; further ones wait
-// in the kernel's backlog. Zero means any number.
+// New returns a server for an http.Server, whose ConnState it replaces and whose
+// Handler it wraps. At most maximumConnections are open at once; further ones wait
+// in the kernel's backlog. Zero means no limit.
 func New(server *http.Server, listener Listener, maximumConnections int) *Server {
 	s := &Server{
 		http:      server,
 		listener:  newStoppableListener(listener, maximumConnections, server.ErrorLog),
-		accepting: make(chan struct{}),
+		serveDone: make(chan struct{}),
 	}
 	server.ConnState = s.track
-	server.Handler = s.closing(server.Handler)
+	server.Handler = s.closeWhenStopping(server.Handler)
 	return s
 }
 
-// NewPipelined prepares a server whose callers may send requests ahead: those that may be
-// repeated run side by side, and all are answered in order. It takes over server.ConnContext
-// as well. Over TLS it is as New: callers have HTTP/2 there.
+// NewPipelined returns a server that supports pipelining: requests that may be
+// repeated run concurrently, and responses are sent in the order of the requests.
+// It replaces server.ConnContext as well. With TLS it is like New, as clients can
+// use HTTP/2 then.
 func NewPipelined(server *http.Server, listener Listener, maximumConnections int, settings Pipelining) *Server {
 	s := New(server, listener, maximumConnections)
 	if server.TLSConfig != nil {
 		return s
 	}
-	s.pipelines = newPipelines(server, settings, listener.Addr())
+	s.pipelined = newPipelineServer(server, settings, listener.Addr())
 	server.ConnState = func(connection net.Conn, state http.ConnState) {
 		if e, ok := connection.(*exchange); ok {
 			e.noteState(state)
@@ -93,14 +94,14 @@
 	return s
 }
 
-// Serve accepts connections, over TLS where the server has a TLSConfig. It
-// returns nil after Stop.
+// Serve accepts connections, with TLS if the server has a TLSConfig. It returns
+// nil after Stop.
 func (s *Server) Serve() error {
-	defer close(s.accepting)
+	defer close(s.serveDone)
 	var err error
 	switch {
-	case s.pipelines != nil:
-		err = s.pipelines.serve(s.listener)
+	case s.pipelined != nil:
+		err = s.pipelined.serve(s.listener)
 	case s.http.TLSConfig != nil:
 		err = s.http.ServeTLS(s.listener, "", "")
 	default:
@@ -112,8 +113,9 @@
 	return err
 }
 
-// closing makes a handler's answers end their connection once the stop has begun.
-func (s *Server) closing(handler http.Handler) http.Handler {
+// closeWhenStopping wraps a handler so that its responses end their connection
+// once the stop has begun.
+func (s *Server) closeWhenStopping(handler http.Handler) http.Handler {
 	if handler == nil {
 		handler = http.DefaultServeMux
 	}
@@ -125,22 +127,22 @@
 	})
 }
 
-// Stop closes the listener and returns when all requests have been answered.
-// When the context ends first, it closes what is left and returns a
-// *CutOffError.
-// It must not be called before Serve.
+// Stop closes the listener and returns when all requests have been answered. When
+// the context ends first, it closes the remaining connections and returns a
+// *CutOffError if requests were in progress. It must not be called before Serve.
 func (s *Server) Stop(ctx context.Context) error {
 	s.listener.stop()
-	<-s.accepting
-	grace := graceOf(ctx, time.Now())
+	<-s.serveDone
+	grace := graceDeadline(ctx, time.Now())
 	if !waitWhile(ctx, func() bool { return s.anyOpen() && time.Now().Before(grace) }) || !waitWhile(ctx, s.retireIdle) {
 		return s.cutOff()
 	}
-	if s.pipelines != nil {
-		s.pipelines.close()
+	if s.pipelined != nil {
+		s.pipelined.close()
 		return s.http.Close()
 	}
-	// No connection is idle any more, which this would close with its request.
+	// This closes idle connections even if a request has arrived on them, so it
+	// must not come before retireIdle has ended all of them.
 	s.http.SetKeepAlivesEnabled(false)
 	if !waitWhile(ctx, func() bool { return s.Open(http.StateActive) > 0 }) {
 		return s.cutOff()
@@ -148,9 +150,10 @@
 	return s.http.Close()
 }
 
-// graceOf is when connections without a request are closed: after requestGrace,
-// or half of a shorter stop, so that there is time left to close them in order.
-func graceOf(ctx context.Context, now time.Time) time.Time {
+// graceDeadline returns the time at which connections without a request are
+// closed: after requestGrace, but at most half of the time that the context
+// leaves, so that there is time to close them in an orderly way.
+func graceDeadline(ctx context.Context, now time.Time) time.Time {
 	grace := requestGrace
 	if end, ok := ctx.Deadline(); ok {
 		grace = min(grace, end.Sub(now)/2)
@@ -158,10 +161,10 @@
 	return now.Add(grace)
 }
 
-// waitWhile returns once the condition does not hold any more, or false when
-// the context ends first.
+// waitWhile waits until the condition no longer holds. It returns false if the
+// context ends first.
 func waitWhile(ctx context.Context, condition func() bool) bool {
-	ticker := time.NewTicker(stopPoll)
+	ticker := time.NewTicker(stopPollInterval)
 	defer ticker.Stop()
 	for condition() {
 		select {
@@ -173,50 +176,50 @@
 	return true
 }
 
-// cutOff closes all connections, with the requests that they carry. Where they
-// carry none, nothing was cut off.
+// cutOff closes all connections. It returns a *CutOffError if they carried
+// requests.
 func (s *Server) cutOff() error {
-	left := s.Open(http.StateActive)
-	if s.pipelines != nil {
-		s.pipelines.close()
+	active := s.Open(http.StateActive)
+	if s.pipelined != nil {
+		s.pipelined.close()
 	}
 	err := s.http.Close()
-	if left > 0 {
-		return &CutOffError{left}
+	if active > 0 {
+		return &CutOffError{active}
 	}
 	return err
 }
 
-// anyOpen says that there are connections. One that counts as active may have
-// been answered already, and carry its next request.
+// anyOpen reports whether there are open connections. Active ones count as well:
+// their response may have been sent and the next request have arrived already.
 func (s *Server) anyOpen() bool {
 	return s.Open(http.StateNew)+s.Open(http.StateActive)+s.Open(http.StateIdle) > 0
 }
 
-// retireIdle ends connections without a request and returns whether there are
-// any left. One whose header is still not whole is not waited for.
-func (s *Server) retireIdle() (left bool) {
-	if s.pipelines != nil {
-		return s.pipelines.retireIdle()
+// retireIdle ends connections without a request and reports whether any are left.
+// It doesn't wait for one whose next request's header is incomplete.
+func (s *Server) retireIdle() (pending bool) {
+	if s.pipelined != nil {
+		return s.pipelined.retireIdle()
 	}
 	s.states.Range(func(connection, held any) bool {
 		if http.ConnState(held.(*atomic.Int32).Load()) != http.StateIdle {
 			return true
 		}
-		if known, ok := tracked(connection.(net.Conn)); ok && !known.receiving() {
+		if known, ok := trackedConnectionOf(connection.(net.Conn)); ok && !known.hasReceived() {
 			known.retire()
-			left = true
+			pending = true
 		}
 		return true
 	})
-	return left
+	return pending
 }
 
-// Open counts connections in a state; those that are active count once for each request
-// in progress.
+// Open returns the number of connections in a state. For http.StateActive it
+// returns the number of requests in progress.
 func (s *Server) Open(state http.ConnState) int {
-	if s.pipelines != nil {
-		return s.pipelines.count(state)
+	if s.pipelined != nil {
+		return s.pipelined.count(state)
 	}
 	count := 0
 	s.states.Range(func(_, held any) bool {
@@ -228,7 +231,8 @@
 	return count
 }
 
-// track follows the connections' states; it is called on their goroutines.
+// track is the http.Server's ConnState hook: it records the connections' states.
+// It is called on their goroutines.
 func (s *Server) track(connection net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
@@ -236,26 +240,26 @@
 	case http.StateClosed, http.StateHijacked:
 		s.states.Delete(connection)
 	default:
-		s.note(connection, state)
+		s.noteState(connection, state)
 		if held, known := s.states.Load(connection); known {
 			held.(*atomic.Int32).Store(int32(state))
 		}
 	}
 }
 
-// note tells the connection where a request begins and ends.
-func (s *Server) note(connection net.Conn, state http.ConnState) {
-	known, ok := tracked(connection)
+// noteState tells the connection that a request begins or has ended.
+func (s *Server) noteState(connection net.Conn, state http.ConnState) {
+	known, ok := trackedConnectionOf(connection)
 	switch {
 	case !ok:
 	case state == http.StateActive:
-		known.resume()
+		known.markReceiving()
 	case state == http.StateIdle:
-		known.idle()
+		known.markIdle()
 	}
 }
 
-// StopAll stops servers at once, so that each has the whole time that the
+// StopAll stops servers concurrently, so that each has all the time that the
 // context leaves, and joins their errors.
 func StopAll(ctx context.Context, servers ...*Server) error {
 	failures := make([]error, len(servers))
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -17,11 +17,10 @@
 	"github.com/quartzdock/quartzdock/internal/httpserver"
 )
 
-// constructor makes a server as httpserver.New does.
+// constructor is a function that creates a server, as httpserver.New does.
 type constructor func(server *http.Server, listener httpserver.Listener, maximumConnections int) *httpserver.Server
 
-// forEachServer runs a test with connections that carry one request after the other, and
-// with those on which callers may send ahead.
+// forEachServer runs a test without and with pipelining.
 func forEachServer(t *testing.T, test func(*testing.T, constructor)) {
 	t.Run("sequential", func(t *testing.T) { test(t, httpserver.New) })
 	t.Run("pipelined", func(t *testing.T) {
@@ -32,9 +31,9 @@
 	})
 }
 
-// start serves a handler and returns the server, its address and what Serve
+// startServer serves a handler and returns the server, its address and what Serve
 // returns.
-func start(t *testing.T, newServer constructor, handler http.HandlerFunc, maximumConnections int) (*httpserver.Server, string, chan error) {
+func startServer(t *testing.T, newServer constructor, handler http.HandlerFunc, maximumConnections int) (*httpserver.Server, string, chan error) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -44,18 +43,19 @@
 	return server, listener.Addr().String(), served
 }
 
-// One connection may be open and carries a slow request, so that ten others wait
-// in the backlog with theirs: closing a listener resets such connections.
+// The only connection that may be open carries a slow request, so that ten others wait
+// in the backlog with their requests. Closing a listener resets such connections, so Stop
+// must accept them first.
 func TestStopServesTheBacklog(t *testing.T) { forEachServer(t, testStopServesTheBacklog) }
 
 func testStopServesTheBacklog(t *testing.T, newServer constructor) {
-	entered, thaw := make(chan struct{}, 1), make(chan struct{})
+	entered, release := make(chan struct{}, 1), make(chan struct{})
 	var handled atomic.Int64
-	server, address, served := start(t, newServer, func(_ http.ResponseWriter, r *http.Request) {
+	server, address, served := startServer(t, newServer, func(_ http.ResponseWriter, r *http.Request) {
 		handled.Add(1)
 		if r.URL.Path == "/slow" {
 			entered <- struct{}{}
-			<-thaw
+			<-release
 		}
 	}, 1)
 	slow := make(chan error, 1)
@@ -83,7 +83,7 @@
 		assert.NilError(t, <-errs)
 	}
 	assert.NilError(t, <-served)
-	close(thaw)
+	close(release)
 	assert.NilError(t, <-slow)
 	assert.NilError(t, <-stopped)
 	assert.Equal(t, handled.Load(), int64(waiting+1))
@@ -97,14 +97,14 @@
 	return response.Body.Close()
 }
 
-// The request's first bytes arrived before the stop and its last ones after:
-// net/http alone closes the connection without an answer.
-func TestRequestThatIsBeingReadIsAnswered(t *testing.T) {
-	forEachServer(t, testRequestThatIsBeingReadIsAnswered)
+// The request's first bytes arrive before the stop and its last ones after it.
+// http.Server.Shutdown closes such a connection without a response.
+func TestStopAnswersPartlyReadRequest(t *testing.T) {
+	forEachServer(t, testStopAnswersPartlyReadRequest)
 }
 
-func testRequestThatIsBeingReadIsAnswered(t *testing.T, newServer constructor) {
-	server, address, served := start(t, newServer, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }, 0)
+func testStopAnswersPartlyReadRequest(t *testing.T, newServer constructor) {
+	server, address, served := startServer(t, newServer, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }, 0)
 	connection, err := net.Dial("tcp", address)
 	assert.NilError(t, err)
 	defer connection.Close()
@@ -122,16 +122,16 @@
 	assert.NilError(t, <-stopped)
 }
 
-func TestStopReportsWhatItCutsOff(t *testing.T) { forEachServer(t, testStopReportsWhatItCutsOff) }
+func TestStopReportsCutOffRequests(t *testing.T) { forEachServer(t, testStopReportsCutOffRequests) }
 
-func testStopReportsWhatItCutsOff(t *testing.T, newServer constructor) {
+func testStopReportsCutOffRequests(t *testing.T, newServer constructor) {
 	entered := make(chan struct{})
-	server, address, _ := start(t, newServer, func(_ http.ResponseWriter, r *http.Request) {
+	server, address, _ := startServer(t, newServer, func(_ http.ResponseWriter, r *http.Request) {
 		close(entered)
 		<-r.Context().Done()
 	}, 0)
-	cutOff := make(chan error, 1)
-	go func() { cutOff <- get("http://" + address) }()
+	failed := make(chan error, 1)
+	go func() { failed <- get("http://" + address) }()
 	<-entered
 	assert.Equal(t, server.Open(http.StateActive), 1)
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
@@ -139,14 +139,15 @@
 	var cutOffError *httpserver.CutOffError
 	assert.Assert(t, errors.As(server.Stop(ctx), &cutOffError))
 	assert.Equal(t, cutOffError.Requests, 1)
-	assert.Assert(t, <-cutOff != nil)
+	assert.Assert(t, <-failed != nil)
 }
 
-// All connections that may be open are open and idle; a stop is not held up.
-func TestStopAtTheLimitOfConnections(t *testing.T) { forEachServer(t, testStopAtTheLimitOfConnections) }
+// All connections that may be open are open and idle, and another one waits in the
+// backlog. The stop must not wait for a free slot.
+func TestStopAtConnectionLimit(t *testing.T) { forEachServer(t, testStopAtConnectionLimit) }
 
-func testStopAtTheLimitOfConnections(t *testing.T, newServer constructor) {
-	server, address, served := start(t, newServer, func(http.ResponseWriter, *http.Request) {}, 1)
+func testStopAtConnectionLimit(t *testing.T, newServer constructor) {
+	server, address, served := startServer(t, newServer, func(http.ResponseWriter, *http.Request) {}, 1)
 	client := &http.Client{Transport: &http.Transport{}}
 	response, err := client.Get("http://" + address)
 	assert.NilError(t, err)
@@ -159,37 +160,38 @@
 	client.CloseIdleConnections()
 }
 
-// The first server has a request in progress until its time is over. One after
-// the other, the second would go on accepting connections until then, and would
-// have no time left for its own requests.
-func TestStopAllStopsEachAtOnce(t *testing.T) { forEachServer(t, testStopAllStopsEachAtOnce) }
+// The first server has a long request in progress. If the servers were stopped one
+// after the other, the second would accept connections until that ends, and would have
+// no time left for its own requests.
+func TestStopAllIsConcurrent(t *testing.T) { forEachServer(t, testStopAllIsConcurrent) }
 
-func testStopAllStopsEachAtOnce(t *testing.T, newServer constructor) {
-	entered, thaw := make(chan struct{}), make(chan struct{})
-	busy, address, _ := start(t, newServer, func(http.ResponseWriter, *http.Request) {
+func testStopAllIsConcurrent(t *testing.T, newServer constructor) {
+	entered, release := make(chan struct{}), make(chan struct{})
+	busy, address, _ := startServer(t, newServer, func(http.ResponseWriter, *http.Request) {
 		close(entered)
-		<-thaw
+		<-release
 	}, 0)
-	other, _, otherServed := start(t, newServer, func(http.ResponseWriter, *http.Request) {}, 0)
+	other, _, otherServed := startServer(t, newServer, func(http.ResponseWriter, *http.Request) {}, 0)
 	slow := make(chan error, 1)
 	go func() { slow <- get("http://" + address) }()
 	<-entered
 	stopped := make(chan error, 1)
 	go func() { stopped <- httpserver.StopAll(t.Context(), busy, other) }()
-	assert.NilError(t, <-otherServed, "the second has stopped accepting while the first still waits")
-	close(thaw)
+	assert.NilError(t, <-otherServed, "the second must stop accepting while the first still waits")
+	close(release)
 	assert.NilError(t, <-slow)
 	assert.NilError(t, <-stopped)
 }
 
-// A connection that never sent a byte carries no request. Where the time of a
-// stop ends while one is open, nothing was cut off, and the stop did not fail.
-func TestAStopThatCutsNothingOffIsNoFailure(t *testing.T) {
-	forEachServer(t, testAStopThatCutsNothingOffIsNoFailure)
+// A connection on which no byte was sent carries no request. If the stop runs out of
+// time while only such connections are open, no request was cut off, so it must not
+// return an error.
+func TestStopTimeoutWithoutRequestsIsNoError(t *testing.T) {
+	forEachServer(t, testStopTimeoutWithoutRequestsIsNoError)
 }
 
-func testAStopThatCutsNothingOffIsNoFailure(t *testing.T, newServer constructor) {
-	server, address, _ := start(t, newServer, func(http.ResponseWriter, *http.Request) {}, 0)
+func testStopTimeoutWithoutRequestsIsNoError(t *testing.T, newServer constructor) {
+	server, address, _ := startServer(t, newServer, func(http.ResponseWriter, *http.Request) {}, 0)
 	connection, err := net.Dial("tcp", address)
 	assert.NilError(t, err)
 	defer connection.Close()
@@ -201,23 +203,23 @@
 	assert.NilError(t, server.Stop(ctx))
 }
 
-// countingListener tells each read of its connections.
-type countingListener struct {
+// readSignallingListener signals each read of its connections that returned bytes.
+type readSignallingListener struct {
 	*net.TCPListener
 	read chan struct{}
 }
 
-func (l countingListener) Accept() (net.Conn, error) {
+func (l readSignallingListener) Accept() (net.Conn, error) {
 	connection, err := l.TCPListener.Accept()
-	return countingConnection{connection, l.read}, err
+	return readSignallingConnection{connection, l.read}, err
 }
 
-type countingConnection struct {
+type readSignallingConnection struct {
 	net.Conn
 	read chan struct{}
 }
 
-func (c countingConnection) Read(buffer []byte) (int, error) {
+func (c readSignallingConnection) Read(buffer []byte) (int, error) {
 	count, err := c.Conn.Read(buffer)
 	if count > 0 {
 		c.read <- struct{}{}
@@ -225,17 +227,17 @@
 	return count, err
 }
 
-// A connection is kept open after a request, and the next one's first bytes were
-// read before the stop. net/http counts the connection as idle until the whole
-// header was read, and closes it without an answer.
-func TestRequestThatIsBeingReadOnAKeptConnectionIsAnswered(t *testing.T) {
-	forEachServer(t, testRequestThatIsBeingReadOnAKeptConnectionIsAnswered)
+// The first bytes of the next request on a keep-alive connection were read before the
+// stop. net/http counts the connection as idle until the whole header was read, and
+// closes it without a response.
+func TestStopAnswersPartlyReadRequestOnKeepAliveConnection(t *testing.T) {
+	forEachServer(t, testStopAnswersPartlyReadRequestOnKeepAliveConnection)
 }
 
-func testRequestThatIsBeingReadOnAKeptConnectionIsAnswered(t *testing.T, newServer constructor) {
+func testStopAnswersPartlyReadRequestOnKeepAliveConnection(t *testing.T, newServer constructor) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	counting := countingListener{listener.(*net.TCPListener), make(chan struct{}, 100)}
+	counting := readSignallingListener{listener.(*net.TCPListener), make(chan struct{}, 100)}
 	server := newServer(&http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})}, counting, 0)
 	served := make(chan error, 1)
 	go func() { served <- server.Serve() }()
@@ -265,16 +267,16 @@
 	assert.NilError(t, <-stopped)
 }
 
-// The next request on a kept-open connection has arrived in the kernel when the
-// stop begins, and was not read yet: closing the connection as idle loses it.
-func TestRequestThatHasArrivedOnAKeptConnectionIsAnswered(t *testing.T) {
-	forEachServer(t, testRequestThatHasArrivedOnAKeptConnectionIsAnswered)
+// The next request on a keep-alive connection has arrived in the kernel when the stop
+// begins, and was not read yet. Closing the connection as idle would lose it.
+func TestStopAnswersArrivedRequestOnKeepAliveConnection(t *testing.T) {
+	forEachServer(t, testStopAnswersArrivedRequestOnKeepAliveConnection)
 }
 
-func testRequestThatHasArrivedOnAKeptConnectionIsAnswered(t *testing.T, newServer constructor) {
+func testStopAnswersArrivedRequestOnKeepAliveConnection(t *testing.T, newServer constructor) {
 	const rounds, connections = 10, 16
 	for range rounds {
-		server, address, served := start(t, newServer, func(http.ResponseWriter, *http.Request) {}, 0)
+		server, address, served := startServer(t, newServer, func(http.ResponseWriter, *http.Request) {}, 0)
 		var readers [connections]*bufio.Reader
 		var kept [connections]net.Conn
 		for i := range kept {
@@ -283,13 +285,13 @@
 			assert.NilError(t, err)
 			defer kept[i].Close()
 			readers[i] = bufio.NewReader(kept[i])
-			request(t, kept[i])
+			sendGet(t, kept[i])
 			response, err := http.ReadResponse(readers[i], nil)
 			assert.NilError(t, err)
 			assert.Assert(t, !response.Close)
 		}
 		for _, connection := range kept {
-			request(t, connection)
+			sendGet(t, connection)
 		}
 		stopped := make(chan error, 1)
 		go func() { stopped <- server.Stop(t.Context()) }()
@@ -302,64 +304,65 @@
 	}
 }
 
-// A caller that goes on sending on a connection that it keeps is told to leave
-// it, and has an answer to each request.
-func TestStopTellsCallersToLeaveKeptConnections(t *testing.T) {
-	forEachServer(t, testStopTellsCallersToLeaveKeptConnections)
+// A client that goes on sending requests on a keep-alive connection during the stop gets
+// a response with "Connection: close".
+func TestStopSendsConnectionCloseOnKeepAliveConnections(t *testing.T) {
+	forEachServer(t, testStopSendsConnectionCloseOnKeepAliveConnections)
 }
 
-func testStopTellsCallersToLeaveKeptConnections(t *testing.T, newServer constructor) {
-	server, address, served := start(t, newServer, func(http.ResponseWriter, *http.Request) {}, 0)
+func testStopSendsConnectionCloseOnKeepAliveConnections(t *testing.T, newServer constructor) {
+	server, address, served := startServer(t, newServer, func(http.ResponseWriter, *http.Request) {}, 0)
 	connection, err := net.Dial("tcp", address)
 	assert.NilError(t, err)
 	defer connection.Close()
 	reader := bufio.NewReader(connection)
-	request(t, connection)
+	sendGet(t, connection)
 	_, err = http.ReadResponse(reader, nil)
 	assert.NilError(t, err)
 	stopped := make(chan error, 1)
 	go func() { stopped <- server.Stop(t.Context()) }()
 	assert.NilError(t, <-served)
-	request(t, connection)
+	sendGet(t, connection)
 	response, err := http.ReadResponse(reader, nil)
 	assert.NilError(t, err)
 	assert.Assert(t, response.Close)
 	assert.NilError(t, <-stopped)
 }
 
-func request(t *testing.T, connection net.Conn) {
+func sendGet(t *testing.T, connection net.Conn) {
 	t.Helper()
 	_, err := io.WriteString(connection, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 	assert.NilError(t, err)
 }
 
-// Over TLS the same holds, with HTTP/1.1 and with HTTP/2: a request that has
-// arrived on a kept-open connection is answered, and the idle connection then
-// does not hold the stop up.
-func TestStopOverTLSAnswersOnKeptConnections(t *testing.T) {
-	forEachServer(t, testStopOverTLSAnswersOnKeptConnections)
+// With TLS, both for HTTP/1.1 and for HTTP/2, a request that is sent on a keep-alive
+// connection during the stop is answered, and the idle connection doesn't delay the
+// stop after that.
+func TestStopAnswersOnKeepAliveConnectionsWithTLS(t *testing.T) {
+	forEachServer(t, testStopAnswersOnKeepAliveConnectionsWithTLS)
 }
 
-func testStopOverTLSAnswersOnKeptConnections(t *testing.T, newServer constructor) {
-	for _, second := range []bool{false, true} {
-		certified := httptest.NewUnstartedServer(nil)
-		certified.EnableHTTP2 = second
-		certified.StartTLS()
-		defer certified.Close()
+func testStopAnswersOnKeepAliveConnectionsWithTLS(t *testing.T, newServer constructor) {
+	for _, useHTTP2 := range []bool{false, true} {
+		// Provides the certificate and a client that trusts it.
+		tlsServer := httptest.NewUnstartedServer(nil)
+		tlsServer.EnableHTTP2 = useHTTP2
+		tlsServer.StartTLS()
+		defer tlsServer.Close()
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		assert.NilError(t, err)
 		handler := http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})
-		server := newServer(&http.Server{Handler: handler, TLSConfig: certified.TLS.Clone()}, listener.(*net.TCPListener), 0)
+		server := newServer(&http.Server{Handler: handler, TLSConfig: tlsServer.TLS.Clone()}, listener.(*net.TCPListener), 0)
 		served := make(chan error, 1)
 		go func() { served <- server.Serve() }()
 		url := "https://" + listener.Addr().String()
-		client := certified.Client()
+		client := tlsServer.Client()
 		send := func() error {
 			response, err := client.Get(url)
 			if err != nil {
 				return err
 			}
-			assert.Check(t, (response.ProtoMajor == 2) == second, response.Proto)
+			assert.Check(t, (response.ProtoMajor == 2) == useHTTP2, response.Proto)
 			return response.Body.Close()
 		}
 		assert.NilError(t, send())
