--- a/internal/controller/rpc_mutate.go
+++ b/internal/controller/rpc_mutate.go
@@ -32,7 +32,7 @@
 	command.RequestID = mutation.GetRequestId()
 	command.Author = mutation.GetAuthor()
 	command.ExpectedRevision = topology.Revision(mutation.GetExpectedRevision())
-	if err := command.Seal(); err != nil {
+	if err := command.SetDigest(); err != nil {
 		return none, nil, connect.NewError(connect.CodeInternal, err)
 	}
 	checked, err := s.checkFirst(ctx, command)
--- a/internal/controlstate/command.go
+++ b/internal/controlstate/command.go
@@ -159,10 +159,10 @@
 	Reason string
 }
 
-// Seal sets the digest of an operator command. It is computed by the proposer
+// SetDigest sets the digest of an operator command. It is computed by the proposer
 // and not by each replica, because replicas of different versions could compute
 // different digests.
-func (c *Command) Seal() error {
+func (c *Command) SetDigest() error {
 	content := *c
 	content.UnixMilli = 0
 	content.RequestID = ""
--- a/internal/controlstate/property_test.go
+++ b/internal/controlstate/property_test.go
@@ -75,7 +75,7 @@
 		ExpectedRevision: configured + topology.Revision(rapid.SampledFrom([]int{0, 0, 0, 0, 1}).Draw(r, "ahead")),
 	}
 	fillOperatorCommand(r, &command)
-	if err := command.Seal(); err != nil {
+	if err := command.SetDigest(); err != nil {
 		r.Fatal(err)
 	}
 	return command
@@ -233,7 +233,7 @@
 			r.Fatalf("shard %s starts at %x, but the previous shard ends before %x", shard.ID, shard.Start, next)
 		}
 		first = false
-		next = state.EndOf(shard.ID) + 1
+		next = state.RangeEnd(shard.ID) + 1
 		c.checkShard(r, state, shard)
 		owned[shard.Owner]++
 	}
@@ -263,7 +263,7 @@
 func (c *invariantChecker) checkKeys(r *rapid.T, state *controlstate.State, service topology.ServiceID) {
 	for _, key := range sampledKeys {
 		shard, ok := state.ShardOfKey(service, key)
-		if !ok || key < shard.Start || key > state.EndOf(shard.ID) {
+		if !ok || key < shard.Start || key > state.RangeEnd(shard.ID) {
 			r.Fatalf("key hash %x of service %d is not in the range of its shard %+v", key, service, shard)
 		}
 		sampled := sampledKey{service, key}
--- a/internal/controlstate/state.go
+++ b/internal/controlstate/state.go
@@ -291,8 +291,8 @@
 	return found.shardsByNumber[id.Shard]
 }
 
-// EndOf returns the last key hash in a shard's range.
-func (s *State) EndOf(id topology.ShardID) topology.KeyHash {
+// RangeEnd returns the last key hash in a shard's range.
+func (s *State) RangeEnd(id topology.ShardID) topology.KeyHash {
 	record := s.shard(id)
 	if record == nil {
 		return 0
--- a/internal/controlstate/state_test.go
+++ b/internal/controlstate/state_test.go
@@ -33,7 +33,7 @@
 	configured, _ := l.state.Configuration()
 	command := controlstate.Command{RequestID: requestID, Author: "anna", ExpectedRevision: configured}
 	fill(&command)
-	if err := command.Seal(); err != nil {
+	if err := command.SetDigest(); err != nil {
 		panic(err)
 	}
 	return command
@@ -305,7 +305,7 @@
 	remove := func(member bool) controlstate.Command {
 		command := controlstate.Command{RequestID: "r", Author: "anna"}
 		command.RemoveController = &controlstate.RemoveController{ID: 2, Member: member}
-		assert.NilError(t, command.Seal())
+		assert.NilError(t, command.SetDigest())
 		return command
 	}
 	assert.ErrorContains(t, l.state.Check(remove(false)).Err(), "there is no controller 2")
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -250,7 +250,7 @@
 
 // ClaimsDiscounted returns how many reports of this term carried a claimed load
 // that contradicted what was observed.
-func (c *Coordinator) ClaimsDiscounted() uint64 { return c.loads.Discounted() }
+func (c *Coordinator) ClaimsDiscounted() uint64 { return c.loads.ContradictedClaims() }
 
 // Load returns what was observed of a back end.
 func (c *Coordinator) Load(backend topology.BackendID, now time.Duration) loadtable.Backend {
@@ -275,7 +275,7 @@
 	last, known := c.routerReports[router]
 	c.routerReports[router] = now
 	if known && now > last {
-		c.loads.RouterReport(report, now-last, now)
+		c.loads.RecordRouterReport(report, now-last, now)
 	}
 }
 
--- a/internal/coordinator/decide.go
+++ b/internal/coordinator/decide.go
@@ -185,7 +185,7 @@
 func (c *Coordinator) leftShare(left, right topology.ShardID) float64 {
 	leftShard, _ := c.state.Shard(left)
 	rightShard, _ := c.state.Shard(right)
-	end := c.state.EndOf(right)
+	end := c.state.RangeEnd(right)
 	leftWidth := float64(rightShard.Start - leftShard.Start)
 	return leftWidth / (leftWidth + float64(end-rightShard.Start))
 }
--- a/internal/coordinator/leases.go
+++ b/internal/coordinator/leases.go
@@ -70,7 +70,7 @@
 
 func (c *Coordinator) observe(known *agent, backend topology.BackendID, renew *wire.Renew, now time.Duration) {
 	if !renew.LoadOmitted {
-		c.loads.AgentReport(c.serviceOf(backend), backend, renew, now)
+		c.loads.RecordAgentReport(c.serviceOf(backend), backend, renew, now)
 	}
 	if renew.Leaving && !known.leaving {
 		known.leavingAt = now
--- a/internal/loadtable/table.go
+++ b/internal/loadtable/table.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// AgentReport records an agent's report on the shards of its back end.
-func (t *Table) AgentReport(service topology.ServiceID, id topology.BackendID, renew *wire.Renew, now time.Duration) {
+// RecordAgentReport records an agent's report on the shards of its back end.
+func (t *Table) RecordAgentReport(service topology.ServiceID, id topology.BackendID, renew *wire.Renew, now time.Duration) {
 	reporter := t.backend(id)
 	t.service(service).recordReport(reporter, now)
 	interval := min(now-reporter.lastReport, maxInterval)
@@ -220,8 +220,8 @@
 	return total
 }
 
-// RouterReport records what a router observed of back ends in an interval.
-func (t *Table) RouterReport(report *wire.RouterLoad, interval, now time.Duration) {
+// RecordRouterReport records what a router observed of back ends in an interval.
+func (t *Table) RecordRouterReport(report *wire.RouterLoad, interval, now time.Duration) {
 	seconds := interval.Seconds()
 	for _, observed := range report.Observed {
 		seen := t.backend(observed.Backend)
@@ -327,9 +327,9 @@
 	return result
 }
 
-// Discounted returns how many reports carried a claim that contradicted what
+// ContradictedClaims returns how many reports carried a claim that contradicted what
 // was observed.
-func (t *Table) Discounted() uint64 { return t.contradictedClaims }
+func (t *Table) ContradictedClaims() uint64 { return t.contradictedClaims }
 
 // backend returns the entry of a back end, and adds one if there is none.
 func (t *Table) backend(id topology.BackendID) *backend {
--- a/internal/loadtable/table_test.go
+++ b/internal/loadtable/table_test.go
@@ -36,7 +36,7 @@
 				Shard: number, Requests: requests, BusyMicros: requests * uint32(work.Microseconds()),
 			})
 		}
-		table.AgentReport(1, 1, &wire.Renew{Load: loads}, now)
+		table.RecordAgentReport(1, 1, &wire.Renew{Load: loads}, now)
 	}
 	return until
 }
@@ -74,7 +74,7 @@
 				Shard: number, Requests: requests, BusyMicros: requests * uint32(work.Microseconds()),
 			})
 		}
-		table.AgentReport(1, 1, &wire.Renew{Load: loads}, now)
+		table.RecordAgentReport(1, 1, &wire.Renew{Load: loads}, now)
 		if now < 20*time.Second {
 			continue
 		}
@@ -92,7 +92,7 @@
 	now := reportPoissonLoad(table, rand.New(rand.NewPCG(1, 1)), 200, 0, 10*time.Second)
 	for range 40 {
 		now += interval
-		table.AgentReport(1, 1, &wire.Renew{}, now)
+		table.RecordAgentReport(1, 1, &wire.Renew{}, now)
 	}
 	assert.Assert(t, table.Load(hotShard) < 0.05, "%v slots", table.Load(hotShard))
 }
@@ -100,19 +100,19 @@
 func TestContradictedClaimIsCountedAndNotUsed(t *testing.T) {
 	table := loadtable.New()
 	for now := time.Duration(0); now < 5*time.Second; now += interval {
-		table.AgentReport(1, 1, &wire.Renew{
+		table.RecordAgentReport(1, 1, &wire.Renew{
 			Load:    []wire.ShardLoad{{Shard: 1, Requests: 100, BusyMicros: 1_000_000}},
 			Backend: wire.BackendLoad{Claimed: 0},
 		}, now)
 	}
-	assert.Assert(t, table.Discounted() > 0)
+	assert.Assert(t, table.ContradictedClaims() > 0)
 	assert.Assert(t, math.Abs(table.Load(hotShard)-8) < 0.1, "%v slots, want 8", table.Load(hotShard))
 }
 
 func TestSplitAndMergeFollowHotKeyLoad(t *testing.T) {
 	table := loadtable.New()
 	for now := time.Duration(0); now < 5*time.Second; now += interval {
-		table.AgentReport(1, 1, &wire.Renew{Load: []wire.ShardLoad{{
+		table.RecordAgentReport(1, 1, &wire.Renew{Load: []wire.ShardLoad{{
 			Shard: 1, Requests: 100, BusyMicros: 500_000,
 			HotKeys: []wire.KeyLoad{{Key: 1000, Share: 0.75}},
 		}}}, now)
@@ -130,8 +130,8 @@
 	full := &wire.Renew{Load: []wire.ShardLoad{{Shard: 1, Requests: 100, BusyMicros: 500_000}}}
 	empty := &wire.Renew{Load: []wire.ShardLoad{{Shard: 1}}}
 	for now := time.Duration(0); now < 10*time.Second; now += interval {
-		table.AgentReport(1, 2, full, now)
-		table.AgentReport(1, 1, empty, now)
+		table.RecordAgentReport(1, 2, full, now)
+		table.RecordAgentReport(1, 1, empty, now)
 	}
 	assert.Assert(t, math.Abs(table.Load(hotShard)-4) < 0.1, "%v slots, want 4", table.Load(hotShard))
 }
@@ -142,12 +142,12 @@
 	for range 20 {
 		now += interval
 		failing := &wire.RouterLoad{Observed: []wire.ObservedBackend{{Backend: 1, Failed: 8, TimedOut: 4}}}
-		table.RouterReport(failing, interval, now)
+		table.RecordRouterReport(failing, interval, now)
 	}
 	assert.Assert(t, table.Backend(1, now).FailureShare > 0.9)
 	for range 80 {
 		now += interval
-		table.RouterReport(&wire.RouterLoad{}, interval, now)
+		table.RecordRouterReport(&wire.RouterLoad{}, interval, now)
 	}
 	assert.Assert(t, table.Backend(1, now).FailureShare < 0.1, "%v", table.Backend(1, now))
 }
--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -208,7 +208,7 @@
 	apply := func(command controlstate.Command) {
 		configured, _ := state.Configuration()
 		command.RequestID, command.Author, command.ExpectedRevision = fmt.Sprint(revision), "bench", configured
-		assert.NilError(b, command.Seal())
+		assert.NilError(b, command.SetDigest())
 		revision++
 		result, _ := state.Apply(revision, command)
 		assert.NilError(b, result.Err())
@@ -473,7 +473,7 @@
 	revision := topology.Revision(0)
 	operator := func(command controlstate.Command) {
 		command.RequestID, command.Author, command.ExpectedRevision = fmt.Sprint("populate-", revision), "bench", revision
-		assert.NilError(b, command.Seal())
+		assert.NilError(b, command.SetDigest())
 		revision = propose(b, leader, command)
 	}
 	for service := range 2 {
--- a/lab/simulate/operator.go
+++ b/lab/simulate/operator.go
@@ -131,7 +131,7 @@
 // operatorSends times.
 func (o *operator) submit(command controlstate.Command, done func(controlstate.Result, bool)) {
 	o.cluster.committed.asked[command.RequestID] = command.ExpectedRevision
-	if err := command.Seal(); err != nil {
+	if err := command.SetDigest(); err != nil {
 		o.world.violate(OneWinner, "%s cannot seal a command: %v", o.name, err)
 		return
 	}
--- a/lab/simulate/promises.go
+++ b/lab/simulate/promises.go
@@ -151,7 +151,7 @@
 // changed notes the ranges of changed shards.
 func (o *ownerBook) changed(state *controlstate.State, shards []topology.Shard) {
 	for _, shard := range shards {
-		o.ranges[shardAt{shard.ID, shard.Epoch}] = requestrecord.Range{Start: shard.Start, Last: state.EndOf(shard.ID)}
+		o.ranges[shardAt{shard.ID, shard.Epoch}] = requestrecord.Range{Start: shard.Start, Last: state.RangeEnd(shard.ID)}
 	}
 }
 
