--- a/internal/consensus/chart.go
+++ b/internal/consensus/chart.go
@@ -9,7 +9,7 @@
 //go:embed replica.chart
 var chartFiles embed.FS
 
-// Role is a replica's part in its group, a state of replica.chart.
+// Role is a replica's role in its group, a state of replica.chart.
 type Role = statechart.State
 
 // Roles, in the order of roleNames.
@@ -57,8 +57,8 @@
 // RoleName returns a role's name as in replica.chart.
 func RoleName(role Role) string { return roleNames[role] }
 
-// fire takes the chart's transition for the event, if there is one, and runs
-// its action.
+// fire makes the chart's transition for the event and runs its action. It
+// returns false if the current role has no transition for the event.
 func (c *Core) fire(event statechart.Event) bool {
 	next, action, ok := roleTable.Next(c.role, event)
 	if !ok {
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -16,11 +16,12 @@
 	testGroup = topology.GroupID(1)
 )
 
-// disk is a storage double: only what was synced outlives a crash.
+// disk is a fake of a replica's storage. Only what was written to it survives a
+// crash.
 type disk struct {
-	hard     HardState
-	entries  []Entry
-	snapshot Snapshot
+	hardState HardState
+	entries   []Entry
+	snapshot  Snapshot
 }
 
 func (d *disk) write(ready Ready) {
@@ -29,7 +30,7 @@
 		d.entries = nil
 	}
 	if ready.HardState != nil {
-		d.hard = *ready.HardState
+		d.hardState = *ready.HardState
 	}
 	if len(ready.Entries) > 0 {
 		kept := slices.IndexFunc(d.entries, func(e Entry) bool { return e.Index >= ready.Entries[0].Index })
@@ -53,14 +54,15 @@
 	applied []Entry
 	reads   []ReadState
 	paused  bool
-	// inbox holds what came while paused.
+	// inbox holds the messages that arrived while the replica was paused.
 	inbox []Message
-	// full refuses entries, as a full disk does.
-	full bool
-	// unproven is what the next start tells of the disk.
+	// diskFull withholds entries from writing, as the driver does while the disk
+	// is full.
+	diskFull bool
+	// unproven is passed to the next start as Config.Unproven.
 	unproven bool
-	// ended is why the replica ended itself.
-	ended error
+	// fatalErr is the error with which the replica stopped itself.
+	fatalErr error
 }
 
 type delivery struct {
@@ -69,9 +71,9 @@
 }
 
 // cluster runs replicas on virtual time over a network that delays, loses and
-// reorders, all drawn from one seed.
+// reorders messages. All randomness comes from one seed.
 type cluster struct {
-	t         rapidOrTest
+	t         testingT
 	now       time.Duration
 	random    *rand.Rand
 	nodes     map[topology.ReplicaID]*node
@@ -82,13 +84,13 @@
 	maxDelay  time.Duration
 	committed map[uint64]Entry
 	leaders   map[uint64]topology.ReplicaID
-	// actedAt is when the leader of each term last held a lease.
-	actedAt map[uint64]time.Duration
-	starts  uint64
+	// leaseHeldAt is when the leader of each term last held a lease.
+	leaseHeldAt map[uint64]time.Duration
+	starts      uint64
 }
 
-// rapidOrTest is what *testing.T and *rapid.T share.
-type rapidOrTest interface {
+// testingT is the common subset of *testing.T, *testing.B and *rapid.T.
+type testingT interface {
 	Helper()
 	Log(...any)
 	Fatalf(string, ...any)
@@ -96,17 +98,17 @@
 	Fail()
 }
 
-func newCluster(t rapidOrTest, seed uint64, size int) *cluster {
+func newCluster(t testingT, seed uint64, size int) *cluster {
 	t.Helper()
 	c := &cluster{
-		t:         t,
-		random:    rand.New(rand.NewPCG(seed, 1)),
-		nodes:     map[topology.ReplicaID]*node{},
-		cut:       map[[2]topology.ReplicaID]bool{},
-		maxDelay:  5 * time.Millisecond,
-		committed: map[uint64]Entry{},
-		leaders:   map[uint64]topology.ReplicaID{},
-		actedAt:   map[uint64]time.Duration{},
+		t:           t,
+		random:      rand.New(rand.NewPCG(seed, 1)),
+		nodes:       map[topology.ReplicaID]*node{},
+		cut:         map[[2]topology.ReplicaID]bool{},
+		maxDelay:    5 * time.Millisecond,
+		committed:   map[uint64]Entry{},
+		leaders:     map[uint64]topology.ReplicaID{},
+		leaseHeldAt: map[uint64]time.Duration{},
 	}
 	var members []Member
 	for id := range size {
@@ -140,7 +142,7 @@
 	c.starts++
 	core, err := New(Config{
 		Group: testGroup, ID: n.member.ID, Incarnation: n.member.Incarnation,
-		HardState: n.disk.hard, Snapshot: n.disk.snapshot.Meta, Entries: slices.Clone(n.disk.entries),
+		HardState: n.disk.hardState, Snapshot: n.disk.snapshot.Meta, Entries: slices.Clone(n.disk.entries),
 		Now: c.now, Seed: c.random.Uint64(), MaxAppendBytes: 200, MaxInflightAppends: 4,
 		Unproven: n.unproven,
 	})
@@ -151,7 +153,8 @@
 	n.inbox = nil
 }
 
-// decodeApplied rebuilds the state machine, the list of applied entries.
+// decodeApplied decodes the state machine, the list of applied entries, from a
+// snapshot.
 func decodeApplied(snapshot Snapshot) []Entry {
 	var applied []Entry
 	for position := 0; position+8 <= len(snapshot.Data); position += 8 {
@@ -171,8 +174,8 @@
 	return data
 }
 
-// crash ends a replica. One that was not sure of its disk is no surer when it
-// starts again.
+// crash stops a replica. If its disk was unproven, it is unproven at the next
+// start too.
 func (c *cluster) crash(id topology.ReplicaID) {
 	if n := c.nodes[id]; n.core != nil {
 		n.unproven = n.core.Status().Unproven
@@ -182,16 +185,17 @@
 
 func (c *cluster) restart(id topology.ReplicaID) { c.start(c.nodes[id]) }
 
-// rollBack starts a replica from an older copy of its disk.
-func (c *cluster) rollBack(id topology.ReplicaID, copied disk) {
+// restoreDiskCopy starts a replica from an older copy of its disk.
+func (c *cluster) restoreDiskCopy(id topology.ReplicaID, copied disk) {
 	n := c.nodes[id]
 	n.disk = copied.clone()
 	n.unproven = true
 	c.start(n)
 }
 
-// powerCycle restarts a replica that cannot tell whether its disk is whole.
-func (c *cluster) powerCycle(id topology.ReplicaID) { c.rollBack(id, c.nodes[id].disk) }
+// restartUnproven restarts a replica from its present disk as unproven, as after
+// a power cut.
+func (c *cluster) restartUnproven(id topology.ReplicaID) { c.restoreDiskCopy(id, c.nodes[id].disk) }
 
 func (c *cluster) isolate(id topology.ReplicaID) {
 	for other := range c.nodes {
@@ -219,15 +223,15 @@
 	}
 }
 
-// work does the node's Ready work until there is none.
-func (c *cluster) work(n *node) {
+// processReady does the node's Ready work until there is none left.
+func (c *cluster) processReady(n *node) {
 	if n.core != nil {
-		n.core.HoldEntries(n.full)
+		n.core.HoldEntries(n.diskFull)
 	}
 	for n.core != nil && !n.paused && n.core.HasReady() {
-		n.core.HoldEntries(n.full)
+		n.core.HoldEntries(n.diskFull)
 		ready := n.core.Ready()
-		c.checkDurable(n, ready)
+		c.checkEarlyMessages(n, ready)
 		c.send(ready.Early)
 		n.disk.write(ready)
 		if ready.Snapshot != nil {
@@ -243,23 +247,25 @@
 	}
 }
 
-// checkDurable verifies that no early message tells what is not yet written.
-func (c *cluster) checkDurable(n *node, ready Ready) {
+// checkEarlyMessages verifies that no early message depends on state that is not
+// yet written.
+func (c *cluster) checkEarlyMessages(n *node, ready Ready) {
 	for _, m := range ready.Early {
 		switch m.Kind {
-		case MessageVote, MessageVoteAnswer, MessageAppendAnswer:
-			c.t.Fatalf("replica %d sends message kind %d before it has written", n.member.ID, m.Kind)
-		case MessagePreVote, MessagePreVoteAnswer:
+		case MessageVote, MessageVoteResponse, MessageAppendResponse:
+			c.t.Fatalf("replica %d sends a message of kind %d before its write is done", n.member.ID, m.Kind)
+		case MessagePreVote, MessagePreVoteResponse:
 		default:
-			assert.Assert(c.t, m.Term <= n.disk.hard.Term, "replica %d tells term %d before it is written", n.member.ID, m.Term)
+			assert.Assert(c.t, m.Term <= n.disk.hardState.Term, "replica %d sends term %d before it is written", n.member.ID, m.Term)
 		}
 	}
 }
 
-// apply checks that all replicas apply the same entry at an index.
+// apply applies an entry and checks that all replicas apply the same one at an
+// index.
 func (c *cluster) apply(n *node, entry Entry) {
 	if earlier, ok := c.committed[entry.Index]; ok {
-		assert.Equal(c.t, earlier.Term, entry.Term, "replica %d applies another entry at %d", n.member.ID, entry.Index)
+		assert.Equal(c.t, earlier.Term, entry.Term, "replica %d applies a different entry at index %d", n.member.ID, entry.Index)
 		assert.Equal(c.t, string(earlier.Data), string(entry.Data))
 	}
 	c.committed[entry.Index] = entry
@@ -281,8 +287,8 @@
 	c.leaders[term] = n.member.ID
 }
 
-// checkLeases verifies that at most one replica may act as the leader, paused
-// ones included.
+// checkLeases verifies that at most one replica holds a valid leader lease,
+// paused ones included.
 func (c *cluster) checkLeases() {
 	holder := topology.ReplicaID(0)
 	for _, id := range c.ids() {
@@ -290,7 +296,7 @@
 		if n.core == nil || !n.core.Status().IsLeader(c.now) {
 			continue
 		}
-		c.actedAt[n.core.Status().Term] = c.now
+		c.leaseHeldAt[n.core.Status().Term] = c.now
 		if holder != 0 {
 			c.t.Fatalf("replicas %d and %d both have a valid lease at %v", holder, id, c.now)
 		}
@@ -298,8 +304,8 @@
 	}
 }
 
-// compact takes a snapshot at a replica and drops the log before it, but for
-// retain entries.
+// compact takes a snapshot at a replica and drops the log before it, apart from
+// the last retain entries.
 func (c *cluster) compact(id topology.ReplicaID, retain uint64) {
 	n := c.nodes[id]
 	status := n.core.Status()
@@ -311,7 +317,7 @@
 	n.core.Compact(n.disk.snapshot.Meta, retain)
 }
 
-// add starts a replica that no membership names yet, with an empty disk.
+// add starts a replica with an empty disk that is in no membership yet.
 func (c *cluster) add(member Member) *node {
 	n := &node{member: member}
 	c.nodes[member.ID] = n
@@ -319,7 +325,7 @@
 	return n
 }
 
-// others returns the running replicas but one.
+// others returns all running replicas except one.
 func (c *cluster) others(id topology.ReplicaID) []*node {
 	var others []*node
 	for _, other := range c.ids() {
@@ -330,7 +336,7 @@
 	return others
 }
 
-// step moves time by one tick.
+// step advances time by one tick.
 func (c *cluster) step() {
 	c.now += testTick
 	due := c.network
@@ -349,7 +355,7 @@
 			continue
 		}
 		n.core.Tick(c.now)
-		c.work(n)
+		c.processReady(n)
 	}
 	c.checkLeases()
 }
@@ -365,19 +371,20 @@
 	}
 	err := n.core.Step(c.now, m)
 	if errors.Is(err, ErrOlderCopy) {
-		n.core, n.ended = nil, err
+		n.core, n.fatalErr = nil, err
 		return
 	}
 	assert.NilError(c.t, err)
-	c.work(n)
+	c.processReady(n)
 }
 
-// resume ends a pause: what came meanwhile is read after the first tick.
+// resume ends a pause. Messages that arrived meanwhile are handled after the
+// first tick.
 func (c *cluster) resume(id topology.ReplicaID) {
 	n := c.nodes[id]
 	n.paused = false
 	n.core.Tick(c.now)
-	c.work(n)
+	c.processReady(n)
 	inbox := n.inbox
 	n.inbox = nil
 	for _, m := range inbox {
@@ -391,12 +398,13 @@
 	}
 }
 
-// until runs until a condition holds, for at most ten seconds of virtual time.
-func (c *cluster) until(what string, condition func() bool) {
+// waitUntil runs until a condition holds, for at most ten seconds of virtual
+// time.
+func (c *cluster) waitUntil(what string, condition func() bool) {
 	c.t.Helper()
 	for end := c.now + 10*time.Second; !condition(); {
 		if c.now >= end {
-			c.t.Fatalf("not within 10 s: %s", what)
+			c.t.Fatalf("not reached within 10 s: %s", what)
 		}
 		c.step()
 	}
@@ -413,20 +421,21 @@
 	return nil
 }
 
-func (c *cluster) waitLeader() *node {
+func (c *cluster) waitForLeader() *node {
 	c.t.Helper()
-	c.until("a leader with a lease", func() bool { return c.leader() != nil })
+	c.waitUntil("a leader with a lease", func() bool { return c.leader() != nil })
 	return c.leader()
 }
 
-// commit proposes at the leader and waits until it has applied the command.
+// commit proposes a command at the leader and waits until the leader has applied
+// it.
 func (c *cluster) commit(data string) uint64 {
 	c.t.Helper()
-	leader := c.waitLeader()
+	leader := c.waitForLeader()
 	index, _, err := leader.core.Propose([]byte(data))
 	assert.NilError(c.t, err)
-	c.work(leader)
-	c.until("command applied", func() bool { return leader.core.Status().Applied >= index })
+	c.processReady(leader)
+	c.waitUntil("command applied", func() bool { return leader.core.Status().Applied >= index })
 	return index
 }
 
@@ -434,15 +443,15 @@
 // committed.
 func (c *cluster) change(change Change) {
 	c.t.Helper()
-	leader := c.waitLeader()
+	leader := c.waitForLeader()
 	var index uint64
-	c.until(change.Kind.String()+" accepted", func() bool {
+	c.waitUntil(change.Kind.String()+" accepted", func() bool {
 		var err error
 		index, _, err = leader.core.ProposeMembership(change)
 		return err == nil
 	})
-	c.work(leader)
-	c.until(change.Kind.String()+" committed", func() bool { return leader.core.Status().Commit >= index })
+	c.processReady(leader)
+	c.waitUntil(change.Kind.String()+" committed", func() bool { return leader.core.Status().Commit >= index })
 }
 
 func (c *cluster) allApplied(index uint64) bool {
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -10,58 +10,62 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// Core is one replica's part of the protocol. It is pure: time, messages and
-// what was persisted come in, and Ready says what to write, send and apply.
-// It is not safe for use by several goroutines.
+// Core runs the protocol for one replica. It performs no I/O: the driver passes
+// in the time, messages and the outcome of writes, and Ready returns what to
+// write, send and apply. It is not safe for concurrent use.
 type Core struct {
 	config Config
 	now    time.Duration
 	random *rand.Rand
 
-	role   Role
-	hard   HardState
-	saved  HardState
-	leader topology.ReplicaID
-	// leaderIncarnation is the leader's, who may not be in this replica's
+	role      Role
+	hardState HardState
+	persisted HardState
+	leader    topology.ReplicaID
+	// leaderIncarnation is kept because the leader may not be in this replica's
 	// membership yet.
 	leaderIncarnation topology.Incarnation
 	log               *entryLog
-	// snapshot is the newest durable snapshot, the one that is sent.
+	// snapshot is the newest durable snapshot, which is sent to replicas that
+	// lag behind the log.
 	snapshot SnapshotMeta
-	// installing is a received snapshot that is not durable yet.
+	// installing is a received snapshot that is not yet durable.
 	installing *Snapshot
-	// memberships in the log, by ascending index; the last is in force. The
-	// first is at or before the snapshot.
+	// memberships are those in the log, by ascending index; the last one is in
+	// effect. The first is at or before the snapshot.
 	memberships []membershipAt
 
 	electionDeadline time.Duration
 	leaderHeardAt    time.Duration
-	// ledUntil is when this replica last lost leadership; earlierLeasesEnd is
-	// what an election collects of earlier leaders (predecessor.go).
-	ledUntil         time.Duration
+	// steppedDownAt is when this replica last lost leadership. earlierLeasesEnd
+	// is the bound on earlier leader leases that an election computes from its
+	// votes (earlierleases.go).
+	steppedDownAt    time.Duration
 	earlierLeasesEnd time.Duration
 	votes            map[topology.ReplicaID]bool
-	// transferVote marks the election as asked for by the leader.
+	// transferVote marks an election that the leader asked for.
 	transferVote bool
-	// leaderSeen says that this process has led or heard a leader; unledVote marks an
-	// election that rests on no member having done so (unled.go).
-	leaderSeen bool
-	unledVote  bool
-	unledRound unledRound
-	// ackUpTo is the index to acknowledge to the leader once it is stable.
+	// leaderSeen is set once this process has led or heard a leader;
+	// coldStartElection marks an election for which no member's process has
+	// (coldstart.go).
+	leaderSeen        bool
+	coldStartElection bool
+	preVoteRound      preVoteRound
+	// ackUpTo is the index to acknowledge to the leader once it is durable.
 	ackUpTo uint64
-	// matched is the index up to which the log is known to match the leader's
-	// of this term.
+	// matched is the index up to which the log is known to match the log of
+	// this term's leader.
 	matched uint64
 
-	leading leadership
+	leading leaderState
 
-	// run tells this start from others, recovery is what a start from an
-	// unproven disk still waits for, marks is what others showed of their disks.
-	run      uint64
-	recovery recovery
-	marks    map[topology.ReplicaID][]mark
-	// holdEntries keeps entries back from Ready while the disk is full.
+	// run identifies this process among the replica's starts. recovery is the
+	// progress of a start from an unproven disk. peerObservations holds the
+	// durable state that each peer is known to have had.
+	run              uint64
+	recovery         recovery
+	peerObservations map[topology.ReplicaID][]peerObservation
+	// holdEntries withholds entries from Ready while the disk is full.
 	holdEntries bool
 
 	early    []Message
@@ -74,40 +78,41 @@
 	membership Membership
 }
 
-// leadership is the state that only a leader has.
-type leadership struct {
+// leaderState is the state that only a leader has.
+type leaderState struct {
 	peers map[topology.ReplicaID]*tracker.Progress
-	// firstIndex is that of the entry that began the term.
+	// firstIndex is the index of the first entry of the leader's term.
 	firstIndex       uint64
 	electedAt        time.Duration
-	startedAnew      bool
+	coldStart        bool
 	uncommittedBytes int
-	// appendWanted and roundWanted gather work until the next Ready.
-	appendWanted bool
-	commitWanted bool
-	roundWanted  bool
+	// needAppend, needCommit and needRound batch work until the next Ready:
+	// sending entries, sending the commit index and starting a heartbeat round.
+	needAppend bool
+	needCommit bool
+	needRound  bool
 
 	nextHeartbeat time.Duration
 	round         uint64
-	rounds        []roundStart
-	// confirmed is the newest round that a quorum answered, sent at
+	rounds        []heartbeatRound
+	// confirmedRound is the newest round that a quorum answered, sent at
 	// confirmedAt.
-	confirmed   uint64
-	confirmedAt time.Duration
-	hasLease    bool
+	confirmedRound uint64
+	confirmedAt    time.Duration
+	hasLease       bool
 
-	waitingReads []uint64
+	queuedReads  []uint64
 	pendingReads []pendingRead
 
 	transfer transferState
 }
 
-type roundStart struct {
+type heartbeatRound struct {
 	round  uint64
 	sentAt time.Duration
 }
 
-// New returns a replica that starts from what was durable.
+// New returns a replica that starts from the durable state in config.
 func New(config Config) (*Core, error) {
 	config = config.withDefaults()
 	if err := config.validate(); err != nil {
@@ -118,22 +123,22 @@
 		return nil, fmt.Errorf("consensus: %w", err)
 	}
 	c := &Core{
-		config:        config,
-		now:           config.Now,
-		random:        rand.New(rand.NewPCG(config.Seed, uint64(config.ID))),
-		role:          roleTable.Initial(),
-		hard:          config.HardState,
-		saved:         config.HardState,
-		log:           log,
-		snapshot:      config.Snapshot,
-		memberships:   []membershipAt{{config.Snapshot.Index, config.Snapshot.Membership}},
-		leaderHeardAt: config.Now,
-		marks:         map[topology.ReplicaID][]mark{},
+		config:           config,
+		now:              config.Now,
+		random:           rand.New(rand.NewPCG(config.Seed, uint64(config.ID))),
+		role:             roleTable.Initial(),
+		hardState:        config.HardState,
+		persisted:        config.HardState,
+		log:              log,
+		snapshot:         config.Snapshot,
+		memberships:      []membershipAt{{config.Snapshot.Index, config.Snapshot.Membership}},
+		leaderHeardAt:    config.Now,
+		peerObservations: map[topology.ReplicaID][]peerObservation{},
 	}
 	c.run = c.random.Uint64() | 1
-	c.hard.Commit = log.committed
+	c.hardState.Commit = log.committed
 	c.config.Entries = nil
-	if err := c.noteMemberships(log.entries); err != nil {
+	if err := c.recordMemberships(log.entries); err != nil {
 		return nil, fmt.Errorf("consensus: %w", err)
 	}
 	c.resetElectionDeadline()
@@ -142,14 +147,14 @@
 	}
 	c.membershipChanged()
 	if c.role == Follower {
-		c.electionDeadline = c.unledDeadline(0)
+		c.electionDeadline = c.coldStartDeadline(0)
 	}
 	return c, nil
 }
 
-// Tick tells the time. Times must not go back.
+// Tick passes in the current time, which must not go backwards.
 func (c *Core) Tick(now time.Duration) {
-	c.advance(now)
+	c.advanceClock(now)
 	if c.role == Leader {
 		c.tickLeader()
 		return
@@ -161,10 +166,11 @@
 	}
 }
 
-// advance moves the clock. After a pause a follower waits anew, because what
-// the leader sent meanwhile has yet to be read, and a leader that may have
-// been replaced stops leading before anything else is done.
-func (c *Core) advance(now time.Duration) {
+// advanceClock sets the time. After a pause of the process a follower extends
+// its election deadline by the pause, because messages that the leader sent
+// meanwhile have yet to be read. A leader checks first that it still has a
+// quorum, since it may have been replaced.
+func (c *Core) advanceClock(now time.Duration) {
 	if now <= c.now {
 		return
 	}
@@ -179,9 +185,9 @@
 	}
 }
 
-// Step takes a message in. Messages for another group, replica or incarnation,
-// and malformed ones, are dropped. An error means that the group's state is damaged: the process
-// must end.
+// Step handles a message. Messages for another group, replica or incarnation,
+// and malformed ones, are dropped. An error means that the group's state is
+// damaged; the process must then stop.
 func (c *Core) Step(now time.Duration, m Message) error {
 	if m.Group != c.config.Group || m.To != c.config.ID || m.ToIncarnation != c.config.Incarnation || !m.wellFormed() {
 		return nil
@@ -189,39 +195,40 @@
 	if member, ok := c.Membership().Find(m.From); ok && member.Incarnation != m.FromIncarnation {
 		return nil
 	}
-	c.advance(now)
+	c.advanceClock(now)
 	switch m.Kind {
 	case MessageRecovery:
-		c.answerRecovery(m)
+		c.stepRecovery(m)
 		return nil
-	case MessageRecoveryAnswer:
-		return c.stepRecoveryAnswer(m)
+	case MessageRecoveryResponse:
+		return c.stepRecoveryResponse(m)
 	}
-	c.noteMark(m)
-	if m.Term > c.hard.Term && !c.meetHigherTerm(m) {
+	c.observeTerm(m)
+	if m.Term > c.hardState.Term && !c.handleHigherTerm(m) {
 		return nil
 	}
-	if m.Term < c.hard.Term {
-		c.answerLowerTerm(m)
+	if m.Term < c.hardState.Term {
+		c.respondToLowerTerm(m)
 		return nil
 	}
 	return c.stepSameTerm(m)
 }
 
-// meetHigherTerm adopts the term of a message, unless the message is about a
-// term that has not begun. It returns false where the message is dropped.
-func (c *Core) meetHigherTerm(m Message) bool {
+// handleHigherTerm adopts the term of a message. It returns false if the message
+// needs no further handling: a pre-vote request or response, whose term has not
+// begun, or a vote request that is ignored while bound by a leader lease.
+func (c *Core) handleHigherTerm(m Message) bool {
 	switch m.Kind {
 	case MessagePreVote:
-		c.answerPreVote(m)
+		c.stepPreVote(m)
 		return false
-	case MessagePreVoteAnswer:
+	case MessagePreVoteResponse:
 		if !m.Refused || m.UpFor > 0 {
-			c.countPreVote(m)
+			c.stepPreVoteResponse(m)
 			return false
 		}
 	case MessageVote:
-		if !m.Transfer && c.promisedToLeader() && !c.votesUnled(m) {
+		if !m.Transfer && c.boundByLease() && !c.grantsColdStartVote(m) {
 			return false
 		}
 	}
@@ -237,35 +244,35 @@
 	return kind == MessageAppend || kind == MessageHeartbeat || kind == MessageSnapshot
 }
 
-// answerLowerTerm tells a leader or candidate of an earlier term about this
-// one, so that it does not stay behind.
-func (c *Core) answerLowerTerm(m Message) {
+// respondToLowerTerm tells a leader or candidate of an earlier term about the
+// current one, so that it catches up.
+func (c *Core) respondToLowerTerm(m Message) {
 	switch {
 	case fromLeader(m.Kind):
-		c.send(Message{Kind: MessageAppendAnswer, To: m.From, ToIncarnation: m.FromIncarnation, Refused: true, Rejected: m.LogIndex})
+		c.send(Message{Kind: MessageAppendResponse, To: m.From, ToIncarnation: m.FromIncarnation, Refused: true, Rejected: m.LogIndex})
 	case m.Kind == MessagePreVote:
-		c.send(Message{Kind: MessagePreVoteAnswer, To: m.From, ToIncarnation: m.FromIncarnation, Refused: true})
+		c.send(Message{Kind: MessagePreVoteResponse, To: m.From, ToIncarnation: m.FromIncarnation, Refused: true})
 	}
 }
 
 func (c *Core) stepSameTerm(m Message) error {
 	switch m.Kind {
 	case MessagePreVote:
-		c.answerPreVote(m)
-	case MessagePreVoteAnswer:
-		c.countPreVote(m)
+		c.stepPreVote(m)
+	case MessagePreVoteResponse:
+		c.stepPreVoteResponse(m)
 	case MessageVote:
-		c.answerVote(m)
-	case MessageVoteAnswer:
-		if c.fromUnledRun(m) {
+		c.stepVote(m)
+	case MessageVoteResponse:
+		if c.fromExpectedRun(m) {
 			c.countVote(m.From, m.FromIncarnation, !m.Refused, m.SinceLeader)
 		}
 	case MessageAppend, MessageHeartbeat, MessageSnapshot:
 		return c.stepFromLeader(m)
-	case MessageAppendAnswer:
-		c.stepAppendAnswer(m)
-	case MessageHeartbeatAnswer:
-		c.stepHeartbeatAnswer(m)
+	case MessageAppendResponse:
+		c.stepAppendResponse(m)
+	case MessageHeartbeatResponse:
+		c.stepHeartbeatResponse(m)
 	case MessageTimeoutNow:
 		c.stepTimeoutNow(m)
 	}
@@ -274,20 +281,20 @@
 
 // adoptTerm enters a higher term as a follower.
 func (c *Core) adoptTerm(term uint64, leader topology.ReplicaID) {
-	c.hard.Term = term
-	c.hard.Vote = 0
+	c.hardState.Term = term
+	c.hardState.Vote = 0
 	c.leader = leader
 	c.ackUpTo, c.matched = 0, 0
 	c.fire(eventLeaderHeard)
 }
 
-// follow is the action of becoming, or staying, a follower or non-voter.
+// follow is the chart action for becoming, or staying, a follower or non-voter.
 func (c *Core) follow() {
 	c.votes = nil
-	c.transferVote, c.unledVote = false, false
+	c.transferVote, c.coldStartElection = false, false
 	c.resetElectionDeadline()
-	if c.startsUnled() {
-		c.electionDeadline = c.unledDeadline(c.config.HeartbeatInterval)
+	if c.inColdStart() {
+		c.electionDeadline = c.coldStartDeadline(c.config.HeartbeatInterval)
 	}
 }
 
@@ -296,15 +303,15 @@
 	c.electionDeadline = c.now + timeout + time.Duration(c.random.Int64N(int64(timeout)))
 }
 
-// send queues a message, to be sent early where it depends on nothing that is
-// not yet synced.
+// send queues a message, as an early one if it does not depend on unsynced
+// writes.
 func (c *Core) send(m Message) {
 	m.Group = c.config.Group
 	m.From = c.config.ID
 	m.FromIncarnation = c.config.Incarnation
 	m.Run = c.run
 	if m.Term == 0 {
-		m.Term = c.hard.Term
+		m.Term = c.hardState.Term
 	}
 	if m.ToIncarnation == 0 {
 		member, ok := c.Membership().Find(m.To)
@@ -313,40 +320,40 @@
 		}
 		m.ToIncarnation = member.Incarnation
 	}
-	if !c.hardChanged() && sentEarly(m.Kind) {
+	if !c.hardStateChanged() && maySendEarly(m.Kind) {
 		c.early = append(c.early, m)
 		return
 	}
 	c.messages = append(c.messages, m)
 }
 
-func sentEarly(kind MessageKind) bool {
+func maySendEarly(kind MessageKind) bool {
 	switch kind {
-	case MessageVote, MessageVoteAnswer, MessageAppendAnswer:
+	case MessageVote, MessageVoteResponse, MessageAppendResponse:
 		return false
 	}
 	return true
 }
 
-// HasReady reports whether Ready has work.
+// HasReady reports whether Ready has any work for the driver.
 func (c *Core) HasReady() bool {
 	c.flush()
 	return len(c.early) > 0 || len(c.messages) > 0 || len(c.reads) > 0 ||
-		c.hardChanged() || c.installing != nil ||
-		c.writable() || (c.installing == nil && c.log.committed > c.log.applied)
+		c.hardStateChanged() || c.installing != nil ||
+		c.hasEntriesToWrite() || (c.installing == nil && c.log.committed > c.log.applied)
 }
 
-// writable reports whether Ready offers entries to write.
-func (c *Core) writable() bool { return !c.holdEntries && c.log.stable < c.log.lastIndex() }
+// hasEntriesToWrite reports whether Ready returns entries to write.
+func (c *Core) hasEntriesToWrite() bool { return !c.holdEntries && c.log.stable < c.log.lastIndex() }
 
-// HoldEntries keeps entries back from Ready, or offers them again: the driver
-// holds them while its disk is full. Hard states are still offered.
+// HoldEntries withholds entries from Ready, or releases them again. The driver
+// withholds them while its disk is full; hard states are still returned.
 func (c *Core) HoldEntries(hold bool) { c.holdEntries = hold }
 
-// hardChanged reports whether the term or the vote must be written. The commit
-// index goes along with the next write.
-func (c *Core) hardChanged() bool {
-	return c.hard.Term != c.saved.Term || c.hard.Vote != c.saved.Vote
+// hardStateChanged reports whether the term or the vote must be written. A
+// changed commit index alone waits for the next write.
+func (c *Core) hardStateChanged() bool {
+	return c.hardState.Term != c.persisted.Term || c.hardState.Vote != c.persisted.Vote
 }
 
 // Ready returns the next work. Advance must be called before the next Ready.
@@ -359,13 +366,14 @@
 		Snapshot:  c.installing,
 		Committed: c.committedEntries(),
 	}
-	if c.writable() {
-		ready.Entries = c.log.from(c.log.stable+1, math.MaxInt)
+	if c.hasEntriesToWrite() {
+		ready.Entries = c.log.entriesFrom(c.log.stable+1, math.MaxInt)
 	}
-	if c.hardChanged() || len(ready.Entries) > 0 || ready.Snapshot != nil {
-		// The commit index names only what was durable before this write: without
-		// space for the entries the disk still holds others at their indexes.
-		hard := c.hard
+	if c.hardStateChanged() || len(ready.Entries) > 0 || ready.Snapshot != nil {
+		// The commit index covers only entries that were durable before this
+		// write: if there is no space for the new ones, the disk still holds
+		// others at their indexes.
+		hard := c.hardState
 		hard.Commit = min(hard.Commit, c.log.stable)
 		ready.HardState = &hard
 	}
@@ -373,7 +381,8 @@
 	return ready
 }
 
-// TakeEarly returns the messages that need not wait for a write in progress.
+// TakeEarly removes and returns the messages that may be sent while a write is
+// in progress.
 func (c *Core) TakeEarly() []Message {
 	c.flush()
 	early := c.early
@@ -381,30 +390,30 @@
 	return early
 }
 
-// maxApplyBytes bounds the commands of one Ready, so that applying does not
-// hold up heartbeats for long.
+// maxApplyBytes bounds the commands of one Ready, so that applying them does not
+// delay heartbeats for long.
 const maxApplyBytes = 1 << 20
 
-// committedEntries returns what may be applied. An entry is committed once a
-// quorum holds it, which need not include this replica's own disk.
+// committedEntries returns the entries to apply next. An entry is committed once
+// it is durable at a quorum, which need not include this replica.
 func (c *Core) committedEntries() []Entry {
 	if c.installing != nil || c.log.committed <= c.log.applied {
 		return nil
 	}
-	entries := c.log.from(c.log.applied+1, maxApplyBytes)
+	entries := c.log.entriesFrom(c.log.applied+1, maxApplyBytes)
 	return entries[:min(uint64(len(entries)), c.log.committed-c.log.applied)]
 }
 
-// Advance tells that the work of a Ready is done.
+// Advance reports that the work of a Ready is done.
 func (c *Core) Advance(ready Ready) {
 	if ready.HardState != nil {
-		c.saved = *ready.HardState
+		c.persisted = *ready.HardState
 	}
 	if ready.Snapshot != nil && ready.Snapshot == c.installing {
 		c.installing = nil
 	}
-	c.noteStable(ready.Entries)
-	c.leaveFloor()
+	c.advanceStable(ready.Entries)
+	c.maybeClearRequiredEnd()
 	if count := len(ready.Committed); count > 0 {
 		c.log.applied = max(c.log.applied, ready.Committed[count-1].Index)
 	}
@@ -414,9 +423,9 @@
 	}
 }
 
-// noteStable moves the durable end of the log, unless what was written has
-// been replaced meanwhile.
-func (c *Core) noteStable(entries []Entry) {
+// advanceStable moves the durable end of the log to the last entry written,
+// unless that entry has been replaced since.
+func (c *Core) advanceStable(entries []Entry) {
 	if len(entries) == 0 {
 		return
 	}
@@ -426,20 +435,20 @@
 	}
 }
 
-// flush turns gathered work into messages.
+// flush turns batched work into messages.
 func (c *Core) flush() {
 	if c.role == Leader {
 		c.flushLeader()
 		return
 	}
 	if c.ackUpTo > 0 && c.ackUpTo <= c.log.stable && c.installing == nil {
-		c.send(Message{Kind: MessageAppendAnswer, To: c.leader, ToIncarnation: c.leaderIncarnation, LogIndex: c.ackUpTo})
+		c.send(Message{Kind: MessageAppendResponse, To: c.leader, ToIncarnation: c.leaderIncarnation, LogIndex: c.ackUpTo})
 		c.ackUpTo = 0
 	}
 }
 
-// Compact tells that a snapshot is durable. Entries up to retain entries
-// before it are dropped.
+// Compact reports that a snapshot is durable. Entries before it are dropped,
+// apart from the last retain ones.
 func (c *Core) Compact(meta SnapshotMeta, retain uint64) {
 	if meta.Index <= c.snapshot.Index {
 		return
--- a/internal/consensus/core_test.go
+++ b/internal/consensus/core_test.go
@@ -8,22 +8,22 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestCommandsReachEveryReplicaInOneOrder(t *testing.T) {
+func TestReplicasApplyCommandsInSameOrder(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	var last uint64
 	for i := range 20 {
 		last = c.commit(fmt.Sprint(i))
 	}
-	c.until("all replicas apply", func() bool { return c.allApplied(last) })
+	c.waitUntil("all replicas apply", func() bool { return c.allApplied(last) })
 	for _, n := range c.nodes {
 		assert.Equal(t, len(n.applied), 20)
 	}
 }
 
-func TestASingleReplicaIsAQuorum(t *testing.T) {
+func TestSingleReplicaFormsQuorum(t *testing.T) {
 	c := newCluster(t, 2, 1)
 	c.commit("alone")
-	leader := c.waitLeader()
+	leader := c.waitForLeader()
 	leader.paused = true
 	c.run(5 * time.Second)
 	c.resume(leader.member.ID)
@@ -31,13 +31,13 @@
 	assert.Equal(t, leader.core.Status().Term, uint64(1))
 }
 
-func TestALostLeaderIsReplacedAndItsEntriesStay(t *testing.T) {
+func TestCommittedEntriesSurviveLeaderCrash(t *testing.T) {
 	c := newCluster(t, 3, 3)
 	c.commit("one")
-	old := c.waitLeader()
+	old := c.waitForLeader()
 	c.crash(old.member.ID)
 	last := c.commit("two")
 	c.restart(old.member.ID)
-	c.until("the old leader catches up", func() bool { return c.allApplied(last) })
+	c.waitUntil("the old leader catches up", func() bool { return c.allApplied(last) })
 	assert.Equal(t, len(old.applied), 2)
 }
--- a/internal/consensus/doc.go
+++ b/internal/consensus/doc.go
@@ -17,20 +17,20 @@
 //		write(ready.Snapshot, ready.HardState, ready.Entries) // and sync
 //		send(ready.Messages)
 //		apply(ready.Committed)
-//		answer(ready.Reads)
+//		serve(ready.Reads)
 //		core.Advance(ready)
 //	}
 //
-// The same core so runs in the process, in the simulator and in the tests, and
-// an equal seed gives an equal run.
+// So the same core runs in the process, in the simulator and in the tests, and
+// runs with equal seeds are identical.
 //
-// # What is durable when
+// # Durability
 //
-// A vote, a granted answer and an acknowledgement are in Ready.Messages, which
-// leave after the write is synced. Early messages say nothing that depends on
-// an unsynced write: a leader's Append may travel while the leader's own disk
-// still writes, and the leader counts itself only once Advance tells that the
-// write is done.
+// Vote requests, votes and acknowledgements are in Ready.Messages, which are
+// sent after the write is synced. Early messages do not depend on an unsynced
+// write: a leader may send an Append while it still writes the entries to its
+// own disk, and it counts itself toward the quorum only once Advance reports
+// that the write is done.
 //
 // # Roles
 //
@@ -39,12 +39,13 @@
 //
 // # Time
 //
-// A follower that heard the leader at some time refuses votes for
-// ElectionTimeout. A leader whose heartbeat, sent at s, was answered by a
-// quorum may therefore act alone until s + ElectionTimeout*(1-MaxClockDrift).
-// A replica that was just started refuses votes for one ElectionTimeout, since
-// it may have heard the leader right before, unless all members have started
-// anew and none has heard a leader since (unled.go). A leader that has heard no quorum
-// for an ElectionTimeout steps down, also when it finds so on waking from a
-// pause.
+// A follower refuses votes for ElectionTimeout after each message of the
+// leader. A leader whose heartbeat, sent at s, was answered by a quorum
+// therefore holds a lease until s + ElectionTimeout*(1-MaxClockDrift): no other
+// replica can have been elected before then. A replica refuses votes for one
+// ElectionTimeout after its start, since it may have heard the leader just
+// before it stopped. The exception is a cold start, where all members have
+// restarted and none has heard a leader since (coldstart.go). A leader that has
+// not heard a quorum for an ElectionTimeout steps down; after a pause it checks
+// this before anything else.
 package consensus
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -6,10 +6,10 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// promisedToLeader reports whether this replica must refuse votes, because a
-// leader may still count on the answer to its last heartbeat, or because this
-// replica itself leads with a valid lease.
-func (c *Core) promisedToLeader() bool {
+// boundByLease reports whether this replica must refuse votes, because a leader
+// lease may still rest on its response to the last heartbeat, or because it
+// leads with a valid lease itself.
+func (c *Core) boundByLease() bool {
 	if c.role == Leader {
 		return c.now < c.leaseUntil()
 	}
@@ -17,45 +17,45 @@
 }
 
 // startPreVote asks whether a quorum would vote for this replica, without
-// entering a new term (Ongaro, section 9.6).
+// starting a new term (Ongaro, section 9.6).
 func (c *Core) startPreVote() {
 	c.leader = 0
 	c.votes = map[topology.ReplicaID]bool{}
-	if !c.promisedToLeader() {
+	if !c.boundByLease() {
 		c.votes[c.config.ID] = true
 	}
-	c.beginUnledRound()
+	c.beginPreVoteRound()
 	c.setRetryDeadline()
-	c.askVotes(MessagePreVote, c.hard.Term+1)
+	c.requestVotes(MessagePreVote, c.hardState.Term+1)
 	c.decidePreVote()
 }
 
-// startVote enters a new term and votes for itself. The own vote counts once
-// it is synced.
+// startVote starts a new term and votes for itself. The candidate's own vote
+// counts once it is synced.
 func (c *Core) startVote() {
-	c.hard.Term++
-	c.hard.Vote = c.config.ID
+	c.hardState.Term++
+	c.hardState.Vote = c.config.ID
 	c.leader = 0
 	c.ackUpTo, c.matched = 0, 0
 	c.votes = map[topology.ReplicaID]bool{}
 	c.earlierLeasesEnd = 0
 	c.setRetryDeadline()
-	c.askVotes(MessageVote, c.hard.Term)
+	c.requestVotes(MessageVote, c.hardState.Term)
 }
 
-// setRetryDeadline sets when an election that is not decided is tried again:
-// the group has no leader for that long, so it is sooner than the wait of a
-// follower, but leaves time for a round trip and a sync.
+// setRetryDeadline sets when an undecided election is retried. The group has no
+// leader until then, so the delay is shorter than a follower's election timeout,
+// but leaves time for a round trip and a sync.
 func (c *Core) setRetryDeadline() {
-	if c.startsUnled() {
-		c.electionDeadline = c.unledDeadline(c.config.HeartbeatInterval)
+	if c.inColdStart() {
+		c.electionDeadline = c.coldStartDeadline(c.config.HeartbeatInterval)
 		return
 	}
 	least := c.config.ElectionTimeout / 3
 	c.electionDeadline = c.now + least + time.Duration(c.random.Int64N(int64(least)))
 }
 
-func (c *Core) askVotes(kind MessageKind, term uint64) {
+func (c *Core) requestVotes(kind MessageKind, term uint64) {
 	for _, member := range c.Membership().Members {
 		if member.Learner || member.ID == c.config.ID {
 			continue
@@ -67,34 +67,36 @@
 			LogIndex: c.log.lastIndex(),
 			LogTerm:  c.log.lastTerm(),
 			Transfer: c.transferVote,
-			Round:    c.unledRound.number,
-			Unled:    c.unledVote,
+			Round:    c.preVoteRound.number,
+			Unled:    c.coldStartElection,
 		})
 	}
 }
 
-func (c *Core) answerPreVote(m Message) {
-	fit := m.Term > c.hard.Term && c.mayVoteFor(m) && c.log.upToDate(m.LogIndex, m.LogTerm)
-	granted := fit && !c.promisedToLeader()
-	answer := Message{Kind: MessagePreVoteAnswer, To: m.From, ToIncarnation: m.FromIncarnation, Refused: !granted, Round: m.Round}
-	if fit && c.unled() && m.Round > 0 {
-		answer.UpFor = c.upFor()
+func (c *Core) stepPreVote(m Message) {
+	eligible := m.Term > c.hardState.Term && c.recoveryAllowsVote(m) && c.log.upToDate(m.LogIndex, m.LogTerm)
+	granted := eligible && !c.boundByLease()
+	response := Message{Kind: MessagePreVoteResponse, To: m.From, ToIncarnation: m.FromIncarnation, Refused: !granted, Round: m.Round}
+	if eligible && c.leaderless() && m.Round > 0 {
+		response.UpFor = c.uptime()
 		c.yieldTo(m.From)
 	}
-	if granted || answer.UpFor > 0 {
-		answer.Term = m.Term
+	if granted || response.UpFor > 0 {
+		response.Term = m.Term
 	}
-	c.send(answer)
+	c.send(response)
 }
 
-func (c *Core) countPreVote(m Message) {
+func (c *Core) stepPreVoteResponse(m Message) {
 	wouldVote := !m.Refused || m.UpFor > 0
-	if c.role != PreCandidate || (wouldVote && m.Term != c.hard.Term+1) {
+	if c.role != PreCandidate || (wouldVote && m.Term != c.hardState.Term+1) {
 		return
 	}
-	c.noteUnled(m)
-	// One that refuses for what an earlier process may have promised may still vote.
-	if wouldVote && m.Refused || c.noteVote(m.From, m.FromIncarnation, !m.Refused) {
+	c.recordLeaderless(m)
+	// A replica that refuses only because an earlier process of it may have
+	// granted a lease is not recorded as refusing: it may still grant a
+	// cold-start vote.
+	if wouldVote && m.Refused || c.recordVote(m.From, m.FromIncarnation, !m.Refused) {
 		c.decidePreVote()
 	}
 }
@@ -103,37 +105,37 @@
 	switch granted, refused := c.tally(); {
 	case granted >= c.Membership().Quorum():
 		c.fire(eventPreVoteWon)
-	case c.groupUnled():
-		c.unledVote = true
+	case c.allLeaderless():
+		c.coldStartElection = true
 		c.fire(eventPreVoteWon)
 	case refused >= c.Membership().Quorum():
 		c.fire(eventVoteLost)
 	}
 }
 
-// answerVote votes for at most one candidate in a term. The answer leaves
-// after the vote is synced.
-func (c *Core) answerVote(m Message) {
-	free := c.hard.Vote == 0 && c.leader == 0
-	granted := (free || c.hard.Vote == m.From) &&
-		(m.Transfer || !c.promisedToLeader() || c.votesUnled(m)) && c.mayVoteFor(m) &&
+// stepVote grants a vote to at most one candidate in a term. The response is
+// sent after the vote is synced.
+func (c *Core) stepVote(m Message) {
+	voteAvailable := c.hardState.Vote == 0 && c.leader == 0
+	granted := (voteAvailable || c.hardState.Vote == m.From) &&
+		(m.Transfer || !c.boundByLease() || c.grantsColdStartVote(m)) && c.recoveryAllowsVote(m) &&
 		c.log.upToDate(m.LogIndex, m.LogTerm)
 	if granted {
-		c.hard.Vote = m.From
+		c.hardState.Vote = m.From
 		c.resetElectionDeadline()
 	}
 	c.send(Message{
-		Kind: MessageVoteAnswer, To: m.From, ToIncarnation: m.FromIncarnation,
+		Kind: MessageVoteResponse, To: m.From, ToIncarnation: m.FromIncarnation,
 		Refused: !granted, SinceLeader: c.sinceLeader(),
 	})
 }
 
 func (c *Core) countVote(from topology.ReplicaID, incarnation topology.Incarnation, granted bool, sinceLeader time.Duration) {
-	if c.role != Candidate || !c.noteVote(from, incarnation, granted) {
+	if c.role != Candidate || !c.recordVote(from, incarnation, granted) {
 		return
 	}
 	if granted {
-		c.noteSinceLeader(sinceLeader)
+		c.recordSinceLeader(sinceLeader)
 	}
 	switch granted, refused := c.tally(); {
 	case granted >= c.Membership().Quorum():
@@ -145,13 +147,14 @@
 
 // countOwnVote counts the candidate's vote for itself once it is durable.
 func (c *Core) countOwnVote() {
-	if c.role == Candidate && c.saved.Term == c.hard.Term && c.saved.Vote == c.config.ID {
+	if c.role == Candidate && c.persisted.Term == c.hardState.Term && c.persisted.Vote == c.config.ID {
 		c.countVote(c.config.ID, c.config.Incarnation, true, c.sinceLeader())
 	}
 }
 
-// noteVote records the first answer of a voter; others have no vote.
-func (c *Core) noteVote(from topology.ReplicaID, incarnation topology.Incarnation, granted bool) bool {
+// recordVote records the first response of a voter. It returns false for further
+// responses and for replicas that are not voters.
+func (c *Core) recordVote(from topology.ReplicaID, incarnation topology.Incarnation, granted bool) bool {
 	membership := c.Membership()
 	if !membership.IsVoter(from) || !membership.Names(from, incarnation) {
 		return false
@@ -178,7 +181,7 @@
 	return granted, refused
 }
 
-// stepTimeoutNow starts an election because the leader asks for it.
+// stepTimeoutNow starts an election at the leader's request.
 func (c *Core) stepTimeoutNow(m Message) {
 	if m.From != c.leader {
 		return
--- a/internal/consensus/follower.go
+++ b/internal/consensus/follower.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// stepFromLeader takes a message of the leader of this replica's term.
+// stepFromLeader handles a message from the leader of this replica's term.
 func (c *Core) stepFromLeader(m Message) error {
 	if c.role == Leader || (c.leader != 0 && c.leader != m.From) {
-		return fmt.Errorf("%w: term %d, replicas %d and %d", ErrTwoLeaders, c.hard.Term, c.leader, m.From)
+		return fmt.Errorf("%w: term %d, replicas %d and %d", ErrTwoLeaders, c.hardState.Term, c.leader, m.From)
 	}
 	c.leader = m.From
 	c.leaderIncarnation = m.FromIncarnation
@@ -20,7 +20,7 @@
 		}
 		c.commitTo(min(m.Commit, c.log.lastIndex()))
 		c.send(Message{
-			Kind: MessageHeartbeatAnswer, To: m.From, ToIncarnation: m.FromIncarnation,
+			Kind: MessageHeartbeatResponse, To: m.From, ToIncarnation: m.FromIncarnation,
 			Round: m.Round, LogIndex: c.matched, Match: c.durableMatch(),
 		})
 	case MessageSnapshot:
@@ -50,12 +50,13 @@
 func (c *Core) refuseAppend(m Message) {
 	index, term := c.log.conflictHint(m.LogIndex, m.LogTerm)
 	c.send(Message{
-		Kind: MessageAppendAnswer, To: m.From, ToIncarnation: m.FromIncarnation,
+		Kind: MessageAppendResponse, To: m.From, ToIncarnation: m.FromIncarnation,
 		Refused: true, Rejected: m.LogIndex, LogIndex: index, LogTerm: term,
 	})
 }
 
-// mergeEntries appends what the log lacks and replaces what differs.
+// mergeEntries appends the entries that the log lacks and replaces those that
+// conflict.
 func (c *Core) mergeEntries(entries []Entry) error {
 	for position, entry := range entries {
 		if c.log.matches(entry.Index, entry.Term) {
@@ -69,7 +70,7 @@
 			c.dropMembershipsFrom(entry.Index)
 		}
 		c.log.append(entries[position:]...)
-		if err := c.noteMemberships(entries[position:]); err != nil {
+		if err := c.recordMemberships(entries[position:]); err != nil {
 			return err
 		}
 		c.membershipChanged()
@@ -78,13 +79,15 @@
 	return nil
 }
 
-// acknowledge answers the leader once the log is durable up to index.
+// acknowledge queues an acknowledgement, which is sent to the leader once the
+// log is durable up to index.
 func (c *Core) acknowledge(index uint64) {
 	c.ackUpTo = max(c.ackUpTo, index)
 	c.matched = max(c.matched, index)
 }
 
-// durableMatch is what an AppendAnswer could acknowledge now.
+// durableMatch returns the last index that an AppendResponse could acknowledge
+// now.
 func (c *Core) durableMatch() uint64 {
 	if c.installing != nil {
 		return 0
@@ -96,16 +99,16 @@
 	if index <= c.log.committed {
 		return
 	}
-	removalOpen := c.removalOpen()
+	removalPending := c.removalUncommitted()
 	c.log.committed = index
-	c.hard.Commit = index
-	if removalOpen && c.role != Leader && !c.removalOpen() {
+	c.hardState.Commit = index
+	if removalPending && c.role != Leader && !c.removalUncommitted() {
 		c.membershipChanged()
 	}
 }
 
-// snapshotFromLeader replaces the log by a snapshot, unless the log already
-// holds what the snapshot covers.
+// snapshotFromLeader replaces the log with a snapshot, unless the log already
+// holds the entries that the snapshot covers.
 func (c *Core) snapshotFromLeader(m Message) {
 	meta := m.Snapshot.Meta
 	if meta.Index <= c.log.committed {
@@ -118,7 +121,7 @@
 		return
 	}
 	c.log.restore(meta)
-	c.hard.Commit = meta.Index
+	c.hardState.Commit = meta.Index
 	c.snapshot = meta
 	c.installing = m.Snapshot
 	c.memberships = []membershipAt{{meta.Index, meta.Membership}}
--- a/internal/consensus/fuzz_test.go
+++ b/internal/consensus/fuzz_test.go
@@ -8,16 +8,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// FuzzStep feeds messages as peers encode them, with any content. The core may
-// drop a message or report damage; it must not panic, nor go back in what it
-// has committed.
+// FuzzStep passes arbitrary gob-encoded messages to the core. The core may drop
+// a message or return an error; it must not panic, and its commit index must not
+// decrease.
 func FuzzStep(f *testing.F) {
 	for _, m := range []Message{
 		{Kind: MessageAppend, Term: 2, LogIndex: 1, LogTerm: 1, Commit: 2, Entries: []Entry{{Index: 2, Term: 2, Kind: EntryNoop}}},
 		{Kind: MessageHeartbeat, Term: 1, Round: 3, Commit: 1, Match: 1},
 		{Kind: MessageSnapshot, Term: 3, Snapshot: &Snapshot{Meta: SnapshotMeta{Index: 9, Term: 2}}},
 		{Kind: MessageVote, Term: 5, LogIndex: 7, LogTerm: 3, Transfer: true},
-		{Kind: MessageRecoveryAnswer, Term: 4, Membership: &Membership{}, Round: 1},
+		{Kind: MessageRecoveryResponse, Term: 4, Membership: &Membership{}, Round: 1},
 		{Kind: MessageAppend, Term: 2, LogIndex: 1, LogTerm: 1, Entries: []Entry{{Index: 2, Term: 2, Kind: EntryMembership, Data: []byte{1, 2}}}},
 	} {
 		var buffer bytes.Buffer
@@ -29,7 +29,7 @@
 		if gob.NewDecoder(bytes.NewReader(content)).Decode(&m) != nil {
 			return
 		}
-		s := newScript(t, Config{Unproven: state == 1, Entries: []Entry{{Index: 1, Term: 1, Kind: EntryNoop}}, HardState: HardState{Term: 1}})
+		s := newHarness(t, Config{Unproven: state == 1, Entries: []Entry{{Index: 1, Term: 1, Kind: EntryNoop}}, HardState: HardState{Term: 1}})
 		for state == 2 && s.core.Role() != PreCandidate {
 			s.now += DefaultHeartbeatInterval
 			s.core.Tick(s.now)
@@ -41,7 +41,7 @@
 			if s.core.Step(DefaultElectionTimeout+s.now, m) != nil {
 				return
 			}
-			s.finish()
+			s.drain()
 			assert.Assert(t, s.core.Status().Commit >= commit)
 		}
 	})
--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -9,51 +9,51 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// beginLeading is the action of a won election. An entry of the new term is
-// appended, since only by committing one the earlier entries are known to be
-// committed (Ongaro, section 3.6.2).
+// beginLeading is the chart action for a won election. It appends an entry of
+// the new term, since entries of earlier terms are known to be committed only
+// once one of the new term is (Ongaro, section 3.6.2).
 func (c *Core) beginLeading() {
 	c.leader, c.leaderSeen = c.config.ID, true
 	c.votes = nil
-	startedAnew := c.unledVote
-	c.transferVote, c.unledVote = false, false
-	c.leading = leadership{
-		startedAnew:   startedAnew,
+	coldStart := c.coldStartElection
+	c.transferVote, c.coldStartElection = false, false
+	c.leading = leaderState{
+		coldStart:     coldStart,
 		peers:         map[topology.ReplicaID]*tracker.Progress{},
 		firstIndex:    c.log.lastIndex() + 1,
 		electedAt:     c.now,
 		nextHeartbeat: c.now,
 	}
 	c.trackMembers()
-	c.appendOwn(EntryNoop, nil)
+	c.appendEntry(EntryNoop, nil)
 	c.beginRound()
 }
 
-// stopLeading is the action of losing leadership.
+// stopLeading is the chart action for losing leadership.
 func (c *Core) stopLeading() {
 	if c.leader == c.config.ID {
 		c.leader = 0
 	}
 	c.failReads()
-	c.ledUntil = c.now
-	c.leading = leadership{}
+	c.steppedDownAt = c.now
+	c.leading = leaderState{}
 	c.resetElectionDeadline()
 }
 
-// Propose appends a command at the leader. It is committed once the entry at
-// index is committed with this term.
+// Propose appends a command to the leader's log. The command is committed if
+// the entry that is committed at index has this term.
 func (c *Core) Propose(data []byte) (index, term uint64, err error) {
-	if err := c.mayPropose(); err != nil {
+	if err := c.checkCanPropose(); err != nil {
 		return 0, 0, err
 	}
 	if c.leading.uncommittedBytes > c.config.MaxUncommittedBytes {
 		return 0, 0, ErrTooMuchInFlight
 	}
-	index, term = c.appendOwn(EntryCommand, data)
+	index, term = c.appendEntry(EntryCommand, data)
 	return index, term, nil
 }
 
-func (c *Core) mayPropose() error {
+func (c *Core) checkCanPropose() error {
 	if c.role != Leader {
 		return ErrNotLeader
 	}
@@ -63,11 +63,11 @@
 	return nil
 }
 
-// ProposeMembership appends a membership change, which is in force at once.
-// One change may be uncommitted at a time, and only after the leader has
+// ProposeMembership appends a membership change, which takes effect at once.
+// Only one change may be uncommitted at a time, and the leader must first have
 // committed an entry of its own term.
 func (c *Core) ProposeMembership(change Change) (index, term uint64, err error) {
-	if err := c.mayPropose(); err != nil {
+	if err := c.checkCanPropose(); err != nil {
 		return 0, 0, err
 	}
 	if c.log.committed < c.leading.firstIndex {
@@ -83,35 +83,35 @@
 	if change.Kind == Promote && !c.caughtUp(change.Member.ID) {
 		return 0, 0, ErrNotCaughtUp
 	}
-	index, term = c.appendOwn(EntryMembership, encodeMembership(membership))
+	index, term = c.appendEntry(EntryMembership, encodeMembership(membership))
 	c.memberships = append(c.memberships, membershipAt{index, membership})
 	c.membershipChanged()
 	return index, term, nil
 }
 
-// caughtUp reports whether a member durably holds all that is committed.
+// caughtUp reports whether a member durably holds all committed entries.
 func (c *Core) caughtUp(id topology.ReplicaID) bool {
 	progress, ok := c.leading.peers[id]
 	return ok && progress.Match >= c.log.committed
 }
 
-func (c *Core) appendOwn(kind EntryKind, data []byte) (index, term uint64) {
-	entry := Entry{Index: c.log.lastIndex() + 1, Term: c.hard.Term, Kind: kind, Data: data}
+func (c *Core) appendEntry(kind EntryKind, data []byte) (index, term uint64) {
+	entry := Entry{Index: c.log.lastIndex() + 1, Term: c.hardState.Term, Kind: kind, Data: data}
 	c.log.append(entry)
 	c.leading.uncommittedBytes += len(data)
-	c.leading.appendWanted = true
+	c.leading.needAppend = true
 	return entry.Index, entry.Term
 }
 
 func (c *Core) tickLeader() {
 	c.tickTransfer()
 	if c.role == Leader && c.now >= c.leading.nextHeartbeat {
-		c.leading.roundWanted = true
+		c.leading.needRound = true
 	}
 }
 
-// checkQuorum ends leadership when no quorum has answered within the election
-// timeout. A replica that is a quorum alone needs no answer.
+// checkQuorum makes the leader step down when no quorum has answered within the
+// election timeout. A replica that is a quorum by itself needs no responses.
 func (c *Core) checkQuorum() {
 	if membership := c.Membership(); membership.Quorum() == 1 && membership.IsVoter(c.config.ID) {
 		return
@@ -122,10 +122,10 @@
 	}
 }
 
-// leaseUntil is when the leader lease ends: until then no other replica can
-// have been elected. A quorum answered a heartbeat sent at confirmedAt, and
-// each of it refuses votes for an election timeout after it received that
-// heartbeat; the part for clock drift is taken off.
+// leaseUntil returns when the leader lease ends; until then no other replica can
+// have been elected. A quorum answered a heartbeat sent at confirmedAt, and each
+// of its members refuses votes for an election timeout after it received that
+// heartbeat. The lease is shortened by the possible clock drift.
 func (c *Core) leaseUntil() time.Duration {
 	if c.role != Leader || !c.leading.hasLease || c.leading.transfer.target != 0 {
 		return 0
@@ -134,12 +134,12 @@
 	return c.leading.confirmedAt + time.Duration(timeout*(1-c.config.MaxClockDrift))
 }
 
-// beginRound sends heartbeats to all members.
+// beginRound starts a heartbeat round: it sends a heartbeat to each member.
 func (c *Core) beginRound() {
-	c.leading.roundWanted = false
+	c.leading.needRound = false
 	c.leading.nextHeartbeat = c.now + c.config.HeartbeatInterval
 	c.leading.round++
-	c.leading.rounds = append(c.leading.rounds, roundStart{c.leading.round, c.now})
+	c.leading.rounds = append(c.leading.rounds, heartbeatRound{c.leading.round, c.now})
 	c.assignReads()
 	for _, member := range c.Membership().Members {
 		progress, ok := c.leading.peers[member.ID]
@@ -151,31 +151,31 @@
 	c.confirmRounds()
 }
 
-func (c *Core) stepHeartbeatAnswer(m Message) {
+func (c *Core) stepHeartbeatResponse(m Message) {
 	progress := c.progressOf(m)
 	if progress == nil {
 		return
 	}
 	progress.Round = max(progress.Round, m.Round)
 	if m.Match > 0 {
-		c.noteMatch(m, progress, m.Match)
+		c.recordMatch(m, progress, m.Match)
 	}
 	if c.role != Leader {
 		return
 	}
-	if progress.Lost(m.Round, m.LogIndex) {
-		progress.Unreachable()
+	if progress.AppendLost(m.Round, m.LogIndex) {
+		progress.FallBackToProbe()
 	}
 	progress.RetryProbe(m.Round, m.LogIndex)
 	if progress.Match < c.log.lastIndex() {
-		c.leading.appendWanted = true
+		c.leading.needAppend = true
 	}
 	c.retrySnapshot(progress)
 	c.confirmRounds()
 }
 
-// progressOf returns the sender's progress and notes that it was heard; nil
-// where this replica does not lead or the sender is no member.
+// progressOf returns the sender's progress and updates its HeardAt. It returns
+// nil if this replica does not lead or the sender is not a member.
 func (c *Core) progressOf(m Message) *tracker.Progress {
 	if c.role != Leader {
 		return nil
@@ -188,7 +188,8 @@
 	return progress
 }
 
-// confirmRounds finds the newest round that a quorum answered.
+// confirmRounds finds the newest round that a quorum answered, extends the lease
+// to match and releases the reads that waited for it.
 func (c *Core) confirmRounds() {
 	answered := c.quorumValue(func(id topology.ReplicaID) uint64 {
 		if id == c.config.ID {
@@ -197,7 +198,7 @@
 		return c.leading.peers[id].Round
 	})
 	for len(c.leading.rounds) > 0 && c.leading.rounds[0].round <= answered {
-		c.leading.confirmed = c.leading.rounds[0].round
+		c.leading.confirmedRound = c.leading.rounds[0].round
 		c.leading.confirmedAt = c.leading.rounds[0].sentAt
 		c.leading.hasLease = true
 		c.leading.rounds = c.leading.rounds[1:]
@@ -221,39 +222,39 @@
 	return values[len(values)-membership.Quorum()]
 }
 
-func (c *Core) stepAppendAnswer(m Message) {
+func (c *Core) stepAppendResponse(m Message) {
 	progress := c.progressOf(m)
 	if progress == nil {
 		return
 	}
 	if m.Refused {
-		if progress.Rejected(m.Rejected, c.nextHint(m)) {
-			c.leading.appendWanted = true
+		if progress.Rejected(m.Rejected, c.matchHint(m)) {
+			c.leading.needAppend = true
 		}
 		return
 	}
-	c.noteMatch(m, progress, m.LogIndex)
-	c.leading.appendWanted = true
+	c.recordMatch(m, progress, m.LogIndex)
+	c.leading.needAppend = true
 }
 
-// noteMatch notes what a replica holds durably.
-func (c *Core) noteMatch(m Message, progress *tracker.Progress, index uint64) {
-	c.noteMarkEnd(m, index)
+// recordMatch records up to which index a replica's log is durable.
+func (c *Core) recordMatch(m Message, progress *tracker.Progress, index uint64) {
+	c.observeLogEnd(m, index)
 	if progress.Acknowledged(index) {
 		c.maybeCommit()
 	}
 	c.continueTransfer()
 }
 
-// nextHint returns the last index where this log and the refusing one may
-// match.
-func (c *Core) nextHint(m Message) uint64 {
+// matchHint returns the last index at which this log and that of the refusing
+// replica may match.
+func (c *Core) matchHint(m Message) uint64 {
 	index, _ := c.log.conflictHint(m.LogIndex, m.LogTerm)
 	return index
 }
 
-// maybeCommit commits what a quorum of voters holds durably, if it is of this
-// term.
+// maybeCommit commits the entries that are durable at a quorum of voters, if the
+// last of them is of this term.
 func (c *Core) maybeCommit() {
 	index := c.quorumValue(func(id topology.ReplicaID) uint64 {
 		if id == c.config.ID {
@@ -264,21 +265,22 @@
 	if index <= c.log.committed {
 		return
 	}
-	if term, _ := c.log.term(index); term != c.hard.Term {
+	if term, _ := c.log.term(index); term != c.hardState.Term {
 		return
 	}
-	for _, entry := range c.log.from(c.log.committed+1, math.MaxInt)[:index-c.log.committed] {
+	for _, entry := range c.log.entriesFrom(c.log.committed+1, math.MaxInt)[:index-c.log.committed] {
 		c.leading.uncommittedBytes -= len(entry.Data)
 	}
 	c.leading.uncommittedBytes = max(c.leading.uncommittedBytes, 0)
 	c.commitTo(index)
-	c.leading.commitWanted = true
-	c.admitWaitingReads()
-	c.leaveIfRemoved()
+	c.leading.needCommit = true
+	c.admitQueuedReads()
+	c.stepDownIfRemoved()
 }
 
-// leaveIfRemoved ends leadership once the own removal is committed.
-func (c *Core) leaveIfRemoved() {
+// stepDownIfRemoved makes the leader step down once its own removal is
+// committed.
+func (c *Core) stepDownIfRemoved() {
 	last := c.memberships[len(c.memberships)-1]
 	if last.index <= c.log.committed && !last.membership.IsVoter(c.config.ID) {
 		c.flushLeader()
@@ -286,40 +288,40 @@
 	}
 }
 
-// flushLeader sends what was gathered since the last Ready.
+// flushLeader sends what was batched since the last Ready.
 func (c *Core) flushLeader() {
-	if c.leading.roundWanted {
+	if c.leading.needRound {
 		c.beginRound()
 	}
-	if !c.leading.appendWanted && !c.leading.commitWanted {
+	if !c.leading.needAppend && !c.leading.needCommit {
 		return
 	}
-	commitWanted := c.leading.commitWanted
-	c.leading.appendWanted, c.leading.commitWanted = false, false
+	needCommit := c.leading.needCommit
+	c.leading.needAppend, c.leading.needCommit = false, false
 	for _, member := range c.Membership().Members {
 		if progress, ok := c.leading.peers[member.ID]; ok {
-			c.replicateTo(member.ID, progress, commitWanted)
+			c.replicateTo(member.ID, progress, needCommit)
 		}
 	}
 }
 
-// replicateTo sends what fits the window, or news of the commit index alone. A
-// replica that acknowledges nothing gets no such news: the window bounds what
-// waits for it.
-func (c *Core) replicateTo(id topology.ReplicaID, progress *tracker.Progress, commitWanted bool) {
+// replicateTo sends the entries that fit the window, or only the new commit
+// index. A paused replica gets neither, so that what is queued for a replica that
+// acknowledges nothing stays within the window.
+func (c *Core) replicateTo(id topology.ReplicaID, progress *tracker.Progress, needCommit bool) {
 	window := tracker.Window{Appends: c.config.MaxInflightAppends, Bytes: c.config.MaxInflightBytes}
 	sent := false
 	for !progress.Paused(window) && (progress.Next <= c.log.lastIndex() || c.probeNeeded(progress)) {
 		c.sendAppend(id, progress)
 		sent = true
 	}
-	if commitWanted && !sent && progress.State == tracker.Replicate && !progress.Paused(window) {
+	if needCommit && !sent && progress.State == tracker.Replicate && !progress.Paused(window) {
 		c.sendEmptyAppend(id, progress)
 	}
 }
 
-// probeNeeded reports whether an Append without entries is of use: to find
-// where the logs match.
+// probeNeeded reports whether an Append is sent even without entries, to find
+// out where the logs match.
 func (c *Core) probeNeeded(progress *tracker.Progress) bool {
 	return progress.State == tracker.Probe
 }
@@ -331,7 +333,7 @@
 		c.sendSnapshot(id, progress)
 		return
 	}
-	entries := c.log.from(progress.Next, c.config.MaxAppendBytes)
+	entries := c.log.entriesFrom(progress.Next, c.config.MaxAppendBytes)
 	bytes := 0
 	for _, entry := range entries {
 		bytes += len(entry.Data)
@@ -351,14 +353,14 @@
 	c.send(Message{Kind: MessageSnapshot, To: id, Snapshot: &Snapshot{Meta: c.snapshot}})
 }
 
-// snapshotRetryTimeouts is after how many election timeouts a snapshot that
-// was not acknowledged is sent again.
+// snapshotRetryTimeouts is the number of election timeouts after which a
+// snapshot that was not acknowledged is sent again.
 const snapshotRetryTimeouts = 10
 
 func (c *Core) retrySnapshot(progress *tracker.Progress) {
 	waited := c.now - progress.SnapshotSentAt
 	if progress.State == tracker.Snapshot && waited > snapshotRetryTimeouts*c.config.ElectionTimeout {
 		progress.AbandonSnapshot()
-		c.leading.appendWanted = true
+		c.leading.needAppend = true
 	}
 }
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// entryLog holds the entries after the compacted part in memory.
+// entryLog holds the entries after the compacted part of the log in memory.
 type entryLog struct {
-	// previousIndex and previousTerm name the entry before entries[0].
+	// previousIndex and previousTerm are those of the entry before entries[0].
 	previousIndex uint64
 	previousTerm  uint64
 	entries       []Entry
-	// stable is the last index that is durable here.
+	// stable is the last index that is durable at this replica.
 	stable    uint64
 	committed uint64
 	applied   uint64
@@ -38,8 +38,8 @@
 	return term
 }
 
-// term returns the term of an entry; ok is false where it is compacted or not
-// there.
+// term returns the term of an entry; ok is false if the entry is compacted or
+// missing.
 func (l *entryLog) term(index uint64) (term uint64, ok bool) {
 	switch {
 	case index == l.previousIndex:
@@ -55,15 +55,15 @@
 	return ok && found == term
 }
 
-// upToDate reports whether a log that ends so holds all that this one may have
-// committed.
+// upToDate reports whether a log whose last entry has the given index and term
+// is at least as up to date as this one (Ongaro, section 3.6.1).
 func (l *entryLog) upToDate(index, term uint64) bool {
 	return term > l.lastTerm() || (term == l.lastTerm() && index >= l.lastIndex())
 }
 
-// from returns the entries at index and after, up to a number of bytes but at
-// least one.
-func (l *entryLog) from(index uint64, maxBytes int) []Entry {
+// entriesFrom returns the entries from index on, limited to maxBytes of data but
+// at least one entry.
+func (l *entryLog) entriesFrom(index uint64, maxBytes int) []Entry {
 	if index <= l.previousIndex || index > l.lastIndex() {
 		return nil
 	}
@@ -80,16 +80,17 @@
 
 func (l *entryLog) append(entries ...Entry) { l.entries = append(l.entries, entries...) }
 
-// truncateFrom drops the entry at index, which is not committed, and all after
-// it.
+// truncateFrom drops the entry at index, which must not be committed, and all
+// after it.
 func (l *entryLog) truncateFrom(index uint64) {
 	kept := index - l.previousIndex - 1
-	// A new array, because messages in flight share the old one.
+	// Copied, because messages in flight share the old array.
 	l.entries = append([]Entry(nil), l.entries[:kept]...)
 	l.stable = min(l.stable, index-1)
 }
 
-// compactTo drops the entries up to index, which a snapshot covers.
+// compactTo drops the entries up to and including index, which a snapshot
+// covers.
 func (l *entryLog) compactTo(index uint64) {
 	if index <= l.previousIndex || index > l.applied {
 		return
@@ -99,7 +100,7 @@
 	l.previousIndex, l.previousTerm = index, term
 }
 
-// restore replaces the whole log by a snapshot.
+// restore replaces the whole log with a snapshot.
 func (l *entryLog) restore(meta SnapshotMeta) {
 	*l = entryLog{
 		previousIndex: meta.Index,
@@ -110,8 +111,9 @@
 	}
 }
 
-// conflictHint returns the last index up to index whose term is at most term:
-// where a log that has term at index may still match this one.
+// conflictHint returns the last entry at or before index whose term is at most
+// term: the last one at which a log that has the given term at index may match
+// this log.
 func (l *entryLog) conflictHint(index, term uint64) (hintIndex, hintTerm uint64) {
 	index = min(index, l.lastIndex())
 	for index > l.previousIndex {
--- a/internal/consensus/loss_bench_test.go
+++ b/internal/consensus/loss_bench_test.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// BenchmarkLeaderLossVirtual kills the leader of a group of three on virtual
-// time, over seeds, with messages that take up to 5 ms, and measures until
-// another replica holds a lease.
+// BenchmarkLeaderLossVirtual measures, on virtual time, how long it takes after
+// a crash of the leader of a group of three until another replica holds a lease.
+// Each iteration uses another seed; messages take up to 5 ms.
 func BenchmarkLeaderLossVirtual(b *testing.B) {
 	var losses []time.Duration
 	seed := uint64(0)
 	for b.Loop() {
 		seed++
 		c := newCluster(b, seed, 3)
-		c.waitLeader()
+		c.waitForLeader()
 		c.run(time.Duration(c.random.Int64N(int64(time.Second))))
-		leader := c.waitLeader()
+		leader := c.waitForLeader()
 		c.crash(leader.member.ID)
 		began := c.now
-		c.waitLeader()
+		c.waitForLeader()
 		losses = append(losses, c.now-began)
 	}
 	slices.Sort(losses)
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -10,20 +10,20 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// Member is a replica as the group's membership names it.
+// Member is a replica as listed in the group's membership.
 type Member struct {
 	ID          topology.ReplicaID
 	Incarnation topology.Incarnation
-	// Address takes connections of peers, "IP:port".
+	// Address is where the replica accepts connections of peers, as "IP:port".
 	Address string
-	// Learner members receive the log but neither vote nor count.
+	// Learner members receive the log but do not vote or count toward a quorum.
 	Learner bool
 }
 
 // Membership lists a group's members by ascending ID.
 type Membership struct {
 	Members []Member
-	// LastID is the highest ReplicaID ever given; IDs are never used again.
+	// LastID is the highest ReplicaID ever assigned; IDs are never reused.
 	LastID topology.ReplicaID
 }
 
@@ -32,11 +32,12 @@
 
 // Kinds of membership changes.
 const (
-	// AddLearner adds Member as a learner. A zero ID is replaced by a new one.
+	// AddLearner adds Member as a learner. If its ID is zero, a new one is
+	// assigned.
 	AddLearner ChangeKind = iota + 1
-	// Promote makes a learner that is caught up a voter.
+	// Promote makes a learner that has caught up a voter.
 	Promote
-	// Remove takes a member out.
+	// Remove removes a member.
 	Remove
 )
 
@@ -53,15 +54,15 @@
 	return fmt.Sprintf("change-%d", uint8(k))
 }
 
-// Change is one step of membership: at most one voter more or less, so that
-// any quorum before and any quorum after share a member (Ongaro, "Consensus:
-// Bridging Theory and Practice", section 4.1).
+// Change is a single-server membership change. It adds or removes at most one
+// voter, so that any quorum before it and any quorum after it share a member
+// (Ongaro, "Consensus: Bridging Theory and Practice", section 4.1).
 type Change struct {
 	Kind   ChangeKind
 	Member Member
 }
 
-// NewMembership returns a membership of the members in ascending order.
+// NewMembership returns a membership of the given members, sorted by ID.
 func NewMembership(members ...Member) Membership {
 	membership := Membership{Members: slices.Clone(members)}
 	slices.SortFunc(membership.Members, compareMembers)
@@ -71,7 +72,8 @@
 	return membership
 }
 
-// sortedIDs returns a map's keys in a fixed order, so that runs repeat.
+// sortedIDs returns a map's keys in ascending order, so that runs are
+// reproducible.
 func sortedIDs[T any](values map[topology.ReplicaID]T) []topology.ReplicaID {
 	return slices.Sorted(maps.Keys(values))
 }
@@ -96,7 +98,7 @@
 	return Member{}, false
 }
 
-// Names reports whether the membership names this ID with this incarnation.
+// Names reports whether the membership lists this ID with this incarnation.
 func (m Membership) Names(id topology.ReplicaID, incarnation topology.Incarnation) bool {
 	member, ok := m.Find(id)
 	return ok && member.Incarnation == incarnation
@@ -113,29 +115,29 @@
 	return voters
 }
 
-// Quorum is the least number of voters that is a majority.
+// Quorum returns the smallest number of voters that is a majority.
 func (m Membership) Quorum() int { return m.Voters()/2 + 1 }
 
-// IsVoter reports whether the membership names this ID as a voter.
+// IsVoter reports whether the membership lists this ID as a voter.
 func (m Membership) IsVoter(id topology.ReplicaID) bool {
 	member, ok := m.Find(id)
 	return ok && !member.Learner
 }
 
 // With returns the membership after a change, and the change with the ID that
-// was given.
+// was assigned.
 func (m Membership) With(change Change) (Membership, Change, error) {
 	next := Membership{Members: slices.Clone(m.Members), LastID: m.LastID}
 	switch change.Kind {
 	case AddLearner:
-		return next.withLearner(change)
+		return next.addLearner(change)
 	case Promote, Remove:
-		return next.withExisting(change)
+		return next.changeMember(change)
 	}
 	return m, change, &ChangeError{change, "unknown kind"}
 }
 
-func (m Membership) withLearner(change Change) (Membership, Change, error) {
+func (m Membership) addLearner(change Change) (Membership, Change, error) {
 	if change.Member.Incarnation == 0 {
 		return m, change, &ChangeError{change, "no incarnation is given"}
 	}
@@ -156,7 +158,7 @@
 	return m, change, nil
 }
 
-func (m Membership) withExisting(change Change) (Membership, Change, error) {
+func (m Membership) changeMember(change Change) (Membership, Change, error) {
 	position := slices.IndexFunc(m.Members, func(member Member) bool { return member.ID == change.Member.ID })
 	if position < 0 {
 		return m, change, &ChangeError{change, "no such member"}
@@ -178,12 +180,12 @@
 func encodeMembership(membership Membership) []byte {
 	var buffer bytes.Buffer
 	if err := gob.NewEncoder(&buffer).Encode(membership); err != nil {
-		panic(err) // plain fields into memory cannot fail
+		panic(err) // encoding plain fields into memory cannot fail
 	}
 	return buffer.Bytes()
 }
 
-// DecodeMembership reads the data of an EntryMembership.
+// DecodeMembership decodes the data of an EntryMembership.
 func DecodeMembership(data []byte) (Membership, error) {
 	var membership Membership
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&membership); err != nil {
--- a/internal/consensus/member_test.go
+++ b/internal/consensus/membership_test.go
@@ -10,9 +10,9 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestMembershipChangesOneAtATime(t *testing.T) {
+func TestOneUncommittedMembershipChangeAtATime(t *testing.T) {
 	c := newCluster(t, 31, 3)
-	leader := c.waitLeader()
+	leader := c.waitForLeader()
 	c.commit("a")
 	c.isolate(leader.member.ID)
 	_, _, err := leader.core.ProposeMembership(Change{Kind: AddLearner, Member: testMember(4)})
@@ -20,7 +20,7 @@
 	_, _, err = leader.core.ProposeMembership(Change{Kind: AddLearner, Member: testMember(5)})
 	assert.ErrorIs(t, err, ErrChangeInProgress)
 	c.heal()
-	c.until("the change is committed", func() bool {
+	c.waitUntil("the change is committed", func() bool {
 		_, _, err = leader.core.ProposeMembership(Change{Kind: AddLearner, Member: testMember(5)})
 		return err == nil
 	})
@@ -28,46 +28,46 @@
 	assert.ErrorIs(t, err, ErrChangeInProgress)
 }
 
-func TestANewLeaderChangesMembershipOnlyAfterItsFirstEntry(t *testing.T) {
+func TestNewLeaderRefusesMembershipChangeBeforeFirstCommit(t *testing.T) {
 	c := newCluster(t, 32, 3)
 	c.commit("a")
-	old := c.waitLeader()
+	old := c.waitForLeader()
 	c.crash(old.member.ID)
 	// The other two cannot commit while their disks are full.
 	for _, n := range c.nodes {
-		n.full = true
+		n.diskFull = true
 	}
-	leader := c.waitLeader()
+	leader := c.waitForLeader()
 	_, _, err := leader.core.ProposeMembership(Change{Kind: Remove, Member: old.member})
 	assert.ErrorIs(t, err, ErrTermNotCommitted)
 }
 
-func TestALearnerIsPromotedOnlyOnceItHoldsWhatIsCommitted(t *testing.T) {
+func TestLearnerIsPromotedOnlyWhenCaughtUp(t *testing.T) {
 	c := newCluster(t, 33, 3)
 	c.commit("a")
 	learner := c.add(testMember(4))
-	learner.full = true
+	learner.diskFull = true
 	c.change(Change{Kind: AddLearner, Member: learner.member})
 	c.run(time.Second)
-	leader := c.waitLeader()
+	leader := c.waitForLeader()
 	_, _, err := leader.core.ProposeMembership(Change{Kind: Promote, Member: learner.member})
 	assert.ErrorIs(t, err, ErrNotCaughtUp)
-	learner.full = false
+	learner.diskFull = false
 	c.change(Change{Kind: Promote, Member: learner.member})
-	assert.Assert(t, c.waitLeader().core.Membership().IsVoter(4))
+	assert.Assert(t, c.waitForLeader().core.Membership().IsVoter(4))
 }
 
-func TestAChangeThatMakesNoSenseIsRefused(t *testing.T) {
+func TestInvalidMembershipChangesAreRefused(t *testing.T) {
 	membership := NewMembership(testMember(1), testMember(2))
 	for name, change := range map[string]Change{
-		"unknown kind":             {Kind: 9, Member: testMember(1)},
-		"learner of no folder":     {Kind: AddLearner, Member: Member{ID: 3}},
-		"known incarnation":        {Kind: AddLearner, Member: Member{Incarnation: testMember(2).Incarnation}},
-		"identity that was given":  {Kind: AddLearner, Member: Member{ID: 2, Incarnation: 9}},
-		"promotion of a voter":     {Kind: Promote, Member: testMember(2)},
-		"promotion of no member":   {Kind: Promote, Member: testMember(3)},
-		"removal of no member":     {Kind: Remove, Member: testMember(3)},
-		"removal of an unknown ID": {Kind: Remove},
+		"unknown kind":                {Kind: 9, Member: testMember(1)},
+		"learner without incarnation": {Kind: AddLearner, Member: Member{ID: 3}},
+		"known incarnation":           {Kind: AddLearner, Member: Member{Incarnation: testMember(2).Incarnation}},
+		"ID that was used before":     {Kind: AddLearner, Member: Member{ID: 2, Incarnation: 9}},
+		"promotion of a voter":        {Kind: Promote, Member: testMember(2)},
+		"promotion of a non-member":   {Kind: Promote, Member: testMember(3)},
+		"removal of a non-member":     {Kind: Remove, Member: testMember(3)},
+		"removal of the zero ID":      {Kind: Remove},
 	} {
 		_, _, err := membership.With(change)
 		refused, ok := err.(*ChangeError)
@@ -78,15 +78,15 @@
 	assert.ErrorContains(t, err, "last voter")
 }
 
-func TestALeaderThatRemovesItselfLeadsUntilThatIsCommitted(t *testing.T) {
+func TestLeaderStepsDownOnceItsRemovalIsCommitted(t *testing.T) {
 	c := newCluster(t, 34, 3)
 	c.commit("a")
-	old := c.waitLeader()
+	old := c.waitForLeader()
 	c.change(Change{Kind: Remove, Member: old.member})
 	assert.Equal(t, old.core.Role(), NonVoter)
 	last := c.commit("b")
 	assert.Assert(t, c.leader() != old)
-	c.until("the others apply", func() bool {
+	c.waitUntil("the others apply", func() bool {
 		for _, n := range c.others(old.member.ID) {
 			if n.core.Status().Applied < last {
 				return false
@@ -96,12 +96,12 @@
 	})
 }
 
-// A replica whose disk was lost starts with a new incarnation. Under its old
-// ID nobody hears it, and it votes for nobody.
-func TestAReplicaWithALostDiskHasNoVote(t *testing.T) {
+// A replica whose disk was lost starts with a new incarnation. The other
+// replicas ignore its messages under the old ID, and it has no vote.
+func TestReplicaWithLostDiskHasNoVote(t *testing.T) {
 	c := newCluster(t, 35, 3)
 	c.commit("a")
-	leader := c.waitLeader()
+	leader := c.waitForLeader()
 	followers := c.others(leader.member.ID)
 	lost, behind := followers[0], followers[1]
 	c.isolate(behind.member.ID)
@@ -113,19 +113,19 @@
 	lost.member.Incarnation = 77
 	c.start(lost)
 	c.run(20 * time.Second)
-	assert.Assert(t, c.leader() == nil, "one old log and one empty one must not make a quorum")
+	assert.Assert(t, c.leader() == nil, "a stale log and an empty one must not form a quorum")
 	c.restart(leader.member.ID)
 	c.commit("c")
 }
 
-func TestASecondMachineMayBeLostRightAfterARepair(t *testing.T) {
+func TestLeaderCrashRightAfterReplacementLosesNothing(t *testing.T) {
 	for seed := range uint64(30) {
 		c := newCluster(t, 300+seed, 3)
 		c.lossRate = 0.1
 		for i := range 5 {
 			c.commit(fmt.Sprint(i))
 		}
-		first := c.waitLeader()
+		first := c.waitForLeader()
 		if seed%2 == 0 {
 			first = c.others(first.member.ID)[0]
 		}
@@ -135,21 +135,21 @@
 		c.commit("during")
 		c.change(Change{Kind: Remove, Member: first.member})
 		c.change(Change{Kind: Promote, Member: replacement.member})
-		leader := c.waitLeader()
+		leader := c.waitForLeader()
 		c.crash(leader.member.ID)
 		last := c.commit("after")
 		for _, n := range c.others(0) {
-			c.until("the rest holds all", func() bool { return n.core.Status().Applied >= last })
+			c.waitUntil("the remaining replicas apply all entries", func() bool { return n.core.Status().Applied >= last })
 			assert.Equal(t, len(n.applied), 7, "seed %d, replica %d", seed, n.member.ID)
 		}
 	}
 }
 
-func TestAFewMissedEntriesComeWithoutASnapshot(t *testing.T) {
+func TestRetainedEntriesAvoidSnapshot(t *testing.T) {
 	for _, retain := range []uint64{100, 0} {
 		c := newCluster(t, 36, 3)
 		c.commit("a")
-		leader := c.waitLeader()
+		leader := c.waitForLeader()
 		away := c.others(leader.member.ID)[0]
 		c.isolate(away.member.ID)
 		var last uint64
@@ -159,7 +159,7 @@
 		c.compact(leader.member.ID, retain)
 		snapshots := 0
 		c.heal()
-		c.until("it catches up", func() bool {
+		c.waitUntil("it catches up", func() bool {
 			for _, peer := range leader.core.Status().Peers {
 				if peer.ID == away.member.ID && peer.State == tracker.Snapshot {
 					snapshots++
@@ -172,48 +172,48 @@
 	}
 }
 
-func TestASnapshotCarriesTheMembership(t *testing.T) {
+func TestSnapshotCarriesMembership(t *testing.T) {
 	c := newCluster(t, 37, 3)
 	c.commit("a")
-	leader := c.waitLeader()
+	leader := c.waitForLeader()
 	away := c.others(leader.member.ID)[0]
 	c.isolate(away.member.ID)
 	learner := c.add(testMember(4))
 	c.change(Change{Kind: AddLearner, Member: learner.member})
 	last := c.commit("b")
 	for _, n := range c.others(away.member.ID) {
-		c.until("applied", func() bool { return n.core.Status().Applied >= last })
+		c.waitUntil("applied", func() bool { return n.core.Status().Applied >= last })
 		c.compact(n.member.ID, 0)
 	}
 	c.heal()
-	c.until("it catches up", func() bool { return c.allApplied(last) })
+	c.waitUntil("it catches up", func() bool { return c.allApplied(last) })
 	assert.Assert(t, away.core.Membership().Names(4, learner.member.Incarnation))
 	c.crash(away.member.ID)
 	c.restart(away.member.ID)
 	assert.Assert(t, away.core.Membership().Names(4, learner.member.Incarnation))
 }
 
-func TestMemoryForASlowFollowerIsBounded(t *testing.T) {
+func TestMemoryForSlowFollowerIsBounded(t *testing.T) {
 	c := newCluster(t, 38, 3)
 	c.commit("a")
-	leader := c.waitLeader()
+	leader := c.waitForLeader()
 	slow := c.others(leader.member.ID)[0]
-	slow.full = true
+	slow.diskFull = true
 	slow.paused = true
 	c.maxDelay = time.Millisecond
 	for i := range 400 {
 		c.commit(fmt.Sprintf("%-50d", i))
 		for _, peer := range leader.core.Status().Peers {
-			// The bound may be passed by one Append.
+			// One Append may exceed the bound.
 			assert.Assert(t, peer.InflightBytes <= 4*200, "in flight to %d: %d bytes", peer.ID, peer.InflightBytes)
 		}
 	}
-	assert.Assert(t, len(slow.inbox) < 400, "%d messages wait for the paused replica", len(slow.inbox))
+	assert.Assert(t, len(slow.inbox) < 400, "%d messages are queued for the paused replica", len(slow.inbox))
 }
 
-func TestALeaderWithoutQuorumTakesABoundedAmount(t *testing.T) {
+func TestLeaderWithoutQuorumBoundsUncommittedBytes(t *testing.T) {
 	c := newCluster(t, 39, 3)
-	leader := c.waitLeader()
+	leader := c.waitForLeader()
 	for _, other := range c.others(leader.member.ID) {
 		other.paused = true
 	}
@@ -227,8 +227,8 @@
 	assert.Assert(t, proposed <= DefaultMaxUncommittedBytes+2<<20)
 }
 
-func TestMessagesForAnotherIncarnationAreDropped(t *testing.T) {
-	s := newScript(t, Config{})
+func TestMisaddressedMessagesAreDropped(t *testing.T) {
+	s := newHarness(t, Config{})
 	m := Message{
 		Kind: MessageVote, Term: 9, Group: testGroup, From: 2, FromIncarnation: testMember(2).Incarnation,
 		To: 1, ToIncarnation: testMember(1).Incarnation,
--- a/internal/consensus/property_test.go
+++ b/internal/consensus/property_test.go
@@ -11,35 +11,36 @@
 	"pgregory.net/rapid"
 )
 
-// chaos drives a cluster by operations that rapid draws. The cluster checks at
-// each step that there is one leader in a term, one valid lease, one entry at
-// an index, and that nothing is told before it is written.
-type chaos struct {
+// faultMachine applies random operations, drawn by rapid, to a cluster. The
+// cluster checks at each step that there is at most one leader in a term, one
+// valid lease and one entry at an index, and that no message is sent before the
+// write on which it depends.
+type faultMachine struct {
 	*cluster
-	rt     *rapid.T
-	copies map[topology.ReplicaID]disk
-	nextID topology.ReplicaID
-	// acknowledged is the highest index whose proposer was answered.
+	rt         *rapid.T
+	diskCopies map[topology.ReplicaID]disk
+	nextID     topology.ReplicaID
+	// acknowledged is the highest index whose proposer saw it committed.
 	acknowledged uint64
 	pending      map[topology.ReplicaID]map[uint64]uint64
 	reads        map[uint64]uint64
 	nextRead     uint64
 }
 
-func (c *chaos) pick(label string) *node {
+func (c *faultMachine) pick(label string) *node {
 	ids := c.ids()
 	return c.nodes[ids[rapid.IntRange(0, len(ids)-1).Draw(c.rt, label)]]
 }
 
-func (c *chaos) advance(*rapid.T) {
+func (c *faultMachine) advance(*rapid.T) {
 	for range rapid.IntRange(1, 60).Draw(c.rt, "ticks") {
 		c.step()
-		c.answer()
+		c.recordResults()
 	}
 }
 
-// answer notes which proposals and reads have got their answer.
-func (c *chaos) answer() {
+// recordResults records which proposals and reads have completed.
+func (c *faultMachine) recordResults() {
 	for id, proposals := range c.pending {
 		n := c.nodes[id]
 		for index, term := range proposals {
@@ -66,7 +67,7 @@
 	}
 }
 
-func (c *chaos) propose(*rapid.T) {
+func (c *faultMachine) propose(*rapid.T) {
 	n := c.pick("proposer")
 	if n.core == nil || n.paused {
 		return
@@ -76,11 +77,11 @@
 			c.pending[n.member.ID] = map[uint64]uint64{}
 		}
 		c.pending[n.member.ID][index] = term
-		c.work(n)
+		c.processReady(n)
 	}
 }
 
-func (c *chaos) read(*rapid.T) {
+func (c *faultMachine) read(*rapid.T) {
 	n := c.pick("reader")
 	if n.core == nil || n.paused {
 		return
@@ -88,28 +89,28 @@
 	c.nextRead++
 	if n.core.ReadIndex(c.nextRead) == nil {
 		c.reads[c.nextRead] = c.acknowledged
-		c.work(n)
+		c.processReady(n)
 	}
 }
 
-func (c *chaos) crashOne(*rapid.T) { c.crash(c.pick("crashed").member.ID) }
+func (c *faultMachine) crashOne(*rapid.T) { c.crash(c.pick("crashed").member.ID) }
 
-func (c *chaos) restartOne(*rapid.T) {
-	if n := c.pick("restarted"); n.core == nil && n.ended == nil {
+func (c *faultMachine) restartOne(*rapid.T) {
+	if n := c.pick("restarted"); n.core == nil && n.fatalErr == nil {
 		c.start(n)
 	}
 }
 
-func (c *chaos) powerCut(*rapid.T) {
+func (c *faultMachine) powerCut(*rapid.T) {
 	for _, id := range c.ids() {
-		if n := c.nodes[id]; n.ended == nil && rapid.Bool().Draw(c.rt, "cut") {
+		if n := c.nodes[id]; n.fatalErr == nil && rapid.Bool().Draw(c.rt, "cut") {
 			c.crash(id)
-			c.powerCycle(id)
+			c.restartUnproven(id)
 		}
 	}
 }
 
-func (c *chaos) pauseOrResume(*rapid.T) {
+func (c *faultMachine) pauseOrResume(*rapid.T) {
 	n := c.pick("paused")
 	switch {
 	case n.core == nil:
@@ -120,38 +121,39 @@
 	}
 }
 
-func (c *chaos) fillOrEmptyDisk(*rapid.T) {
+func (c *faultMachine) fillOrEmptyDisk(*rapid.T) {
 	n := c.pick("full")
-	n.full = !n.full
+	n.diskFull = !n.diskFull
 }
 
-func (c *chaos) cutOneWay(*rapid.T) {
+func (c *faultMachine) cutOneWay(*rapid.T) {
 	c.cut[[2]topology.ReplicaID{c.pick("from").member.ID, c.pick("to").member.ID}] = true
 }
 
-func (c *chaos) healAll(*rapid.T) {
+func (c *faultMachine) healAll(*rapid.T) {
 	c.heal()
 	c.lossRate = rapid.SampledFrom([]float64{0, 0, 0.05, 0.3}).Draw(c.rt, "loss")
 	c.maxDelay = rapid.SampledFrom([]time.Duration{1, 5, 40, 400}).Draw(c.rt, "delay") * time.Millisecond
 }
 
-func (c *chaos) compactOne(*rapid.T) {
+func (c *faultMachine) compactOne(*rapid.T) {
 	if n := c.pick("compacted"); n.core != nil {
 		c.compact(n.member.ID, uint64(rapid.IntRange(0, 5).Draw(c.rt, "retained")))
 	}
 }
 
-func (c *chaos) copyDisk(*rapid.T) {
+func (c *faultMachine) copyDisk(*rapid.T) {
 	n := c.pick("copied")
-	c.copies[n.member.ID] = n.disk.clone()
+	c.diskCopies[n.member.ID] = n.disk.clone()
 }
 
-// rollBackOne brings an older copy back, where no other replica has lost its
-// disk: the group claims to survive one at a time, where it has three or more.
-func (c *chaos) rollBackOne(*rapid.T) {
+// restoreOneDiskCopy restores an older copy of a replica's disk, if the group has
+// three or more voters and no other replica has lost its disk: it tolerates one
+// such loss at a time.
+func (c *faultMachine) restoreOneDiskCopy(*rapid.T) {
 	n := c.pick("rolled back")
-	copied, ok := c.copies[n.member.ID]
-	if !ok || n.ended != nil {
+	copied, ok := c.diskCopies[n.member.ID]
+	if !ok || n.fatalErr != nil {
 		return
 	}
 	for _, other := range c.nodes {
@@ -160,15 +162,15 @@
 		}
 	}
 	for _, other := range c.nodes {
-		if other != n && (other.ended != nil || other.core == nil || other.core.Status().Unproven) {
+		if other != n && (other.fatalErr != nil || other.core == nil || other.core.Status().Unproven) {
 			return
 		}
 	}
 	c.crash(n.member.ID)
-	c.rollBack(n.member.ID, copied)
+	c.restoreDiskCopy(n.member.ID, copied)
 }
 
-func (c *chaos) changeMembership(*rapid.T) {
+func (c *faultMachine) changeMembership(*rapid.T) {
 	n := c.leader()
 	if n == nil {
 		return
@@ -190,25 +192,25 @@
 		c.add(change.Member)
 		c.nextID++
 	}
-	c.work(n)
+	c.processReady(n)
 }
 
-func (c *chaos) transfer(*rapid.T) {
+func (c *faultMachine) transfer(*rapid.T) {
 	if n := c.leader(); n != nil && n.core.TransferLeadership(c.pick("successor").member.ID) == nil {
-		c.work(n)
+		c.processReady(n)
 	}
 }
 
-// settle ends all faults and checks that the group goes on from what it
-// acknowledged.
-func (c *chaos) settle() {
+// healAndCheck ends all faults and checks that the group goes on with all that
+// was acknowledged.
+func (c *faultMachine) healAndCheck() {
 	c.heal()
 	c.lossRate, c.maxDelay = 0, 5*time.Millisecond
 	for _, id := range c.ids() {
 		n := c.nodes[id]
-		n.full = false
+		n.diskFull = false
 		switch {
-		case n.ended != nil:
+		case n.fatalErr != nil:
 		case n.core == nil:
 			c.start(n)
 		case n.paused:
@@ -217,21 +219,21 @@
 	}
 	for range 500 {
 		c.step()
-		c.answer()
+		c.recordResults()
 	}
 	for _, n := range c.nodes {
-		if n.ended != nil {
-			// A quorum of sound disks need not be left, nor one that is sure.
+		if n.fatalErr != nil {
+			// There may be no quorum of replicas with a proven disk left.
 			return
 		}
 	}
 	last := c.commit("last")
 	assert.Assert(c.rt, last > c.acknowledged)
-	members := c.waitLeader().core.Membership()
-	c.until("all members apply", func() bool {
+	members := c.waitForLeader().core.Membership()
+	c.waitUntil("all members apply", func() bool {
 		for _, member := range members.Members {
 			n := c.nodes[member.ID]
-			if n.ended == nil && n.core.Status().Applied < last {
+			if n.fatalErr == nil && n.core.Status().Applied < last {
 				return false
 			}
 		}
@@ -239,22 +241,22 @@
 	})
 }
 
-func TestRandomFaultsLoseNothing(t *testing.T) {
+func TestNoCommittedEntryIsLostUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		size := rapid.SampledFrom([]int{1, 2, 3, 3, 5}).Draw(rt, "size")
-		c := &chaos{
+		c := &faultMachine{
 			cluster: newCluster(rt, rapid.Uint64().Draw(rt, "seed"), size),
 			rt:      rt, nextID: topology.ReplicaID(size + 1),
-			copies:  map[topology.ReplicaID]disk{},
-			pending: map[topology.ReplicaID]map[uint64]uint64{},
-			reads:   map[uint64]uint64{},
+			diskCopies: map[topology.ReplicaID]disk{},
+			pending:    map[topology.ReplicaID]map[uint64]uint64{},
+			reads:      map[uint64]uint64{},
 		}
 		steps := map[string]func(*rapid.T){
 			"advance": c.advance, "propose": c.propose, "read": c.read,
 			"crash": c.crashOne, "restart": c.restartOne, "power cut": c.powerCut,
 			"pause": c.pauseOrResume, "disk full": c.fillOrEmptyDisk,
 			"cut": c.cutOneWay, "heal": c.healAll, "compact": c.compactOne,
-			"copy disk": c.copyDisk, "roll back": c.rollBackOne,
+			"copy disk": c.copyDisk, "roll back": c.restoreOneDiskCopy,
 			"membership": c.changeMembership, "transfer": c.transfer,
 		}
 		for name := range steps {
@@ -266,6 +268,6 @@
 			}
 		}
 		rt.Repeat(steps)
-		c.settle()
+		c.healAndCheck()
 	})
 }
--- a/internal/consensus/read.go
+++ b/internal/consensus/read.go
@@ -2,7 +2,8 @@
 
 import "errors"
 
-// pendingRead waits for a heartbeat round that begins after it was asked.
+// pendingRead is a read that waits for its heartbeat round to be confirmed. The
+// round began after the read was requested.
 type pendingRead struct {
 	token uint64
 	index uint64
@@ -12,48 +13,49 @@
 // ErrTooManyReads is returned when too many reads wait for a quorum.
 var ErrTooManyReads = errors.New("too many reads wait for a quorum")
 
-// maxReads bounds the reads that wait.
+// maxReads bounds the number of waiting reads.
 const maxReads = 100_000
 
-// ReadIndex asks for a linearizable read: once a ReadState with the token
-// comes, a read of the state applied up to its index sees all that was
-// committed before ReadIndex was called. The leader confirms its leadership by
+// ReadIndex requests a linearizable read. Once Ready returns a ReadState with the
+// token, a read of the state applied up to its index sees everything that was
+// committed before ReadIndex was called. The leader confirms its leadership with
 // a heartbeat round (Ongaro, section 6.4).
 func (c *Core) ReadIndex(token uint64) error {
 	if c.role != Leader {
 		return ErrNotLeader
 	}
-	if len(c.leading.waitingReads)+len(c.leading.pendingReads) >= maxReads {
+	if len(c.leading.queuedReads)+len(c.leading.pendingReads) >= maxReads {
 		return ErrTooManyReads
 	}
-	c.leading.waitingReads = append(c.leading.waitingReads, token)
-	c.admitWaitingReads()
+	c.leading.queuedReads = append(c.leading.queuedReads, token)
+	c.admitQueuedReads()
 	return nil
 }
 
-// admitWaitingReads starts a round for the reads that wait, once the leader
-// knows the commit index of the terms before its own.
-func (c *Core) admitWaitingReads() {
-	if len(c.leading.waitingReads) > 0 && c.log.committed >= c.leading.firstIndex {
-		c.leading.roundWanted = true
+// admitQueuedReads requests a heartbeat round for the queued reads, once the
+// leader has committed an entry of its own term and so knows what earlier terms
+// committed.
+func (c *Core) admitQueuedReads() {
+	if len(c.leading.queuedReads) > 0 && c.log.committed >= c.leading.firstIndex {
+		c.leading.needRound = true
 	}
 }
 
-// assignReads ties the waiting reads to the round that begins.
+// assignReads assigns the queued reads to the round that begins.
 func (c *Core) assignReads() {
 	if c.log.committed < c.leading.firstIndex {
 		return
 	}
-	for _, token := range c.leading.waitingReads {
+	for _, token := range c.leading.queuedReads {
 		c.leading.pendingReads = append(c.leading.pendingReads, pendingRead{token, c.log.committed, c.leading.round})
 	}
-	c.leading.waitingReads = nil
+	c.leading.queuedReads = nil
 }
 
 func (c *Core) releaseReads() {
 	released := 0
 	for _, read := range c.leading.pendingReads {
-		if read.round > c.leading.confirmed {
+		if read.round > c.leading.confirmedRound {
 			break
 		}
 		c.reads = append(c.reads, ReadState{Token: read.token, Index: read.index})
@@ -63,7 +65,7 @@
 }
 
 func (c *Core) failReads() {
-	for _, token := range c.leading.waitingReads {
+	for _, token := range c.leading.queuedReads {
 		c.reads = append(c.reads, ReadState{Token: token, Failed: true})
 	}
 	for _, read := range c.leading.pendingReads {
--- a/internal/consensus/recovery.go
+++ b/internal/consensus/recovery.go
@@ -7,76 +7,85 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// A replica that starts from a disk which may be an older copy, or may lack
-// its end, has perhaps forgotten votes and entries that it acknowledged. Until
-// it knows better it neither votes nor stands for election; it follows a
-// leader and acknowledges what it writes from now on, which is safe.
+// A replica that starts from an unproven disk, which may be an older copy or may
+// have lost the end of the log, may have forgotten votes that it gave and
+// entries that it acknowledged. Until it has recovered it neither votes nor
+// stands for election. It does follow a leader and acknowledges entries that it
+// writes from now on, which is safe.
 //
-// It asks all other voters for their term and for the end of their logs
-// (compare the recovery of Viewstamped Replication; Liskov and Cowling, 2012,
-// section 4.3). Once all have answered:
+// It asks all other voters for their term and for the last entry of their logs
+// (compare the recovery protocol of Viewstamped Replication; Liskov and Cowling,
+// 2012, section 4.3). Once all have answered:
 //
-//   - It enters the highest term and gives no vote in it. A candidate that got
-//     a forgotten vote had its term on disk before it asked, and has answered.
-//   - It votes only for logs that reach the furthest one heard, the floor, and
-//     stands for election only once its own does. An entry that was committed
-//     with a forgotten acknowledgement is on the disk of another voter, or is
-//     lost with two disks.
+//   - It adopts the highest term and grants no vote in it. A candidate that
+//     received a forgotten vote had its term on disk before it asked for the
+//     vote, and is among the replicas that answered.
+//   - It votes only for candidates whose log is at least as up to date as the
+//     most up-to-date one reported, the required log end, and stands for
+//     election only once its own log is. An entry that was committed with a
+//     forgotten acknowledgement is on the disk of another voter, unless two
+//     disks were lost.
 //
-// Where an answer shows that the replica once held more than it does, its
-// identity is at an end: Step returns ErrOlderCopy.
+// If a response shows that the replica once held more than it does now, its
+// identity cannot be used any more: Step returns ErrOlderCopy.
 
-// logEnd is the place of a log's last durable entry.
+// logEnd identifies the last durable entry of a log.
 type logEnd struct{ index, term uint64 }
 
-// reaches reports whether a log that ends here is as far as one that ends at
-// other.
-func (e logEnd) reaches(other logEnd) bool {
+// upToDateWith reports whether a log that ends at e is at least as up to date as
+// one that ends at other.
+func (e logEnd) upToDateWith(other logEnd) bool {
 	return e.term > other.term || (e.term == other.term && e.index >= other.index)
 }
 
-// recovery is the state of a replica that does not trust its disk.
+// recovery is the state of a replica that started from an unproven disk.
 type recovery struct {
-	// pending is set until all others have answered.
-	pending bool
-	askAt   time.Duration
-	answers map[topology.ReplicaID]recoveryAnswer
-	// floor is what a log must reach to be voted for.
-	floor logEnd
+	// pending is set until all recovery peers have answered.
+	pending       bool
+	nextRequestAt time.Duration
+	responses     map[topology.ReplicaID]recoveryResponse
+	// requiredEnd is the log end with which a candidate's log must be up to date
+	// to get a vote.
+	requiredEnd logEnd
 }
 
-type recoveryAnswer struct {
+type recoveryResponse struct {
 	end        logEnd
 	membership *Membership
 }
 
-// mark is what another replica showed to have on its disk in one run.
-type mark struct {
+// peerObservation is the durable state that a peer's messages have shown in one
+// run of its process.
+type peerObservation struct {
 	incarnation topology.Incarnation
 	run         uint64
 	term        uint64
 	end         logEnd
 }
 
-// maxMarks bounds the marks kept, those of the newest runs.
-const maxMarks = 16
+// maxPeerObservations is the number of runs that are remembered for a peer, the
+// newest ones.
+const maxPeerObservations = 16
 
 func (c *Core) beginRecovery() {
-	c.recovery = recovery{pending: true, answers: map[topology.ReplicaID]recoveryAnswer{}}
-	c.concludeRecovery()
+	c.recovery = recovery{pending: true, responses: map[topology.ReplicaID]recoveryResponse{}}
+	c.maybeFinishRecovery()
 }
 
-// recovered reports whether this replica may stand for election.
+// recovered reports whether recovery, if any was needed, is complete, so that
+// this replica may stand for election.
 func (c *Core) recovered() bool {
-	return !c.recovery.pending && c.recovery.floor == logEnd{}
+	return !c.recovery.pending && c.recovery.requiredEnd == logEnd{}
 }
 
-// Proven reports whether this replica knows that its disk lacks nothing.
+// Proven reports whether this replica knows that its disk holds everything that
+// it has acknowledged.
 func (c *Core) Proven() bool { return c.recovered() }
 
-// mayVoteFor reports whether recovery allows a vote for a log.
-func (c *Core) mayVoteFor(m Message) bool {
-	return !c.recovery.pending && logEnd{m.LogIndex, m.LogTerm}.reaches(c.recovery.floor)
+// recoveryAllowsVote reports whether recovery allows a vote for the candidate
+// that sent m.
+func (c *Core) recoveryAllowsVote(m Message) bool {
+	return !c.recovery.pending && logEnd{m.LogIndex, m.LogTerm}.upToDateWith(c.recovery.requiredEnd)
 }
 
 func (c *Core) durableEnd() logEnd {
@@ -84,11 +93,11 @@
 	return logEnd{c.log.stable, term}
 }
 
-// reportedEnd is the end of the log that counts for others' recovery. Entries
-// from this replica's own removal on are committed by a quorum without it,
-// which answers for them; a leader that removes itself may be the only one to
-// hold them, and no voter could ever reach that floor. Those of a learner count
-// for nothing.
+// reportedEnd returns the end of the log that counts for the recovery of other
+// replicas. Entries from this replica's own removal on are committed by a quorum
+// without it, whose members report them. A leader that removes itself may be the
+// only one to hold those entries, and no voter's log could ever be up to date
+// with them. The entries of a learner do not count.
 func (c *Core) reportedEnd() logEnd {
 	end := c.durableEnd()
 	if c.Membership().IsVoter(c.config.ID) {
@@ -107,10 +116,11 @@
 	return logEnd{}
 }
 
-// recoveryMembers are those that must answer: all voters that this replica or
-// an answer names, and the learners of a group so small that one of them may
-// have become a voter without any of the voters but this one.
-func (c *Core) recoveryMembers() []Member {
+// recoveryPeers returns the members that must answer: all voters that this
+// replica or a response lists. In a group of fewer than three voters it includes
+// the learners, since one of them may have become a voter with no voter but this
+// replica taking part.
+func (c *Core) recoveryPeers() []Member {
 	var members []Member
 	known := map[topology.ReplicaID]bool{c.config.ID: true}
 	add := func(membership Membership) {
@@ -122,8 +132,8 @@
 		}
 	}
 	add(c.Membership())
-	for _, id := range sortedIDs(c.recovery.answers) {
-		if newer := c.recovery.answers[id].membership; newer != nil {
+	for _, id := range sortedIDs(c.recovery.responses) {
+		if newer := c.recovery.responses[id].membership; newer != nil {
 			add(*newer)
 		}
 	}
@@ -131,13 +141,13 @@
 }
 
 func (c *Core) tickRecovery() {
-	if !c.recovery.pending || c.now < c.recovery.askAt {
+	if !c.recovery.pending || c.now < c.recovery.nextRequestAt {
 		return
 	}
-	c.concludeRecovery()
-	c.recovery.askAt = c.now + c.config.ElectionTimeout/2
-	for _, member := range c.recoveryMembers() {
-		if _, answered := c.recovery.answers[member.ID]; !answered {
+	c.maybeFinishRecovery()
+	c.recovery.nextRequestAt = c.now + c.config.ElectionTimeout/2
+	for _, member := range c.recoveryPeers() {
+		if _, answered := c.recovery.responses[member.ID]; !answered {
 			end := c.durableEnd()
 			c.send(Message{
 				Kind: MessageRecovery, To: member.ID, ToIncarnation: member.Incarnation,
@@ -147,113 +157,117 @@
 	}
 }
 
-// answerRecovery tells a replica that starts what is durable here, and whether
-// it showed more in an earlier run than it holds now.
-func (c *Core) answerRecovery(m Message) {
+// stepRecovery answers a recovering replica with the end of this replica's log,
+// and refuses if the replica held more in an earlier run than it does now.
+func (c *Core) stepRecovery(m Message) {
 	end := c.reportedEnd()
 	membership := c.Membership()
 	c.send(Message{
-		Kind: MessageRecoveryAnswer, To: m.From, ToIncarnation: m.FromIncarnation,
+		Kind: MessageRecoveryResponse, To: m.From, ToIncarnation: m.FromIncarnation,
 		Round: m.Run, LogIndex: end.index, LogTerm: end.term,
-		Refused: c.showedMore(m), Membership: &membership, Commit: c.memberships[len(c.memberships)-1].index,
+		Refused: c.hasRegressed(m), Membership: &membership, Commit: c.memberships[len(c.memberships)-1].index,
 	})
 }
 
-func (c *Core) showedMore(m Message) bool {
-	for _, seen := range c.marks[m.From] {
+// hasRegressed reports whether the sender of m held more in an earlier run of its
+// process than m shows.
+func (c *Core) hasRegressed(m Message) bool {
+	for _, seen := range c.peerObservations[m.From] {
 		if seen.incarnation != m.FromIncarnation || seen.run == m.Run {
 			continue
 		}
-		if m.Term < seen.term || !(logEnd{m.LogIndex, m.LogTerm}).reaches(seen.end) {
+		if m.Term < seen.term || !(logEnd{m.LogIndex, m.LogTerm}).upToDateWith(seen.end) {
 			return true
 		}
 	}
 	return false
 }
 
-// noteMark notes what a message shows of its sender's disk. Messages about a
-// coming term show nothing.
-func (c *Core) noteMark(m Message) {
-	if m.Kind == MessagePreVote || m.Kind == MessagePreVoteAnswer {
+// observeTerm records the term that a message shows to be on its sender's disk.
+// Pre-votes carry a term that has not begun and show nothing.
+func (c *Core) observeTerm(m Message) {
+	if m.Kind == MessagePreVote || m.Kind == MessagePreVoteResponse {
 		return
 	}
-	marks := c.marks[m.From]
-	position := len(marks) - 1
-	for position >= 0 && (marks[position].run != m.Run || marks[position].incarnation != m.FromIncarnation) {
+	observations := c.peerObservations[m.From]
+	position := len(observations) - 1
+	for position >= 0 && (observations[position].run != m.Run || observations[position].incarnation != m.FromIncarnation) {
 		position--
 	}
 	if position < 0 {
-		marks = append(marks, mark{incarnation: m.FromIncarnation, run: m.Run})
-		marks = marks[max(0, len(marks)-maxMarks):]
-		c.marks[m.From] = marks
-		position = len(marks) - 1
+		observations = append(observations, peerObservation{incarnation: m.FromIncarnation, run: m.Run})
+		observations = observations[max(0, len(observations)-maxPeerObservations):]
+		c.peerObservations[m.From] = observations
+		position = len(observations) - 1
 	}
-	marks[position].term = max(marks[position].term, m.Term)
+	observations[position].term = max(observations[position].term, m.Term)
 }
 
-// noteMarkEnd notes that a replica acknowledged the log up to index.
-func (c *Core) noteMarkEnd(m Message, index uint64) {
+// observeLogEnd records that a replica acknowledged the log up to index.
+func (c *Core) observeLogEnd(m Message, index uint64) {
 	term, ok := c.log.term(index)
-	marks := c.marks[m.From]
-	for position := range marks {
-		seen := &marks[position]
-		if ok && seen.run == m.Run && seen.incarnation == m.FromIncarnation && !seen.end.reaches(logEnd{index, term}) {
+	observations := c.peerObservations[m.From]
+	for position := range observations {
+		seen := &observations[position]
+		if ok && seen.run == m.Run && seen.incarnation == m.FromIncarnation && !seen.end.upToDateWith(logEnd{index, term}) {
 			seen.end = logEnd{index, term}
 		}
 	}
 }
 
-func (c *Core) stepRecoveryAnswer(m Message) error {
+func (c *Core) stepRecoveryResponse(m Message) error {
 	if !c.recovery.pending || m.Round != c.run {
 		return nil
 	}
 	if m.Refused {
-		return fmt.Errorf("%w: replica %d knows of more than term %d and entry %d", ErrOlderCopy, m.From, c.hard.Term, c.log.stable)
+		return fmt.Errorf("%w: replica %d has seen state beyond term %d and entry %d", ErrOlderCopy, m.From, c.hardState.Term, c.log.stable)
 	}
-	if m.Term > c.hard.Term {
+	if m.Term > c.hardState.Term {
 		c.adoptTerm(m.Term, 0)
 	}
-	answer := recoveryAnswer{end: logEnd{m.LogIndex, m.LogTerm}}
+	response := recoveryResponse{end: logEnd{m.LogIndex, m.LogTerm}}
 	if m.Commit > c.memberships[len(c.memberships)-1].index {
-		answer.membership = m.Membership
+		response.membership = m.Membership
 	}
-	c.recovery.answers[m.From] = answer
-	c.concludeRecovery()
+	c.recovery.responses[m.From] = response
+	c.maybeFinishRecovery()
 	return nil
 }
 
-// concludeRecovery ends the asking once all have answered.
-func (c *Core) concludeRecovery() {
+// maybeFinishRecovery ends the queries once all recovery peers have answered.
+func (c *Core) maybeFinishRecovery() {
 	if len(c.Membership().Members) == 0 {
 		return
 	}
-	for _, member := range c.recoveryMembers() {
-		if _, answered := c.recovery.answers[member.ID]; !answered {
+	for _, member := range c.recoveryPeers() {
+		if _, answered := c.recovery.responses[member.ID]; !answered {
 			return
 		}
 	}
 	c.recovery.pending = false
-	for _, answer := range c.recovery.answers {
-		if !c.recovery.floor.reaches(answer.end) {
-			c.recovery.floor = answer.end
+	for _, response := range c.recovery.responses {
+		if !c.recovery.requiredEnd.upToDateWith(response.end) {
+			c.recovery.requiredEnd = response.end
 		}
 	}
-	if len(c.recovery.answers) > 0 && c.hard.Vote == 0 {
-		// Durably no vote for anyone else in this term.
-		c.hard.Vote = c.config.ID
+	if len(c.recovery.responses) > 0 && c.hardState.Vote == 0 {
+		// Prevents a vote for any other candidate in this term, also after a
+		// restart.
+		c.hardState.Vote = c.config.ID
 	}
-	c.recovery.answers = nil
-	c.leaveFloor()
+	c.recovery.responses = nil
+	c.maybeClearRequiredEnd()
 	c.membershipChanged()
 }
 
-// leaveFloor forgets the floor once the own log reaches it.
-func (c *Core) leaveFloor() {
-	if c.recovery.pending || c.recovery.floor == (logEnd{}) || c.installing != nil {
+// maybeClearRequiredEnd clears the required log end once this replica's own log
+// is up to date with it.
+func (c *Core) maybeClearRequiredEnd() {
+	if c.recovery.pending || c.recovery.requiredEnd == (logEnd{}) || c.installing != nil {
 		return
 	}
-	if c.durableEnd().reaches(c.recovery.floor) {
-		c.recovery.floor = logEnd{}
+	if c.durableEnd().upToDateWith(c.recovery.requiredEnd) {
+		c.recovery.requiredEnd = logEnd{}
 		c.membershipChanged()
 	}
 }
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -8,56 +8,59 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// Status is a copy of what a replica knows of itself and its group.
+// Status is a snapshot of a replica's state and of what it knows about its
+// group.
 type Status struct {
 	ID          topology.ReplicaID
 	Incarnation topology.Incarnation
 	Role        Role
 	Term        uint64
-	// Unproven: the replica takes no part in elections until it knows that its
-	// disk lacks nothing that it acknowledged.
+	// Unproven is set while the replica takes no part in elections because its
+	// disk may lack something that it acknowledged.
 	Unproven bool
-	// Leader is zero where none is known.
+	// Leader is zero if none is known.
 	Leader    topology.ReplicaID
 	Commit    uint64
 	Applied   uint64
 	LastIndex uint64
-	// Durable is the last index synced here.
+	// Durable is the last index that is synced at this replica.
 	Durable uint64
-	// LeaseUntil is when the leader lease ends, on the clock given to Tick;
-	// zero at a replica without one. Whoever acts as the leader compares it
-	// with the time at the moment of acting.
+	// LeaseUntil is when the leader lease ends, on the clock passed to Tick;
+	// zero at a replica without one. Code that acts as the leader must compare
+	// it with the time at the moment of acting.
 	LeaseUntil time.Duration
-	// StartedAnew says, at a leader, that it was elected since all members had started anew.
+	// StartedAnew is set at a leader that won a cold-start election: all members
+	// had restarted and knew of no leader.
 	StartedAnew bool
-	// EarlierLeasesEnd is, at a leader, by when every leader lease of an earlier
-	// term has ended, on the same clock; it may be before its election or after.
+	// EarlierLeasesEnd is, at a leader, a time on the same clock by which every
+	// leader lease of an earlier term has ended. It may be before or after the
+	// leader's election.
 	EarlierLeasesEnd time.Duration
-	// LeaderHeardAt is when a leader was last heard, or the start.
+	// LeaderHeardAt is when a leader was last heard, or when the process started.
 	LeaderHeardAt time.Duration
 	Membership    Membership
-	// Peers is set at the leader.
+	// Peers is set only at the leader.
 	Peers []PeerStatus
 }
 
-// PeerStatus is what a leader knows of another member.
+// PeerStatus is what a leader knows about another member.
 type PeerStatus struct {
 	ID            topology.ReplicaID
 	Match         uint64
 	State         tracker.State
 	InflightBytes int
-	// HeardAt is when it last answered; zero is never in this term.
+	// HeardAt is when it last answered; zero if never in this term.
 	HeardAt time.Duration
 }
 
-// IsLeader reports whether the replica may act as the leader at a time on the
-// clock given to Tick.
+// IsLeader reports whether the replica may act as the leader at now, a time on
+// the clock passed to Tick.
 func (s Status) IsLeader(now time.Duration) bool {
 	return s.Role == Leader && now < s.LeaseUntil
 }
 
-// Successor returns the voter that lacks the least of the leader's log, to which
-// leadership is best given; zero is none.
+// Successor returns the voter with the most complete copy of the leader's log,
+// the best target for a leadership transfer; zero if there is none.
 func (s Status) Successor() topology.ReplicaID {
 	var best PeerStatus
 	for _, peer := range s.Peers {
@@ -74,7 +77,7 @@
 		ID:            c.config.ID,
 		Incarnation:   c.config.Incarnation,
 		Role:          c.role,
-		Term:          c.hard.Term,
+		Term:          c.hardState.Term,
 		Unproven:      !c.recovered(),
 		Leader:        c.leader,
 		Commit:        c.log.committed,
@@ -84,7 +87,7 @@
 		LeaseUntil:    c.leaseUntil(),
 		LeaderHeardAt: c.leaderHeardAt,
 
-		StartedAnew:      c.leading.startedAnew,
+		StartedAnew:      c.leading.coldStart,
 		EarlierLeasesEnd: c.earlierLeasesEnd,
 		Membership:       c.Membership(),
 	}
@@ -99,38 +102,39 @@
 	return status
 }
 
-// Membership returns the membership in force, which may not be committed yet.
+// Membership returns the membership in effect, which may not be committed yet.
 func (c *Core) Membership() Membership {
 	return c.memberships[len(c.memberships)-1].membership
 }
 
-// SnapshotMeta returns the meta data of a snapshot taken now, of all that is
-// applied. It holds between Advance and the next Ready, unless Installing.
+// SnapshotMeta returns the metadata of a snapshot taken now, which covers all
+// applied entries. It is valid between Advance and the next Ready, unless
+// Installing.
 func (c *Core) SnapshotMeta() SnapshotMeta {
 	index := c.log.applied
 	term, _ := c.log.term(index)
 	return SnapshotMeta{Index: index, Term: term, Membership: c.membershipAt(index)}
 }
 
-// Installing reports whether a received snapshot is not yet durable; the state
-// machine is then behind what Status says is applied.
+// Installing reports whether a received snapshot is not yet durable. The state
+// machine is then behind the Applied index of Status.
 func (c *Core) Installing() bool { return c.installing != nil }
 
-// Unapplied returns the entries that are in the log and not applied, committed or not, and
-// false where the log is not all that this replica may have acknowledged. The entries must
-// not be changed.
+// Unapplied returns the entries of the log that are not applied, committed or
+// not. It returns false if the log may lack entries that this replica has
+// acknowledged. The entries must not be modified.
 func (c *Core) Unapplied() ([]Entry, bool) {
 	if c.Installing() || !c.recovered() {
 		return nil, false
 	}
-	return c.log.from(c.log.applied+1, math.MaxInt), true
+	return c.log.entriesFrom(c.log.applied+1, math.MaxInt), true
 }
 
-// LastTerm is that of the last entry of the log.
+// LastTerm returns the term of the last entry of the log.
 func (c *Core) LastTerm() uint64 { return c.log.lastTerm() }
 
-// EntriesWithin counts the entries up to index, back from it, whose data fit a
-// number of bytes: what Compact may retain.
+// EntriesWithin returns how many entries, counted backward from index, have data
+// that fits a number of bytes; it gives the retain argument of Compact.
 func (c *Core) EntriesWithin(index uint64, bytes int) uint64 {
 	count := uint64(0)
 	for position := index; position > c.log.previousIndex && position <= c.log.lastIndex(); position-- {
@@ -156,7 +160,7 @@
 	return found
 }
 
-func (c *Core) noteMemberships(entries []Entry) error {
+func (c *Core) recordMemberships(entries []Entry) error {
 	for _, entry := range entries {
 		if entry.Kind != EntryMembership {
 			continue
@@ -176,17 +180,17 @@
 	}
 }
 
-// pruneMemberships drops those that the snapshot's replaces.
+// pruneMemberships drops the memberships that the snapshot's one supersedes.
 func (c *Core) pruneMemberships() {
 	for len(c.memberships) > 1 && c.memberships[1].index <= c.snapshot.Index {
 		c.memberships = c.memberships[1:]
 	}
 }
 
-// membershipChanged brings role and tracking in line with the membership in
-// force. A leader that is removed leads on until its removal is committed.
+// membershipChanged updates the role and the tracked peers to the membership in
+// effect. A leader that is removed keeps leading until its removal is committed.
 func (c *Core) membershipChanged() {
-	voter := c.recovered() && (c.votesIn(c.Membership()) || c.removalOpen())
+	voter := c.recovered() && (c.isVoterIn(c.Membership()) || c.removalUncommitted())
 	switch {
 	case c.role == Leader:
 		c.trackMembers()
@@ -197,20 +201,20 @@
 	}
 }
 
-func (c *Core) votesIn(membership Membership) bool {
+func (c *Core) isVoterIn(membership Membership) bool {
 	return membership.IsVoter(c.config.ID) && membership.Names(c.config.ID, c.config.Incarnation)
 }
 
-// removalOpen reports whether the newest membership, which is not known to be
-// committed, takes the vote of this replica away. It then still stands for
-// election, without a vote of its own, as it may be the only one to hold that
-// entry (Ongaro, section 4.2.2).
-func (c *Core) removalOpen() bool {
+// removalUncommitted reports whether the newest membership, which is not known
+// to be committed, takes away this replica's vote. The replica then still stands
+// for election, without a vote of its own, because it may be the only one to
+// hold that entry (Ongaro, section 4.2.2).
+func (c *Core) removalUncommitted() bool {
 	last := len(c.memberships) - 1
-	return last > 0 && c.memberships[last].index > c.log.committed && c.votesIn(c.memberships[last-1].membership)
+	return last > 0 && c.memberships[last].index > c.log.committed && c.isVoterIn(c.memberships[last-1].membership)
 }
 
-// trackMembers keeps a progress for each other member, and for no one else.
+// trackMembers keeps a Progress for each other member and for no other replica.
 func (c *Core) trackMembers() {
 	membership := c.Membership()
 	for _, member := range membership.Members {
--- a/internal/consensus/tracker/progress.go
+++ b/internal/consensus/tracker/progress.go
@@ -1,17 +1,17 @@
-// Package tracker follows, at a leader, how far each other replica's log is
-// known to match and what has been sent to it.
+// Package tracker records, at a leader, how far each other replica's log is known
+// to match and what has been sent to that replica.
 package tracker
 
 import "time"
 
-// State is how a leader sends entries to a replica.
+// State is the mode in which a leader sends entries to a replica.
 type State uint8
 
 // States of a Progress.
 const (
 	// Probe sends one Append at a time, until one is accepted.
 	Probe State = iota
-	// Replicate sends ahead, within the window.
+	// Replicate sends Appends without waiting for responses, within the window.
 	Replicate
 	// Snapshot waits for a snapshot to be installed.
 	Snapshot
@@ -22,48 +22,48 @@
 	return [...]string{"probe", "replicate", "snapshot"}[s]
 }
 
-// Window bounds what is sent ahead.
+// Window bounds the Appends that are sent and not yet acknowledged.
 type Window struct {
 	Appends int
 	Bytes   int
 }
 
-// Progress is what a leader knows of one replica.
+// Progress is what a leader knows about one replica's log.
 type Progress struct {
 	State State
 	// Match is the last index that the replica acknowledged as durable.
 	Match uint64
 	// Next is the index to send next.
 	Next uint64
-	// ProbeSent is set in Probe while an Append is not answered.
+	// ProbeSent is set in Probe while an Append is unanswered.
 	ProbeSent bool
-	// SnapshotIndex is that of the snapshot being sent, in Snapshot.
+	// SnapshotIndex is, in Snapshot, the index of the snapshot being sent.
 	SnapshotIndex uint64
 	// SnapshotSentAt is when the snapshot was last sent.
 	SnapshotSentAt time.Duration
 	// Round is the last heartbeat round that the replica answered.
 	Round uint64
-	// HeardAt is when the replica last answered; zero is never.
+	// HeardAt is when the replica last answered; zero if never.
 	HeardAt time.Duration
 
-	// probe is the Append of ProbeSent.
-	probe         sent
-	inflight      []sent
+	// probe is the Append to which ProbeSent refers.
+	probe         inflightAppend
+	inflight      []inflightAppend
 	inflightBytes int
 }
 
-type sent struct {
-	last  uint64
-	bytes int
-	round uint64
+type inflightAppend struct {
+	lastIndex uint64
+	bytes     int
+	round     uint64
 }
 
-// New returns the progress of a replica of which nothing is known.
+// New returns the progress of a replica about which nothing is known yet.
 func New(lastIndex uint64) *Progress {
 	return &Progress{Next: lastIndex + 1}
 }
 
-// Paused reports whether nothing may be sent for now.
+// Paused reports whether no Append may be sent for now.
 func (p *Progress) Paused(window Window) bool {
 	switch p.State {
 	case Probe:
@@ -74,23 +74,24 @@
 	return true
 }
 
-// Sent notes an Append of entries up to last, sent after a heartbeat round.
+// Sent records that an Append of entries up to last was sent after the given
+// heartbeat round.
 func (p *Progress) Sent(last uint64, bytes int, round uint64) {
 	switch p.State {
 	case Probe:
 		p.ProbeSent = true
-		p.probe = sent{last, bytes, round}
+		p.probe = inflightAppend{last, bytes, round}
 	case Replicate:
 		p.Next = last + 1
-		p.inflight = append(p.inflight, sent{last, bytes, round})
+		p.inflight = append(p.inflight, inflightAppend{last, bytes, round})
 		p.inflightBytes += bytes
 	}
 }
 
-// Acknowledged notes that the replica's log matches up to index. It returns
-// false where that was known.
+// Acknowledged records that the replica's log is durable and matches up to index.
+// It returns false if that was already known.
 func (p *Progress) Acknowledged(index uint64) bool {
-	p.release(index)
+	p.releaseInflight(index)
 	known := index <= p.Match
 	p.Match = max(p.Match, index)
 	p.Next = max(p.Next, index+1)
@@ -101,8 +102,8 @@
 	return !known
 }
 
-// Rejected notes a refusal of an Append that followed index; hint is where the
-// logs may still match. It returns false where the refusal is out of date.
+// Rejected records that an Append after index was refused; hint is the last index
+// at which the logs may match. It returns false if the refusal is stale.
 func (p *Progress) Rejected(index, hint uint64) bool {
 	if p.State == Replicate {
 		if index <= p.Match {
@@ -120,15 +121,16 @@
 	return true
 }
 
-// BeginSnapshot notes that a snapshot up to index is sent.
+// BeginSnapshot records that a snapshot up to index is being sent.
 func (p *Progress) BeginSnapshot(index uint64, now time.Duration) {
 	p.enter(Snapshot)
 	p.SnapshotIndex = index
 	p.SnapshotSentAt = now
 }
 
-// Unreachable notes that messages may have been lost.
-func (p *Progress) Unreachable() {
+// FallBackToProbe goes back from Replicate to Probe, because messages may have
+// been lost.
+func (p *Progress) FallBackToProbe() {
 	if p.State != Replicate {
 		return
 	}
@@ -136,29 +138,30 @@
 	p.Next = p.Match + 1
 }
 
-// Lost reports whether an Append was lost, or forgotten by a restart: the
-// replica answered a heartbeat that was sent after it, and does not know its
-// log to match up to the Append's last entry.
-func (p *Progress) Lost(answeredRound, matched uint64) bool {
-	return len(p.inflight) > 0 && p.inflight[0].round < answeredRound && matched < p.inflight[0].last
+// AppendLost reports whether the oldest Append in flight was lost, or forgotten
+// because the replica restarted: the replica answered a heartbeat that was sent
+// after that Append, and reports a match that is short of its last entry.
+func (p *Progress) AppendLost(answeredRound, matched uint64) bool {
+	return len(p.inflight) > 0 && p.inflight[0].round < answeredRound && matched < p.inflight[0].lastIndex
 }
 
-// AbandonSnapshot gives up waiting for a snapshot to be installed.
+// AbandonSnapshot stops waiting for a snapshot to be installed.
 func (p *Progress) AbandonSnapshot() {
 	p.enter(Probe)
 	p.Next = p.Match + 1
 }
 
-// RetryProbe allows the next Append of a Probe where the last one was lost:
-// the replica answered a heartbeat that was sent after it, and does not know
-// its log to match up to it. A slow disk alone is not waited on with copies.
+// RetryProbe allows the next Append in Probe if the last one was lost: the
+// replica answered a heartbeat that was sent after it, and reports a match that
+// is short of its last entry. A replica that is only slow to write is not sent
+// duplicates.
 func (p *Progress) RetryProbe(answeredRound, matched uint64) {
-	if p.probe.round < answeredRound && (matched < p.probe.last || p.probe.last == 0) {
+	if p.probe.round < answeredRound && (matched < p.probe.lastIndex || p.probe.lastIndex == 0) {
 		p.ProbeSent = false
 	}
 }
 
-// InflightBytes is what was sent and is not acknowledged.
+// InflightBytes returns the number of bytes sent and not yet acknowledged.
 func (p *Progress) InflightBytes() int { return p.inflightBytes }
 
 func (p *Progress) enter(state State) {
@@ -168,9 +171,9 @@
 	p.inflightBytes = 0
 }
 
-func (p *Progress) release(index uint64) {
+func (p *Progress) releaseInflight(index uint64) {
 	released := 0
-	for released < len(p.inflight) && p.inflight[released].last <= index {
+	for released < len(p.inflight) && p.inflight[released].lastIndex <= index {
 		p.inflightBytes -= p.inflight[released].bytes
 		released++
 	}
