--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -1,12 +1,12 @@
-// Package leadership tells when a controller may act as the leader of its
-// group: grant leases and propose batches. It is pure; the state chart is
-// leadership.chart.
+// Package leadership determines when a controller may act as the leader of its
+// group: grant leases and propose batches. It performs no I/O and has no clock;
+// its state chart is leadership.chart.
 //
-// A replica that was elected acts only after a command of its own term, the
-// announcement of its addresses, is applied: only then has it applied all that
-// earlier leaders had committed. And it acts only while it holds the leader
-// lease, which it asks for at the moment of acting: a process that was frozen
-// finds the lease ended when it wakes.
+// An elected replica acts only after a command of its own term, the announcement
+// of its addresses, is applied, since only then has it applied everything that
+// earlier leaders committed. It also acts only while it holds the leader lease,
+// which it checks at the moment of acting, so that a process that was paused
+// does not act on an expired lease.
 package leadership
 
 import (
@@ -35,7 +35,7 @@
 	eventDeposed
 )
 
-// Actions of leadership.chart; zero is none.
+// Actions of leadership.chart; zero means no action.
 const (
 	actionAnnounce statechart.Action = iota + 1
 	actionBegin
@@ -48,25 +48,27 @@
 	[]string{"announce", "begin", "end"},
 )
 
-// Leadership of one controller. The zero value follows. It is not safe for
-// concurrent use.
+// Leadership is the leadership state of one controller. The zero value is a
+// follower. It is not safe for concurrent use.
 type Leadership struct {
 	state statechart.State
 	term  uint64
 }
 
-// Duty is what a controller has to do at a tick.
-type Duty struct {
-	// StepDown ends what the leader alone may do, before anything else.
+// Actions lists what a controller must do after a tick.
+type Actions struct {
+	// StepDown means that the controller must stop all work of a leader, before
+	// anything else.
 	StepDown bool
-	// Announce proposes the announcement of the term and answers with
-	// Announced or Refused.
+	// Announce means that the controller must propose the announcement of the
+	// term, and report the outcome with Announced or Refused.
 	Announce bool
-	// Act says that the controller may act as the leader now.
+	// Act means that the controller may act as the leader now.
 	Act bool
 }
 
-// Term returns the term in which the controller leads, or zero.
+// Term returns the term in which the controller leads, or zero if it does not
+// lead.
 func (l *Leadership) Term() uint64 {
 	if l.state != stateLeading {
 		return 0
@@ -79,21 +81,21 @@
 	return l.state == stateLeading && l.term == status.Term && status.IsLeader(now)
 }
 
-// Tick follows the replica's status.
-func (l *Leadership) Tick(status *consensus.Status, now time.Duration) Duty {
-	var duty Duty
+// Tick updates the state from the replica's status.
+func (l *Leadership) Tick(status *consensus.Status, now time.Duration) Actions {
+	var actions Actions
 	if l.state != stateFollowing && (status.Role != consensus.Leader || status.Term != l.term) {
-		duty.StepDown = l.fire(eventDeposed) == actionEnd
+		actions.StepDown = l.fire(eventDeposed) == actionEnd
 	}
 	if l.state == stateFollowing && status.IsLeader(now) {
 		l.term = status.Term
-		duty.Announce = l.fire(eventElected) == actionAnnounce
+		actions.Announce = l.fire(eventElected) == actionAnnounce
 	}
-	duty.Act = l.Leads(status, now)
-	return duty
+	actions.Act = l.Leads(status, now)
+	return actions
 }
 
-// Announced says that the announcement of a term was applied. It reports
+// Announced records that the announcement of a term was applied. It reports
 // whether the controller's leadership begins with it.
 func (l *Leadership) Announced(status *consensus.Status, term uint64) bool {
 	if l.state != stateAnnouncing || l.term != term {
@@ -106,8 +108,8 @@
 	return l.fire(eventAnnounced) == actionBegin
 }
 
-// Refused says that the announcement of a term failed. The next tick tries
-// again if the replica still leads.
+// Refused records that the announcement of a term failed. The next tick retries
+// it if the replica still leads.
 func (l *Leadership) Refused(term uint64) {
 	if l.state == stateAnnouncing && l.term == term {
 		l.fire(eventRefused)
