--- a/internal/consensus/coldstart_test.go
+++ b/internal/consensus/coldstart_test.go
@@ -167,8 +167,8 @@
 	assert.Equal(t, s.core.Role(), PreCandidate, "it has one vote of three, and its own does not count")
 }
 
-// The leader may be a replica that is not in a membership that is not known to be
-// committed, or a learner that has become a voter.
+// The leader may be a replica that an uncommitted change removes, or a learner
+// that has become a voter, so the reports of the known voters prove nothing.
 func TestNoColdStartElectionWithLearnerOrUncommittedChange(t *testing.T) {
 	three := []Member{testMember(1), testMember(2), testMember(3)}
 	learner := testMember(4)
@@ -198,8 +198,9 @@
 	}
 }
 
-// A replica that has heard a leader is bound by its lease: it ignores a vote
-// request that is marked as Unled, and it refuses pre-votes.
+// A replica that has heard a leader since its start is bound by the leader's
+// lease: it ignores vote requests, even those marked as Unled, and its pre-vote
+// response tells that it is not leaderless.
 func TestReplicaThatHeardLeaderRefusesColdStartVote(t *testing.T) {
 	s := newHarness(t, Config{})
 	s.step(Message{Kind: MessageHeartbeat, Term: 1})
@@ -218,17 +219,17 @@
 // Of two replicas that run pre-vote rounds after a cold start, the one with the
 // higher ID yields, unless it has already sent vote requests.
 func TestColdStartPreVoteYieldsToLowerID(t *testing.T) {
-	ask := func(from topology.ReplicaID, term uint64) func(*Message) {
+	preVoteFrom := func(from topology.ReplicaID, term uint64) func(*Message) {
 		return func(m *Message) {
 			*m = Message{Kind: MessagePreVote, Group: m.Group, Term: term, Round: 5, From: from, FromIncarnation: testMember(from).Incarnation, To: m.To, ToIncarnation: m.ToIncarnation}
 		}
 	}
 	s, respond := newPreVoteHarness(t)
-	respond(2, ask(2, 1))
+	respond(2, preVoteFrom(2, 1))
 	respond(2, nil)
 	respond(3, nil)
 	assert.Equal(t, s.core.Role(), Candidate, "replica 1 does not yield to replica 2")
-	respond(2, ask(2, 2))
+	respond(2, preVoteFrom(2, 2))
 	s.core.Advance(s.core.Ready())
 	respond(3, func(m *Message) {
 		*m = Message{Kind: MessageVoteResponse, Group: m.Group, Term: 1, Run: 73, From: 3, FromIncarnation: m.FromIncarnation, To: m.To, ToIncarnation: m.ToIncarnation}
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -56,7 +56,8 @@
 }
 
 // upToDate reports whether a log whose last entry has the given index and term
-// is at least as up to date as this one (Ongaro, section 3.6.1).
+// is at least as up to date as this one, and so holds all entries that this one
+// may have committed (Ongaro, section 3.6.1).
 func (l *entryLog) upToDate(index, term uint64) bool {
 	return term > l.lastTerm() || (term == l.lastTerm() && index >= l.lastIndex())
 }
