--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -15,47 +15,49 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// attemptKind is what came of one attempt.
+// attemptKind classifies the result of one attempt.
 type attemptKind uint8
 
 const (
-	// attemptAnswered: an answer's header arrived.
+	// attemptAnswered: the header of a response arrived.
 	attemptAnswered attemptKind = iota + 1
-	// attemptRefused: the agent says that the request was not run.
-	attemptRefused
-	// attemptNotSent: no byte of the request left the router.
+	// attemptRejected: the request was not run, because the agent rejected it or
+	// the attempt ended before it got a connection.
+	attemptRejected
+	// attemptNotSent: no byte of the request was sent.
 	attemptNotSent
 	// attemptUnknown: the request may have run.
 	attemptUnknown
-	// attemptTimedOut: as attemptUnknown, because no answer came in time.
+	// attemptTimedOut: the request may have run; no response came in time.
 	attemptTimedOut
-	// attemptAbandoned: the caller went away; it says nothing of the peer.
+	// attemptAbandoned: the attempt ended for a reason that says nothing about
+	// the endpoint, for example because the caller disconnected.
 	attemptAbandoned
 )
 
-// attemptResult is what came of one attempt.
+// attemptResult is the result of one attempt.
 type attemptResult struct {
 	kind   attemptKind
 	target target
-	// response is set for attemptAnswered; its body is still to be read.
+	// response is set for attemptAnswered; its body has not been read yet.
 	response *http.Response
-	// refusal is what the caller is told if this was the last attempt; nil for
+	// errResp is sent to the caller if this was the last attempt; nil for
 	// attemptAnswered.
-	refusal *refusal
-	// end frees what the attempt holds. It is called after the body was read.
-	end func()
+	errResp *errorResponse
+	// release frees the resources of the attempt. For attemptAnswered it must be
+	// called after the body was read; otherwise it has been called already.
+	release func()
 }
 
-// attempt sends the request once, as soon as a connection to the peer is its
-// own.
-func (f *forwarding) attempt(to target) attemptResult {
+// attempt waits for a connection to the endpoint and sends the request once.
+func (f *forwarder) attempt(to target) attemptResult {
 	ctx, cancel := context.WithCancelCause(f.ctx)
-	stop := f.watch(to, cancel)
-	to.peer.running.Add(1)
-	slot, err := to.peer.gate.Acquire(ctx, f.slotRequest())
-	end := func() {
+	stopWatching := f.watchForCancellation(to, cancel)
+	to.endpoint.inFlight.Add(1)
+	slot, err := to.endpoint.gate.Acquire(ctx, f.slotRequest())
+	release := func() {
 		cancel(nil)
-		to.peer.running.Add(-1)
+		to.endpoint.inFlight.Add(-1)
 		if slot != nil {
 			slot.Release()
 		}
@@ -63,39 +65,40 @@
 	var result attemptResult
 	switch {
 	case err != nil:
-		result = f.judgeWaiting(context.Cause(ctx), err)
-		to.peer.refusedLocally(f.router.config.Clock(), result)
+		result = f.classifyGateError(context.Cause(ctx), err)
+		to.endpoint.recordGateError(f.router.config.Clock(), result)
 	case f.router.stale():
-		result = attemptResult{kind: attemptAbandoned, refusal: notRun(wire.ReasonStale, "the routing table became stale while the request waited")}
+		result = attemptResult{kind: attemptAbandoned, errResp: notRunError(wire.ReasonStale, "the routing table became stale while the request waited")}
 	default:
 		result = f.exchange(ctx, to)
 	}
-	stop()
+	stopWatching()
 	result.target = to
-	result.end = end
+	result.release = release
 	if result.kind != attemptAnswered {
-		end()
+		release()
 	}
 	return result
 }
 
-// exchange sends the request on a connection of the peer's pool.
-func (f *forwarding) exchange(ctx context.Context, to target) attemptResult {
+// exchange sends the request on a connection of the endpoint's pool and records
+// the result.
+func (f *forwarder) exchange(ctx context.Context, to target) attemptResult {
 	started := f.router.config.Clock()
-	response, err := to.peer.pool.Do(ctx, f.outgoing(to))
-	result := f.judge(ctx, response, err)
+	response, err := to.endpoint.pool.Do(ctx, f.agentRequest(to))
+	result := f.classifyExchange(ctx, response, err)
 	now := f.router.config.Clock()
-	to.peer.ended(now, now-started, kindForPeer(result), f.request.class)
+	to.endpoint.recordResult(now, now-started, kindForStatistics(result), f.request.class)
 	if result.kind == attemptNotSent {
-		to.peer.breaker.failed(now)
+		to.endpoint.breaker.recordFailure(now)
 	} else {
-		to.peer.breaker.succeeded()
+		to.endpoint.breaker.recordSuccess()
 	}
 	return result
 }
 
-// slotRequest is how the request queues for a connection to a peer.
-func (f *forwarding) slotRequest() admission.Request {
+// slotRequest returns the request's parameters in the queue for a connection.
+func (f *forwarder) slotRequest() admission.Request {
 	q := f.request
 	return admission.Request{
 		Service:  q.service.service.ID,
@@ -105,172 +108,178 @@
 	}
 }
 
-// judgeWaiting classifies an attempt that ended while it waited for a
-// connection: nothing was sent.
-func (f *forwarding) judgeWaiting(cause, err error) attemptResult {
-	var shed *admission.Refusal
+// classifyGateError classifies an attempt that ended while it waited for a
+// connection. Nothing was sent.
+func (f *forwarder) classifyGateError(cause, err error) attemptResult {
+	var gateRefusal *admission.Refusal
 	switch {
-	case errors.As(err, &shed) && shed.Reason == wire.ReasonExpired, errors.Is(cause, context.DeadlineExceeded):
-		return timedOut(false)
-	case errors.As(err, &shed):
-		told := notRun(shed.Reason, "too many requests wait for the back end")
-		told.retryAfter = shed.RetryAfter
-		return attemptResult{kind: attemptRefused, refusal: told}
+	case errors.As(err, &gateRefusal) && gateRefusal.Reason == wire.ReasonExpired, errors.Is(cause, context.DeadlineExceeded):
+		return deadlineExceeded(false)
+	case errors.As(err, &gateRefusal):
+		errResp := notRunError(gateRefusal.Reason, "too many requests wait for the back end")
+		errResp.retryAfter = gateRefusal.RetryAfter
+		return attemptResult{kind: attemptRejected, errResp: errResp}
 	case errors.Is(cause, errSuperseded):
-		return attemptResult{kind: attemptRefused, refusal: notRun(wire.ReasonWrongEpoch, "the shard got a new owner")}
+		return attemptResult{kind: attemptRejected, errResp: notRunError(wire.ReasonWrongEpoch, "the shard got a new owner")}
 	case errors.Is(cause, errAttemptTimeout):
-		return attemptResult{kind: attemptRefused, refusal: notRun(wire.ReasonShed, "the back end has no free connection")}
+		return attemptResult{kind: attemptRejected, errResp: notRunError(wire.ReasonShed, "the back end has no free connection")}
 	}
-	return callerLeft(false)
+	return callerDisconnected(false)
 }
 
-// kindForPeer is how an attempt counts for the choice of back ends: an answer
-// that reports the back end's own failure is a failure.
-func kindForPeer(result attemptResult) attemptKind {
+// kindForStatistics returns the kind under which an attempt is recorded for
+// load balancing: a 5xx response counts as a failure.
+func kindForStatistics(result attemptResult) attemptKind {
 	if result.kind == attemptAnswered && result.response.StatusCode >= http.StatusInternalServerError {
 		return attemptUnknown
 	}
 	return result.kind
 }
 
-// watch lets the attempt be ended from outside while it has no answer: when
-// the shard gets a new owner, or when another back end may be faster.
-func (f *forwarding) watch(to target, cancel context.CancelCauseFunc) (stop func()) {
+// watchForCancellation allows the attempt to be cancelled while it has no
+// response: a keyed one when its shard gets a new owner, another one after
+// Config.AttemptTimeout, so that another back end is tried.
+func (f *forwarder) watchForCancellation(to target, cancel context.CancelCauseFunc) (stop func()) {
 	if to.keyed {
 		pending := &pendingAttempt{
-			shard: to.shard, epoch: to.epoch, key: f.request.position, owner: to.peer.id, cancel: cancel,
+			shard: to.shard, epoch: to.epoch, key: f.request.keyHash, owner: to.endpoint.id, cancel: cancel,
 		}
-		to.peer.attempts.add(pending)
-		return func() { to.peer.attempts.remove(pending) }
+		to.endpoint.pending.add(pending)
+		return func() { to.endpoint.pending.remove(pending) }
 	}
-	if !f.mayHedge() {
+	if !f.mayCancelSlowAttempt() {
 		return func() {}
 	}
 	timer := time.AfterFunc(f.router.config.AttemptTimeout, func() {
 		if f.router.spendRetry(f.request.service.state) {
-			f.paid.Store(true)
+			f.retryPrepaid.Store(true)
 			cancel(errAttemptTimeout)
 		}
 	})
 	return func() { timer.Stop() }
 }
 
-// judge classifies the result of an exchange.
-func (f *forwarding) judge(ctx context.Context, response *http.Response, err error) attemptResult {
+// classifyExchange classifies the result of an exchange.
+func (f *forwarder) classifyExchange(ctx context.Context, response *http.Response, err error) attemptResult {
 	if err != nil {
-		return f.judgeError(context.Cause(ctx), err)
+		return f.classifyExchangeError(context.Cause(ctx), err)
 	}
 	outcome := wire.Outcome(response.Header.Get(wire.HeaderOutcome))
 	if outcome == wire.OutcomeAnswered {
 		return attemptResult{kind: attemptAnswered, response: response}
 	}
-	told := refusalOf(outcome, response)
-	discard(response)
-	if told.outcome == wire.OutcomeNotRun {
-		return attemptResult{kind: attemptRefused, refusal: told}
+	errResp := parseAgentError(outcome, response)
+	discardBody(response)
+	if errResp.outcome == wire.OutcomeNotRun {
+		return attemptResult{kind: attemptRejected, errResp: errResp}
 	}
-	return attemptResult{kind: attemptUnknown, refusal: told}
+	return attemptResult{kind: attemptUnknown, errResp: errResp}
 }
 
-// judgeError classifies an exchange without answer.
-func (f *forwarding) judgeError(cause, err error) attemptResult {
+// classifyExchangeError classifies an exchange that ended without a response.
+func (f *forwarder) classifyExchangeError(cause, err error) attemptResult {
 	sent := !errors.Is(err, upstream.ErrNotSent)
-	if bodyError := f.request.body.failure(); bodyError != nil {
-		told := refusalOfBody(bodyError)
+	if bodyErr := f.request.body.readError(); bodyErr != nil {
+		errResp := bodyReadError(bodyErr)
 		if sent {
-			told = unknown(told.reason, told.detail)
+			errResp = unknownOutcomeError(errResp.reason, errResp.detail)
 		}
-		return attemptResult{kind: attemptAbandoned, refusal: told}
+		return attemptResult{kind: attemptAbandoned, errResp: errResp}
 	}
 	switch {
 	case errors.Is(cause, context.DeadlineExceeded):
-		return timedOut(sent)
+		return deadlineExceeded(sent)
 	case errors.Is(cause, context.Canceled):
-		return callerLeft(sent)
+		return callerDisconnected(sent)
 	case !sent:
-		return attemptResult{kind: attemptNotSent, refusal: notRun(wire.ReasonUnreachable, "the back end's agent cannot be reached")}
+		return attemptResult{kind: attemptNotSent, errResp: notRunError(wire.ReasonUnreachable, "the back end's agent cannot be reached")}
 	case errors.Is(cause, errSuperseded):
 		f.router.metrics.superseded.Inc()
-		return attemptResult{kind: attemptTimedOut, refusal: unknown(wire.ReasonLeaseLost, "the shard got a new owner before the answer came")}
+		return attemptResult{kind: attemptTimedOut, errResp: unknownOutcomeError(wire.ReasonLeaseLost, "the shard got a new owner before the answer came")}
 	case errors.Is(cause, errAttemptTimeout):
-		return attemptResult{kind: attemptTimedOut, refusal: unknown(wire.ReasonTimedOut, "the back end took too long")}
+		return attemptResult{kind: attemptTimedOut, errResp: unknownOutcomeError(wire.ReasonTimedOut, "the back end took too long")}
 	}
-	return attemptResult{kind: attemptUnknown, refusal: unknown(wire.ReasonInterrupted, "the connection to the back end's agent broke")}
+	return attemptResult{kind: attemptUnknown, errResp: unknownOutcomeError(wire.ReasonInterrupted, "the connection to the back end's agent broke")}
 }
 
-// timedOut is the result at the request's deadline.
-func timedOut(sent bool) attemptResult {
+// deadlineExceeded returns the result of an attempt that ended at the request's
+// deadline.
+func deadlineExceeded(sent bool) attemptResult {
 	if sent {
-		return attemptResult{kind: attemptTimedOut, refusal: unknown(wire.ReasonTimedOut, "no answer within the deadline")}
+		return attemptResult{kind: attemptTimedOut, errResp: unknownOutcomeError(wire.ReasonTimedOut, "no answer within the deadline")}
 	}
-	return attemptResult{kind: attemptAbandoned, refusal: notRun(wire.ReasonExpired, "the deadline passed before the request was sent")}
+	return attemptResult{kind: attemptAbandoned, errResp: notRunError(wire.ReasonExpired, "the deadline passed before the request was sent")}
 }
 
-// callerLeft is the result when the caller went away.
-func callerLeft(sent bool) attemptResult {
-	told := notRun(wire.ReasonInterrupted, "the caller went away before the request was sent")
+// callerDisconnected returns the result of an attempt whose caller
+// disconnected.
+func callerDisconnected(sent bool) attemptResult {
+	errResp := notRunError(wire.ReasonInterrupted, "the caller went away before the request was sent")
 	if sent {
-		told = unknown(wire.ReasonInterrupted, "the caller went away")
+		errResp = unknownOutcomeError(wire.ReasonInterrupted, "the caller went away")
 	}
-	return attemptResult{kind: attemptAbandoned, refusal: told}
+	return attemptResult{kind: attemptAbandoned, errResp: errResp}
 }
 
-// failure is the error that ended the body early, or nil.
-func (b *requestBody) failure() error {
-	if b.rest == nil {
+// readError returns the error that ended the body early, or nil.
+func (b *requestBody) readError() error {
+	if b.unbuffered == nil {
 		return nil
 	}
-	return b.rest.failure()
+	return b.unbuffered.readError()
 }
 
-// refusalOf reads an agent's refusal. An answer without outcome proves nothing.
-func refusalOf(outcome wire.Outcome, response *http.Response) *refusal {
+// parseAgentError converts an agent's error response. Without a valid outcome
+// header, the request may have run.
+func parseAgentError(outcome wire.Outcome, response *http.Response) *errorResponse {
 	reason := wire.Reason(response.Header.Get(wire.HeaderReason))
 	if outcome != wire.OutcomeNotRun && outcome != wire.OutcomeUnknown {
-		return unknown(wire.ReasonInterrupted, "the back end's agent stated no outcome")
+		return unknownOutcomeError(wire.ReasonInterrupted, "the back end's agent stated no outcome")
 	}
-	told := &refusal{outcome: outcome, reason: reason, retryAfter: retryAfterOf(reason), detail: "refused by the back end's agent"}
+	errResp := &errorResponse{outcome: outcome, reason: reason, retryAfter: retryAfterFor(reason), detail: "refused by the back end's agent"}
 	if seconds, err := strconv.Atoi(response.Header.Get("Retry-After")); err == nil && seconds > 0 {
-		told.retryAfter = time.Duration(seconds) * time.Second
+		errResp.retryAfter = time.Duration(seconds) * time.Second
 	}
-	return told
+	return errResp
 }
 
-// maximumRefusalBytes is how much of a refusal's body is read to keep the
-// connection.
-const maximumRefusalBytes = 4 * kibibyte
+// maximumDiscardedBytes is how much of an unused response body is read so that
+// the connection can be reused.
+const maximumDiscardedBytes = 4 * kibibyte
 
-func discard(response *http.Response) {
-	_, _ = io.CopyN(io.Discard, response.Body, maximumRefusalBytes)
+// discardBody reads and closes the body of a response that is not relayed.
+func discardBody(response *http.Response) {
+	_, _ = io.CopyN(io.Discard, response.Body, maximumDiscardedBytes)
 	_ = response.Body.Close()
 }
 
-// outgoing makes the request for the agent.
-func (f *forwarding) outgoing(to target) *http.Request {
+// agentRequest builds the request to the agent.
+func (f *forwarder) agentRequest(to target) *http.Request {
 	incoming := f.request.incoming
-	made := &http.Request{
+	result := &http.Request{
 		Method:        incoming.Method,
-		URL:           outgoingURL(incoming.URL, to.peer.address),
+		URL:           agentURL(incoming.URL, to.endpoint.address),
 		Host:          incoming.Host,
-		Header:        f.outgoingHeader(to),
-		Body:          f.request.body.reader(),
+		Header:        f.agentHeader(to),
+		Body:          f.request.body.newReader(),
 		ContentLength: f.request.body.length,
 	}
-	if made.Body == http.NoBody {
-		made.ContentLength = 0
+	if result.Body == http.NoBody {
+		result.ContentLength = 0
 	}
-	return made
+	return result
 }
 
-// outgoingURL keeps path and query as the caller wrote them.
-func outgoingURL(incoming *url.URL, address string) *url.URL {
-	made := *incoming
-	made.Scheme = "http"
-	made.Host = address
-	return &made
+// agentURL returns the URL at the agent. Path and query stay as the caller sent
+// them.
+func agentURL(incoming *url.URL, address string) *url.URL {
+	result := *incoming
+	result.Scheme = "http"
+	result.Host = address
+	return &result
 }
 
-// isDeadline says that an error comes of a passed deadline.
-func isDeadline(err error) bool {
+// isDeadlineError reports whether an error means that a deadline passed.
+func isDeadlineError(err error) bool {
 	return errors.Is(err, context.DeadlineExceeded) || errors.Is(err, os.ErrDeadlineExceeded)
 }
--- a/internal/router/balance.go
+++ b/internal/router/balance.go
@@ -6,30 +6,31 @@
 	"time"
 )
 
-// nearTolerance is by how much a near back end may cost more than a far one
-// and still be preferred.
-const nearTolerance = 1.25
+// sameZoneTolerance is the factor by which a back end in the router's zone may
+// cost more than one elsewhere and still be preferred.
+const sameZoneTolerance = 1.25
 
-// drawLimit bounds the draws for back ends that were not tried yet.
-const drawLimit = 8
+// maximumDraws limits the random draws for a back end that was not tried yet.
+const maximumDraws = 8
 
-// chooseBalanced picks the better of two back ends drawn at random
+// chooseBalanced returns the cheaper of two randomly chosen candidates
 // (Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing",
-// 2001), by what this router itself saw of them. It avoids those already
-// tried, while there are others. Nil means that the service has none.
-func chooseBalanced(candidates []*peer, tried []*peer, now time.Duration) *peer {
+// 2001), by the latency that this router itself observed. It avoids those
+// already tried if it draws others. It returns nil if there are no candidates.
+func chooseBalanced(candidates []*endpoint, tried []*endpoint, now time.Duration) *endpoint {
 	if len(candidates) == 0 {
 		return nil
 	}
 	first := drawUntried(candidates, tried)
 	second := drawUntried(candidates, tried)
-	return cheaper(first, second, now)
+	return lowerCost(first, second, now)
 }
 
-// drawUntried draws a candidate that is not among tried, or any.
-func drawUntried(candidates, tried []*peer) *peer {
-	var drawn *peer
-	for range drawLimit {
+// drawUntried returns a random candidate that is not among tried, or any one
+// after maximumDraws draws.
+func drawUntried(candidates, tried []*endpoint) *endpoint {
+	var drawn *endpoint
+	for range maximumDraws {
 		drawn = candidates[rand.IntN(len(candidates))]
 		if !slices.Contains(tried, drawn) {
 			return drawn
@@ -38,17 +39,18 @@
 	return drawn
 }
 
-// cheaper returns the peer of less cost; a nearer one may cost a little more.
-func cheaper(a, b *peer, now time.Duration) *peer {
+// lowerCost returns the endpoint with the lower cost; one in the router's zone
+// may cost up to sameZoneTolerance times as much as one elsewhere.
+func lowerCost(a, b *endpoint, now time.Duration) *endpoint {
 	if a == b {
 		return a
 	}
 	costA, costB := a.cost(now), b.cost(now)
-	if a.near && !b.near {
-		costA /= nearTolerance
+	if a.sameZone && !b.sameZone {
+		costA /= sameZoneTolerance
 	}
-	if b.near && !a.near {
-		costB /= nearTolerance
+	if b.sameZone && !a.sameZone {
+		costB /= sameZoneTolerance
 	}
 	if costB < costA {
 		return b
--- a/internal/router/body.go
+++ b/internal/router/body.go
@@ -12,43 +12,45 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// requestBody is a request's body: what was read ahead and what still comes.
+// requestBody is a request body: a buffered part and, for a large body, a
+// stream of the rest.
 type requestBody struct {
-	// buffered is the whole body, or its beginning where rest is set.
-	buffered []byte
-	rest     *callerStream
-	// length is -1 where the caller did not state it.
+	// buffered is the whole body, or its beginning if unbuffered is set.
+	buffered   []byte
+	unbuffered *bodyStream
+	// length is -1 if the caller sent no Content-Length.
 	length int64
 }
 
-// readBody reads a body up to the configured size. Slow and oversized senders
-// are refused before anything was sent to a back end.
-func (r *Router) readBody(w http.ResponseWriter, incoming *http.Request) (*requestBody, *refusal) {
+// readBody reads up to BufferedBodyBytes of the body. Requests that are too
+// slow or too large fail before anything is sent to a back end.
+func (r *Router) readBody(w http.ResponseWriter, incoming *http.Request) (*requestBody, *errorResponse) {
 	if incoming.Body == nil || incoming.Body == http.NoBody || incoming.ContentLength == 0 {
 		return &requestBody{}, nil
 	}
 	if incoming.ContentLength > r.config.MaximumBodyBytes {
-		return nil, notRun(wire.ReasonTooLarge, "the request body is larger than allowed")
+		return nil, notRunError(wire.ReasonTooLarge, "the request body is larger than allowed")
 	}
 	controller := http.NewResponseController(w)
 	if err := controller.SetReadDeadline(time.Now().Add(r.config.BufferedBodyTimeout)); err != nil {
-		return nil, notRun(wire.ReasonInvalid, "the connection takes no read deadline")
+		return nil, notRunError(wire.ReasonInvalid, "the connection takes no read deadline")
 	}
 	limited := http.MaxBytesReader(w, incoming.Body, r.config.MaximumBodyBytes)
-	buffered, whole, err := readUpTo(limited, r.config.BufferedBodyBytes, incoming.ContentLength)
+	buffered, complete, err := readUpTo(limited, r.config.BufferedBodyBytes, incoming.ContentLength)
 	if err != nil {
-		return nil, refusalOfBody(err)
+		return nil, bodyReadError(err)
 	}
-	if whole {
+	if complete {
 		_ = controller.SetReadDeadline(time.Time{})
 		return &requestBody{buffered: buffered, length: int64(len(buffered))}, nil
 	}
-	stream := &callerStream{source: limited, controller: controller, stallTimeout: r.config.StallTimeout}
-	return &requestBody{buffered: buffered, rest: stream, length: incoming.ContentLength}, nil
+	stream := &bodyStream{source: limited, controller: controller, stallTimeout: r.config.StallTimeout}
+	return &requestBody{buffered: buffered, unbuffered: stream, length: incoming.ContentLength}, nil
 }
 
-// readUpTo reads at most limit bytes and says whether the source ended.
-func readUpTo(source io.Reader, limit int, length int64) (content []byte, whole bool, err error) {
+// readUpTo reads at most limit+1 bytes, to detect whether the source ends
+// within the limit. The length is that of the source, or -1.
+func readUpTo(source io.Reader, limit int, length int64) (content []byte, complete bool, err error) {
 	size := limit
 	if length >= 0 && length < int64(limit) {
 		size = int(length)
@@ -65,126 +67,129 @@
 	return buffer.Bytes(), count <= int64(limit), nil
 }
 
-// refusalOfBody says why a body could not be read. The back end has seen
-// nothing of the request.
-func refusalOfBody(err error) *refusal {
+// bodyReadError returns the error response for a failure to read the body, if
+// nothing of the request has been sent to a back end.
+func bodyReadError(err error) *errorResponse {
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return notRun(wire.ReasonTooLarge, "the request body is larger than allowed")
+		return notRunError(wire.ReasonTooLarge, "the request body is larger than allowed")
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return notRun(wire.ReasonSlowSender, "the request body came too slowly")
+		return notRunError(wire.ReasonSlowSender, "the request body came too slowly")
 	}
-	return notRun(wire.ReasonInvalid, "the request body broke off")
+	return notRunError(wire.ReasonInvalid, "the request body broke off")
 }
 
-// replayable says that the body can be sent another time.
-func (b *requestBody) replayable() bool { return b.rest == nil || !b.rest.started() }
+// replayable reports whether the body can be sent again.
+func (b *requestBody) replayable() bool { return b.unbuffered == nil || !b.unbuffered.hasStarted() }
 
-// reader gives the body for one attempt.
-func (b *requestBody) reader() io.ReadCloser {
-	if b.rest == nil {
+// newReader returns the body for one attempt.
+func (b *requestBody) newReader() io.ReadCloser {
+	if b.unbuffered == nil {
 		if len(b.buffered) == 0 {
 			return http.NoBody
 		}
 		return io.NopCloser(bytes.NewReader(b.buffered))
 	}
-	return io.NopCloser(io.MultiReader(bytes.NewReader(b.buffered), b.rest))
+	return io.NopCloser(io.MultiReader(bytes.NewReader(b.buffered), b.unbuffered))
 }
 
-// close ends a read in progress and forbids further ones. It must be called
-// before the handler returns.
+// close interrupts a read in progress and prevents further reads. It must be
+// called before the handler returns.
 func (b *requestBody) close() {
-	if b.rest != nil {
-		b.rest.close()
+	if b.unbuffered != nil {
+		b.unbuffered.close()
 	}
 }
 
-// callerStream reads the part of a body that was not read ahead. It may be
-// read from another goroutine than the handler's.
-type callerStream struct {
+// bodyStream reads the part of a body that was not buffered. It may be read by
+// a goroutine other than the handler's.
+type bodyStream struct {
 	source       io.Reader
 	controller   *http.ResponseController
 	stallTimeout time.Duration
 
-	// reading is held during a read; state guards the fields below it.
-	reading sync.Mutex
-	state   sync.Mutex
-	begun   bool
-	ended   bool
-	closed  bool
-	failed  error
+	// readMutex is held during a read; stateMutex guards the fields below it.
+	readMutex  sync.Mutex
+	stateMutex sync.Mutex
+	started    bool
+	reachedEnd bool
+	closed     bool
+	readErr    error
 }
 
-// Read implements io.Reader. A caller that sends nothing for the stall timeout
-// ends it.
-func (s *callerStream) Read(buffer []byte) (int, error) {
-	s.reading.Lock()
-	defer s.reading.Unlock()
-	if !s.begin() {
+// Read implements io.Reader. It fails if the caller sends nothing for the stall
+// timeout.
+func (s *bodyStream) Read(buffer []byte) (int, error) {
+	s.readMutex.Lock()
+	defer s.readMutex.Unlock()
+	if !s.beginRead() {
 		return 0, http.ErrBodyReadAfterClose
 	}
 	count, err := s.source.Read(buffer)
 	if err != nil {
-		s.end(err)
+		s.recordEnd(err)
 	}
 	return count, err
 }
 
-func (s *callerStream) begin() bool {
-	s.state.Lock()
-	defer s.state.Unlock()
+// beginRead prepares a read. It returns false if the stream was closed.
+func (s *bodyStream) beginRead() bool {
+	s.stateMutex.Lock()
+	defer s.stateMutex.Unlock()
 	if s.closed {
 		return false
 	}
-	s.begun = true
+	s.started = true
 	_ = s.controller.SetReadDeadline(time.Now().Add(s.stallTimeout))
 	return true
 }
 
-// end keeps how the body ended.
-func (s *callerStream) end(err error) {
-	s.state.Lock()
-	defer s.state.Unlock()
+// recordEnd records the end of the body or the error that ended it.
+func (s *bodyStream) recordEnd(err error) {
+	s.stateMutex.Lock()
+	defer s.stateMutex.Unlock()
 	if errors.Is(err, io.EOF) {
-		s.ended = true
+		s.reachedEnd = true
 		return
 	}
-	s.failed = err
+	s.readErr = err
 }
 
-// failure is the error that ended the stream, or nil.
-func (s *callerStream) failure() error {
-	s.state.Lock()
-	defer s.state.Unlock()
-	return s.failed
+// readError returns the error that ended the stream, or nil.
+func (s *bodyStream) readError() error {
+	s.stateMutex.Lock()
+	defer s.stateMutex.Unlock()
+	return s.readErr
 }
 
-func (s *callerStream) started() bool {
-	s.state.Lock()
-	defer s.state.Unlock()
-	return s.begun
+// hasStarted reports whether a read of the stream was begun.
+func (s *bodyStream) hasStarted() bool {
+	s.stateMutex.Lock()
+	defer s.stateMutex.Unlock()
+	return s.started
 }
 
-// close interrupts a read in progress and waits for its end.
-func (s *callerStream) close() {
-	if !s.interrupt() {
+// close interrupts a read in progress and waits until it returns.
+func (s *bodyStream) close() {
+	if !s.interruptRead() {
 		return
 	}
-	s.reading.Lock()
-	defer s.reading.Unlock()
-	// The server may still read what the caller sends of this body.
+	s.readMutex.Lock()
+	defer s.readMutex.Unlock()
+	// The server may still read the remainder of this body.
 	_ = s.controller.SetReadDeadline(time.Now().Add(s.stallTimeout))
 }
 
-// interrupt returns false where the whole body was read. Then the server watches
-// the connection for the caller's going away, and would take a deadline that
-// passes for that, with all later requests on the connection.
-func (s *callerStream) interrupt() bool {
-	s.state.Lock()
-	defer s.state.Unlock()
+// interruptRead closes the stream and makes a read in progress fail by setting
+// a read deadline. If the whole body was read, it sets none and returns false:
+// the server then watches the connection for a disconnect, would mistake the
+// passed deadline for one and cancel all later requests on the connection.
+func (s *bodyStream) interruptRead() bool {
+	s.stateMutex.Lock()
+	defer s.stateMutex.Unlock()
 	s.closed = true
-	if s.ended {
+	if s.reachedEnd {
 		return false
 	}
 	_ = s.controller.SetReadDeadline(time.Now())
--- a/internal/router/breaker.go
+++ b/internal/router/breaker.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// probeInterval is how often one request may try a peer that could not be
-// reached.
+// probeInterval is the time between the requests that may try an unreachable
+// endpoint.
 const probeInterval = 50 * time.Millisecond
 
-// breaker keeps requests from a peer that could not be reached (a circuit
-// breaker, Nygard, "Release It!", 2007). While it is open, one request each
-// probeInterval tries; the first answer closes it and wakes those that wait.
+// breaker is a circuit breaker (Nygard, "Release It!", 2007) for an endpoint.
+// It opens when no connection can be made. While it is open, one request per
+// probeInterval may try; the first success closes the breaker and wakes the
+// requests that wait.
 type breaker struct {
 	mutex     sync.Mutex
 	open      bool
@@ -19,7 +20,7 @@
 	reachable chan struct{}
 }
 
-// allow says whether a request may try the peer at now.
+// allow reports whether a request may try the endpoint at now.
 func (b *breaker) allow(now time.Duration) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -33,8 +34,8 @@
 	return true
 }
 
-// failed says that no connection could be made.
-func (b *breaker) failed(now time.Duration) {
+// recordFailure opens the breaker after a failure to connect.
+func (b *breaker) recordFailure(now time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if b.open {
@@ -45,8 +46,9 @@
 	b.reachable = make(chan struct{})
 }
 
-// succeeded says that the peer answered.
-func (b *breaker) succeeded() {
+// recordSuccess closes the breaker. It is called after every attempt that did
+// not fail to connect.
+func (b *breaker) recordSuccess() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if !b.open {
@@ -56,9 +58,9 @@
 	close(b.reachable)
 }
 
-// whenReachable is closed at the first answer; nil while the breaker is
-// closed.
-func (b *breaker) whenReachable() <-chan struct{} {
+// reachableAgain returns a channel that is closed when the breaker closes, or
+// nil if it is closed already.
+func (b *breaker) reachableAgain() <-chan struct{} {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if !b.open {
--- a/internal/router/classify.go
+++ b/internal/router/classify.go
@@ -14,25 +14,26 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// headerIdempotencyKey is taken where a caller sends no HeaderRequestID.
+// headerIdempotencyKey provides the request id if a caller sends no
+// wire.HeaderRequestID.
 const headerIdempotencyKey = "Idempotency-Key"
 
-// maximumNameBytes bounds a caller's name and a request id.
+// maximumNameBytes limits the length of a caller's name and of a request id.
 const maximumNameBytes = 128
 
-// request is what the router found out about a caller's request.
+// request is a classified request of a caller.
 type request struct {
 	incoming *http.Request
 	service  *serviceView
-	// keyed requests go to the owner of position.
-	keyed    bool
-	position topology.KeyHash
-	class    topology.RequestClass
-	// nonRepeatable requests run at most once and are sent again only with
+	// keyed requests go to the owner of keyHash.
+	keyed   bool
+	keyHash topology.KeyHash
+	class   topology.RequestClass
+	// nonRepeatable requests must run at most once. They are retried only with
 	// proof that they did not run.
 	nonRepeatable bool
-	// resendable requests may be sent again without such proof.
-	resendable bool
+	// idempotent requests may be retried without such proof.
+	idempotent bool
 	id         string
 	caller     string
 	arrived    time.Time
@@ -40,44 +41,45 @@
 	body       *requestBody
 }
 
-// classify finds service, rule, key, class and deadline of a request.
-func (r *Router) classify(v *view, incoming *http.Request, now time.Time) (*request, *refusal) {
+// classify determines service, rule, key, class and deadline of a request.
+func (r *Router) classify(v *view, incoming *http.Request, now time.Time) (*request, *errorResponse) {
 	name, rest := splitServicePath(incoming.URL.Path)
 	service, known := v.services[name]
 	if !known {
-		return nil, notRun(wire.ReasonNotFound, "no service has this path")
+		return nil, notRunError(wire.ReasonNotFound, "no service has this path")
 	}
-	classified := &request{
+	q := &request{
 		incoming: incoming,
 		service:  service,
 		class:    topology.ClassLookup,
-		id:       requestIDOf(incoming.Header),
-		caller:   callerOf(incoming),
+		id:       requestIDFrom(incoming.Header),
+		caller:   callerName(incoming),
 		arrived:  now,
 	}
 	rule := matchRule(service.service.Rules, incoming.Method, rest)
-	if found := classified.applyRule(rule, rest); found != nil {
-		return nil, found
+	if errResp := q.applyRule(rule, rest); errResp != nil {
+		return nil, errResp
 	}
-	if found := classified.applyMark(); found != nil {
-		return nil, found
+	if errResp := q.applyNonRepeatableHeader(); errResp != nil {
+		return nil, errResp
 	}
-	if classified.nonRepeatable && httpserver.MayRunBeside(incoming) {
-		return nil, notRun(wire.ReasonStale, "the service's rule changed while the request was read")
+	if q.nonRepeatable && httpserver.MayRunBeside(incoming) {
+		return nil, notRunError(wire.ReasonStale, "the service's rule changed while the request was read")
 	}
-	classified.resendable = !classified.nonRepeatable && (rule != nil || idempotent(incoming.Method))
-	if found := r.applyDeadline(classified, rule); found != nil {
-		return nil, found
+	q.idempotent = !q.nonRepeatable && (rule != nil || isIdempotentMethod(incoming.Method))
+	if errResp := r.applyDeadline(q, rule); errResp != nil {
+		return nil, errResp
 	}
-	return classified, nil
+	return q, nil
 }
 
-// mayRunBeside says whether a request may be in progress beside others of its
-// connection: nothing marks it as one that runs at most once. Its method is safe.
-func (r *Router) mayRunBeside(incoming *http.Request) bool {
+// mayRunConcurrently reports whether a pipelined request may run concurrently
+// with others of its connection, that is, whether neither a rule nor its header
+// makes it non-repeatable. The server calls it only for safe methods.
+func (r *Router) mayRunConcurrently(incoming *http.Request) bool {
 	v := r.view.Load()
 	if v == nil {
-		return true // nothing is routed yet
+		return true // no routing table yet: serve rejects the request
 	}
 	name, rest := splitServicePath(incoming.URL.Path)
 	if service, known := v.services[name]; known {
@@ -85,12 +87,11 @@
 			return false
 		}
 	}
-	mark := incoming.Header.Get(wire.HeaderNonRepeatable)
-	return mark == "" || mark == "false"
+	flag := incoming.Header.Get(wire.HeaderNonRepeatable)
+	return flag == "" || flag == "false"
 }
 
-// splitServicePath divides "/service/rest" into the service's name and
-// "/rest".
+// splitServicePath splits "/service/rest" into the service name and "/rest".
 func splitServicePath(path string) (name, rest string) {
 	path = strings.TrimPrefix(path, "/")
 	end := strings.IndexByte(path, '/')
@@ -100,7 +101,7 @@
 	return path[:end], path[end:]
 }
 
-// matchRule returns the first rule that matches, or nil.
+// matchRule returns the first matching rule, or nil.
 func matchRule(rules []topology.RequestRule, method, rest string) *topology.RequestRule {
 	for i := range rules {
 		rule := &rules[i]
@@ -114,8 +115,8 @@
 	return nil
 }
 
-// applyRule takes key, class and mark from a rule.
-func (q *request) applyRule(rule *topology.RequestRule, rest string) *refusal {
+// applyRule applies a rule's class, key and non-repeatable flag to the request.
+func (q *request) applyRule(rule *topology.RequestRule, rest string) *errorResponse {
 	if rule == nil {
 		return nil
 	}
@@ -126,17 +127,17 @@
 	if rule.Key == (topology.KeySource{}) {
 		return nil
 	}
-	key := keyOf(q.incoming, rule.Key, rest)
+	key := requestKey(q.incoming, rule.Key, rest)
 	if key == "" {
-		return notRun(wire.ReasonInvalid, "the request has no key where the service's rule expects it")
+		return notRunError(wire.ReasonInvalid, "the request has no key where the service's rule expects it")
 	}
 	q.keyed = true
-	q.position = topology.HashKey(key)
+	q.keyHash = topology.HashKey(key)
 	return nil
 }
 
-// keyOf finds a request's key; empty is none.
-func keyOf(incoming *http.Request, source topology.KeySource, rest string) string {
+// requestKey extracts the key of a request; it returns "" if there is none.
+func requestKey(incoming *http.Request, source topology.KeySource, rest string) string {
 	switch source.Kind {
 	case topology.KeyFromPathSegment:
 		return pathSegment(rest, int(source.Index))
@@ -148,7 +149,8 @@
 	return ""
 }
 
-// pathSegment returns a segment of "/a/b/c", counted from 0, or "".
+// pathSegment returns the segment of "/a/b/c" with the given index, from 0, or
+// "".
 func pathSegment(rest string, index int) string {
 	rest = strings.TrimPrefix(rest, "/")
 	for ; index > 0; index-- {
@@ -162,45 +164,47 @@
 	return segment
 }
 
-// applyMark takes the caller's own mark, which can only make a request
-// non-repeatable, and checks the id that such a request needs. Without a key
-// the id takes its place, so that resends reach the same record of ids.
-func (q *request) applyMark() *refusal {
-	mark := q.incoming.Header.Get(wire.HeaderNonRepeatable)
-	switch mark {
+// applyNonRepeatableHeader applies the caller's own header, which can make a
+// request non-repeatable but cannot override a rule, and validates the id that
+// a non-repeatable request needs. A non-repeatable request without a key is
+// keyed by its id, so that all requests with this id reach the same shard's
+// record of ids.
+func (q *request) applyNonRepeatableHeader() *errorResponse {
+	flag := q.incoming.Header.Get(wire.HeaderNonRepeatable)
+	switch flag {
 	case "", "false":
 	case "true":
 		q.nonRepeatable = true
 	default:
-		return notRun(wire.ReasonInvalid, wire.HeaderNonRepeatable+` must be "true" or "false"`)
+		return notRunError(wire.ReasonInvalid, wire.HeaderNonRepeatable+` must be "true" or "false"`)
 	}
 	if len(q.id) > maximumNameBytes {
-		return notRun(wire.ReasonInvalid, "the request id is too long")
+		return notRunError(wire.ReasonInvalid, "the request id is too long")
 	}
 	if !q.nonRepeatable {
 		return nil
 	}
 	if _, err := requestid.Parse(q.id); err != nil {
-		return notRun(wire.ReasonInvalid, "a non-repeatable request needs "+wire.HeaderRequestID+": "+err.Error())
+		return notRunError(wire.ReasonInvalid, "a non-repeatable request needs "+wire.HeaderRequestID+": "+err.Error())
 	}
 	if !q.keyed {
 		q.keyed = true
-		q.position = topology.HashKey(strings.ToLower(q.id))
+		q.keyHash = topology.HashKey(strings.ToLower(q.id))
 	}
 	return nil
 }
 
-// applyDeadline takes the earlier of what the caller asks and what the rule
-// allows.
-func (r *Router) applyDeadline(q *request, rule *topology.RequestRule) *refusal {
+// applyDeadline sets the deadline from the caller's header, else from the rule,
+// else from DefaultTimeout, limited by MaximumTimeout.
+func (r *Router) applyDeadline(q *request, rule *topology.RequestRule) *errorResponse {
 	timeout := r.config.DefaultTimeout
 	if rule != nil && rule.Timeout > 0 {
 		timeout = rule.Timeout
 	}
-	if stated := q.incoming.Header.Get(wire.HeaderDeadline); stated != "" {
-		milliseconds, err := strconv.ParseInt(stated, 10, 32)
+	if requested := q.incoming.Header.Get(wire.HeaderDeadline); requested != "" {
+		milliseconds, err := strconv.ParseInt(requested, 10, 32)
 		if err != nil || milliseconds <= 0 {
-			return notRun(wire.ReasonInvalid, wire.HeaderDeadline+" must be a positive number of milliseconds")
+			return notRunError(wire.ReasonInvalid, wire.HeaderDeadline+" must be a positive number of milliseconds")
 		}
 		timeout = time.Duration(milliseconds) * time.Millisecond
 	}
@@ -208,8 +212,8 @@
 	return nil
 }
 
-// idempotent says whether a method may be sent again by RFC 9110, 9.2.2.
-func idempotent(method string) bool {
+// isIdempotentMethod reports whether a method is idempotent (RFC 9110, 9.2.2).
+func isIdempotentMethod(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPut, http.MethodDelete, http.MethodTrace:
 		return true
@@ -217,15 +221,17 @@
 	return false
 }
 
-func requestIDOf(header http.Header) string {
+// requestIDFrom returns the request id in the header, or "".
+func requestIDFrom(header http.Header) string {
 	if id := header.Get(wire.HeaderRequestID); id != "" {
 		return id
 	}
 	return header.Get(headerIdempotencyKey)
 }
 
-// callerOf names the caller for fair queueing: its own word, or its address.
-func callerOf(incoming *http.Request) string {
+// callerName identifies the caller for fair queueing, by wire.HeaderCaller or
+// else by its address.
+func callerName(incoming *http.Request) string {
 	if name := incoming.Header.Get(wire.HeaderCaller); name != "" {
 		return name[:min(len(name), maximumNameBytes)]
 	}
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -16,116 +16,126 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// Source keeps the routing table fresh; subscription.Client is one.
+// Source delivers routing tables and tracks how recent they are. It is
+// implemented by subscription.Client.
 type Source interface {
-	// Freshness is how long ago at now, a reading of Config.Clock, the table
-	// was proved to be the newest.
+	// Freshness returns the time since the table was last confirmed to be the
+	// newest; now is a reading of Config.Clock.
 	Freshness(now time.Duration) time.Duration
 	// Send queues a message to a controller; it may be lost.
 	Send(wire.ToController) error
+	// Stop ends the delivery of tables.
 	Stop()
 }
 
-// Config of a router. Fields at zero take the defaults named beside them.
+// Config configures a router. Zero fields take the defaults given in their
+// comments.
 type Config struct {
-	// Name of the process in logs and towards controllers.
+	// Name identifies the process in logs and to controllers.
 	Name string
-	// Group of controllers that the router follows.
+	// Group is the group of controllers that the router subscribes to.
 	Group topology.GroupID
-	// Location of the process; nearer back ends are preferred.
+	// Location of the process; back ends in the same zone are preferred.
 	Location topology.Location
 
-	// Listen is where callers connect, "IP:port".
+	// Listen is the address for callers' connections, "IP:port".
 	Listen string
-	// Listener, if set, is used in place of Listen.
+	// Listener, if set, is used instead of Listen.
 	Listener httpserver.Listener
-	// CallerTLS serves callers over TLS; nil is plain HTTP.
+	// CallerTLS enables TLS for callers; nil means plain HTTP.
 	CallerTLS *tls.Config
-	// AgentTLS is used towards agents; nil is plain HTTP.
+	// AgentTLS is used for connections to agents; nil means plain HTTP.
 	AgentTLS *tls.Config
-	// ControllerTLS is used towards controllers; nil is plain TCP.
+	// ControllerTLS is used for sessions with controllers; nil means plain TCP.
 	ControllerTLS *tls.Config
-	// Controllers lists session addresses, "IP:port".
+	// Controllers lists the controllers' session addresses, "IP:port".
 	Controllers []string
 
-	// DefaultTimeout is the deadline of a request whose caller states none and
-	// whose rule states none. Default 10 s.
+	// DefaultTimeout applies to requests for which neither the caller nor the
+	// rule specifies a timeout. Default 10 s.
 	DefaultTimeout time.Duration
-	// MaximumTimeout bounds every deadline. Default 1 h.
+	// MaximumTimeout limits the timeout of every request. Default 1 h.
 	MaximumTimeout time.Duration
-	// HeaderTimeout is the longest time for a whole header. Default 5 s.
+	// HeaderTimeout limits the time for reading a request header. Default 5 s.
 	HeaderTimeout time.Duration
-	// StallTimeout cuts off a caller that neither sends nor takes a byte for
-	// so long. Default 30 s.
+	// StallTimeout is the time after which a caller that neither sends nor
+	// accepts a byte is disconnected. Default 30 s.
 	StallTimeout time.Duration
-	// PipelinedRequests is how many requests of one connection may be in
-	// progress. Default httpserver.DefaultPipelinedRequests.
+	// PipelinedRequests is the maximum number of requests of one connection
+	// that are in progress at a time. Default
+	// httpserver.DefaultPipelinedRequests.
 	PipelinedRequests int
-	// BufferedBodyTimeout is the longest time for the first
+	// BufferedBodyTimeout limits the time for reading the first
 	// BufferedBodyBytes of a request body, or all of a shorter one. Default 5 s.
 	BufferedBodyTimeout time.Duration
-	// IdleTimeout closes callers' connections that carry no request. Default
-	// 2 min.
+	// IdleTimeout is the time after which a caller's idle connection is closed.
+	// Default 2 min.
 	IdleTimeout time.Duration
-	// MaximumHeaderBytes bounds a request header. Default 16 KiB.
+	// MaximumHeaderBytes limits the size of a request header. Default 16 KiB.
 	MaximumHeaderBytes int
-	// MaximumBodyBytes bounds a request body. Default 8 MiB.
+	// MaximumBodyBytes limits the size of a request body. Default 8 MiB.
 	MaximumBodyBytes int64
 	// BufferedBodyBytes is how much of a request body is read before anything
-	// is sent; larger requests cannot be sent again. Default 64 KiB.
+	// is sent; a larger body is streamed and cannot be sent again. Default
+	// 64 KiB.
 	BufferedBodyBytes int
-	// BufferedAnswerBytes is the largest answer that is verified whole before
-	// its first byte is passed on; larger ones are streamed. Default 64 KiB.
-	BufferedAnswerBytes int
-	// MaximumConnections from callers; further ones wait in the kernel's
-	// backlog, so that it should be above MaximumInFlight. Default 8192.
+	// BufferedResponseBytes is the size up to which a response is read and
+	// verified completely before its first byte is relayed; larger ones are
+	// streamed. Default 64 KiB.
+	BufferedResponseBytes int
+	// MaximumConnections limits the open connections from callers. Further ones
+	// wait in the kernel's backlog, so the limit should be above
+	// MaximumInFlight. Default 8192.
 	MaximumConnections int
-	// MaximumInFlight bounds requests in progress of all services. Default
-	// 4096.
+	// MaximumInFlight limits the requests in progress, across all services.
+	// Default 4096.
 	MaximumInFlight int
-	// ServiceShare is the part of MaximumInFlight that one service may take,
-	// so that a slow service leaves room for the others. Default 0.5.
+	// ServiceShare is the fraction of MaximumInFlight that one service may use,
+	// so that a slow service leaves capacity for the others. Default 0.5.
 	ServiceShare float64
-	// AgentConnections bounds connections to each agent. Default 100.
+	// AgentConnections limits the connections to each agent. Default 100.
 	AgentConnections int
 
-	// HoldTimeout is the longest that a request waits for an owner. Default
-	// 3 s.
+	// HoldTimeout is the maximum time that a request is held until its shard has
+	// an owner. Default 3 s.
 	HoldTimeout time.Duration
-	// HoldRequests and HoldBytes bound the requests that wait for an owner and
-	// their bodies. Defaults 4096 and 64 MiB.
+	// HoldRequests and HoldBytes limit the number of held requests and the total
+	// size of their bodies. Defaults 4096 and 64 MiB.
 	HoldRequests int
 	HoldBytes    int64
-	// RetryShare is the part of a service's requests that may be sent again.
-	// Default 0.1.
+	// RetryShare is the retry budget: the maximum number of retries as a
+	// fraction of a service's requests. Default 0.1.
 	RetryShare float64
-	// RetryBurst is how many retries can be saved up. Default 20.
+	// RetryBurst is how many unused retries the budget accumulates. Default 20.
 	RetryBurst int
-	// AttemptTimeout is after what time a repeatable look-up that is not bound
-	// to one owner is sent to another back end. Default 1 s.
+	// AttemptTimeout is the time after which an unanswered attempt of an
+	// idempotent lookup without a key is cancelled and another back end is
+	// tried. Default 1 s.
 	AttemptTimeout time.Duration
-	// SupersededGrace is how long an attempt may go on after the routing table
-	// named a new owner. Default 100 ms.
+	// SupersededGrace is how long an attempt may continue after the routing
+	// table named a new owner. Default 100 ms.
 	SupersededGrace time.Duration
-	// StaleAfter is how long the router trusts its table without a proof that
-	// it is the newest. Default and maximum are wire.StopRelyingAfter.
+	// StaleAfter is how long the router uses its table without a confirmation
+	// that it is the newest. Default and maximum are wire.StopRelyingAfter.
 	StaleAfter time.Duration
 
-	// DrainDelay is how long a planned stop goes on accepting connections, so
-	// that callers' balancers notice that the router is not ready. Default 1 s.
+	// DrainDelay is how long a planned stop continues to accept connections, so
+	// that callers' load balancers notice that the router is not ready. Default
+	// 1 s.
 	DrainDelay time.Duration
-	// DrainLimit is the longest that a planned stop waits for requests in
-	// progress. Default 30 s.
+	// DrainLimit is the maximum time that a planned stop waits for requests in
+	// progress after DrainDelay. Default 30 s.
 	DrainLimit time.Duration
 
-	// Log takes lines for changes of state; nil discards.
+	// Log receives messages about state changes; nil discards them.
 	Log *slog.Logger
-	// Registry takes the metrics; nil makes one of its own.
+	// Registry registers the metrics; nil creates a private registry.
 	Registry prometheus.Registerer
-	// Clock is a monotonic reading; nil takes the time since the start.
+	// Clock returns a monotonic time; nil uses the time since the router was
+	// created.
 	Clock func() time.Duration
 	// Source opens the source of routing tables; nil opens a subscription to
-	// Controllers. Tables are delivered one after another.
+	// Controllers. Calls of onTable must not overlap.
 	Source func(onTable func(*routing.Table)) (Source, error)
 }
 
@@ -134,7 +144,7 @@
 	mebibyte = 1 << 20
 )
 
-// withDefaults fills in the fields left at zero.
+// withDefaults returns the configuration with defaults for zero fields.
 func (c Config) withDefaults() Config {
 	setDefault(&c.DefaultTimeout, 10*time.Second)
 	setDefault(&c.MaximumTimeout, time.Hour)
@@ -145,7 +155,7 @@
 	setDefault(&c.MaximumHeaderBytes, 16*kibibyte)
 	setDefault(&c.MaximumBodyBytes, 8*mebibyte)
 	setDefault(&c.BufferedBodyBytes, 64*kibibyte)
-	setDefault(&c.BufferedAnswerBytes, 64*kibibyte)
+	setDefault(&c.BufferedResponseBytes, 64*kibibyte)
 	setDefault(&c.MaximumConnections, 8192)
 	setDefault(&c.MaximumInFlight, 4096)
 	setDefault(&c.ServiceShare, 0.5)
@@ -173,14 +183,14 @@
 	return c
 }
 
-// setDefault assigns a default to a number left at zero.
+// setDefault assigns a default to a zero value.
 func setDefault[T int | int64 | float64 | time.Duration](target *T, value T) {
 	if *target == 0 {
 		*target = value
 	}
 }
 
-// validate reports all findings together.
+// validate returns all configuration errors, joined.
 func (c Config) validate() error {
 	var findings []error
 	if c.Name == "" {
--- a/internal/router/outcome.go
+++ b/internal/router/error_response.go
@@ -9,42 +9,46 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// refusal is an answer that the router gives itself: the request was not run,
-// or its outcome is unknown.
-type refusal struct {
+// errorResponse is a response that the router generates itself: the request was
+// not run, or its outcome is unknown.
+type errorResponse struct {
 	outcome wire.Outcome
 	reason  wire.Reason
-	// retryAfter is when it is worth asking again; zero says nothing.
+	// retryAfter is the value of Retry-After; zero omits the header.
 	retryAfter time.Duration
 	detail     string
 }
 
 // Error implements error.
-func (r *refusal) Error() string {
+func (r *errorResponse) Error() string {
 	return fmt.Sprintf("%s (%s): %s", r.outcome, r.reason, r.detail)
 }
 
-// Times told in Retry-After.
+// Values of Retry-After.
 const (
 	// ownerRetryAfter is about how long a change of owner takes.
 	ownerRetryAfter = time.Second
-	// shedRetryAfter lets a queue drain.
+	// shedRetryAfter gives a full queue time to empty.
 	shedRetryAfter = time.Second
-	// staleRetryAfter is about how long a router takes to find a controller.
+	// staleRetryAfter is about how long a router takes to connect to a
+	// controller.
 	staleRetryAfter = 2 * time.Second
 )
 
-// notRun makes the refusal of a request that was provably not run.
-func notRun(reason wire.Reason, detail string) *refusal {
-	return &refusal{outcome: wire.OutcomeNotRun, reason: reason, detail: detail, retryAfter: retryAfterOf(reason)}
+// notRunError returns the error response for a request that provably was not
+// run.
+func notRunError(reason wire.Reason, detail string) *errorResponse {
+	return &errorResponse{outcome: wire.OutcomeNotRun, reason: reason, detail: detail, retryAfter: retryAfterFor(reason)}
 }
 
-// unknown makes the refusal of a request that may have run.
-func unknown(reason wire.Reason, detail string) *refusal {
-	return &refusal{outcome: wire.OutcomeUnknown, reason: reason, detail: detail}
+// unknownOutcomeError returns the error response for a request that may have
+// run.
+func unknownOutcomeError(reason wire.Reason, detail string) *errorResponse {
+	return &errorResponse{outcome: wire.OutcomeUnknown, reason: reason, detail: detail}
 }
 
-func retryAfterOf(reason wire.Reason) time.Duration {
+// retryAfterFor returns the Retry-After value for a reason, or zero.
+func retryAfterFor(reason wire.Reason) time.Duration {
 	switch reason {
 	case wire.ReasonNoOwner, wire.ReasonUnreachable, wire.ReasonWrongEpoch, wire.ReasonNoLease, wire.ReasonDraining:
 		return ownerRetryAfter
@@ -56,8 +60,8 @@
 	return 0
 }
 
-// statusOf gives the status code that carries a reason to callers.
-func statusOf(reason wire.Reason) int {
+// statusFor returns the HTTP status code for a reason.
+func statusFor(reason wire.Reason) int {
 	switch reason {
 	case wire.ReasonOverLimit:
 		return http.StatusTooManyRequests
@@ -79,13 +83,14 @@
 	return http.StatusServiceUnavailable
 }
 
-// write sends the refusal. It is short, so the caller has it at once.
-func (r *refusal) write(w http.ResponseWriter) {
+// write sends the error response. It is short, so the caller receives it at
+// once.
+func (r *errorResponse) write(w http.ResponseWriter) {
 	header := w.Header()
 	header.Set(wire.HeaderOutcome, string(r.outcome))
 	header.Set(wire.HeaderReason, string(r.reason))
 	if r.retryAfter > 0 {
-		header.Set("Retry-After", strconv.Itoa(wholeSeconds(r.retryAfter)))
+		header.Set("Retry-After", strconv.Itoa(ceilSeconds(r.retryAfter)))
 	}
 	if r.reason == wire.ReasonSlowSender || r.reason == wire.ReasonTooLarge {
 		header.Set("Connection", "close")
@@ -93,12 +98,13 @@
 	body := string(r.outcome) + " (" + string(r.reason) + "): " + r.detail + "\n"
 	header.Set("Content-Type", "text/plain; charset=utf-8")
 	header.Set("Content-Length", strconv.Itoa(len(body)))
-	w.WriteHeader(statusOf(r.reason))
-	// The caller may be gone; there is nobody else to tell.
+	w.WriteHeader(statusFor(r.reason))
+	// A write error means that the caller disconnected; nothing is left to do.
 	_, _ = w.Write([]byte(body))
 }
 
-// wholeSeconds rounds up, as Retry-After has no fractions (RFC 9110, 10.2.3).
-func wholeSeconds(duration time.Duration) int {
+// ceilSeconds rounds up to seconds, because Retry-After has no fractions (RFC
+// 9110, 10.2.3).
+func ceilSeconds(duration time.Duration) int {
 	return int((duration + time.Second - 1) / time.Second)
 }
--- a/internal/router/fixture_test.go
+++ b/internal/router/fixture_test.go
@@ -25,24 +25,25 @@
 	balancedService = topology.ServiceID(2)
 )
 
-// fixture is a router between a test's caller and its stand-in agents.
+// fixture runs a router between a test's HTTP client and its fake agents. It is
+// also the router's Source.
 type fixture struct {
-	t       testing.TB
-	router  *Router
-	url     string
-	client  *http.Client
-	onTable func(*routing.Table)
-	table   *routing.Table
-	age     atomic.Int64 // nanoseconds of Freshness
-	stop    context.CancelFunc
-	stopped chan error
+	t        testing.TB
+	router   *Router
+	url      string
+	client   *http.Client
+	onTable  func(*routing.Table)
+	table    *routing.Table
+	tableAge atomic.Int64 // returned by Freshness, in nanoseconds
+	stop     context.CancelFunc
+	stopped  chan error
 
 	mutex sync.Mutex
 	sent  []wire.ToController
 }
 
 // Freshness implements Source.
-func (f *fixture) Freshness(time.Duration) time.Duration { return time.Duration(f.age.Load()) }
+func (f *fixture) Freshness(time.Duration) time.Duration { return time.Duration(f.tableAge.Load()) }
 
 // Send implements Source.
 func (f *fixture) Send(message wire.ToController) error {
@@ -55,16 +56,16 @@
 // Stop implements Source.
 func (f *fixture) Stop() {}
 
-// agentServer is a stand-in for an agent.
-type agentServer struct {
+// fakeAgent is an HTTP server in place of an agent.
+type fakeAgent struct {
 	*httptest.Server
 	requests atomic.Int64
-	// accepted counts connections.
+	// accepted counts accepted connections.
 	accepted atomic.Int64
 }
 
-func newAgent(t testing.TB, handler http.HandlerFunc) *agentServer {
-	agent := new(agentServer)
+func newFakeAgent(t testing.TB, handler http.HandlerFunc) *fakeAgent {
+	agent := new(fakeAgent)
 	agent.Server = httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		agent.requests.Add(1)
 		handler(w, r)
@@ -79,27 +80,27 @@
 	return agent
 }
 
-// answered writes an agent's answer.
-func answered(w http.ResponseWriter, body string) {
+// respondAnswered writes an agent's response with the outcome "answered".
+func respondAnswered(w http.ResponseWriter, body string) {
 	w.Header().Set(wire.HeaderOutcome, string(wire.OutcomeAnswered))
 	_, _ = io.WriteString(w, body)
 }
 
-// refused writes an agent's refusal.
-func refusedBy(w http.ResponseWriter, outcome wire.Outcome, reason wire.Reason, status int) {
+// respondError writes an agent's error response.
+func respondError(w http.ResponseWriter, outcome wire.Outcome, reason wire.Reason, status int) {
 	w.Header().Set(wire.HeaderOutcome, string(outcome))
 	w.Header().Set(wire.HeaderReason, string(reason))
 	w.WriteHeader(status)
 }
 
-// abort breaks the connection without an answer.
-func abort(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+// abortConnection closes the connection without a response.
+func abortConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-func ok(w http.ResponseWriter, _ *http.Request) { answered(w, "ok") }
+func respondOK(w http.ResponseWriter, _ *http.Request) { respondAnswered(w, "ok") }
 
-// newFixture starts a router whose two services have the agents as back ends.
-// The single shard of the keyed service belongs to the first.
-func newFixture(t testing.TB, change func(*Config), agents ...*agentServer) *fixture {
+// newFixture starts a router with two services. The agents are back ends of
+// both. The first one owns the single shard of the keyed service.
+func newFixture(t testing.TB, change func(*Config), agents ...*fakeAgent) *fixture {
 	t.Helper()
 	f := &fixture{t: t, client: &http.Client{Transport: &http.Transport{}}, stopped: make(chan error, 1)}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -118,7 +119,7 @@
 	f.router, err = New(config)
 	assert.NilError(t, err)
 	f.url = "http://" + listener.Addr().String()
-	f.show(snapshotOf(agents))
+	f.publishSnapshot(newSnapshot(agents))
 	ctx, stop := context.WithCancel(context.Background())
 	f.stop = stop
 	go func() { f.stopped <- f.router.Serve(ctx) }()
@@ -131,7 +132,7 @@
 	return f
 }
 
-func snapshotOf(agents []*agentServer) wire.RoutingSnapshot {
+func newSnapshot(agents []*fakeAgent) wire.RoutingSnapshot {
 	keyed := topology.Service{ID: keyedService, Name: "keyed", Rules: []topology.RequestRule{
 		{PathPrefix: "/packs/", Key: topology.KeySource{Kind: topology.KeyFromPathSegment, Index: 1}, Class: topology.ClassBulk},
 		{Methods: []string{"POST"}, Key: topology.KeySource{Kind: topology.KeyFromPathSegment, Index: 1}, NonRepeatable: true},
@@ -140,7 +141,7 @@
 	balanced := topology.Service{ID: balancedService, Name: "balanced"}
 	snapshot := wire.RoutingSnapshot{Revision: 1}
 	shard := topology.Shard{ID: topology.ShardID{Service: keyedService, Shard: 1}, Phase: topology.ShardOwned, Owner: 1, Epoch: 1}
-	ofIDs := wire.ServiceRoutes{Service: balanced}
+	balancedRoutes := wire.ServiceRoutes{Service: balanced}
 	for i, agent := range agents {
 		for _, service := range []topology.ServiceID{keyedService, balancedService} {
 			snapshot.Backends = append(snapshot.Backends, topology.Backend{
@@ -148,13 +149,13 @@
 				AgentAddress: agent.Listener.Addr().String(), Location: topology.Location{Region: "r", Zone: "z1"},
 			})
 		}
-		ofIDs.Shards = append(ofIDs.Shards, topology.Shard{
+		balancedRoutes.Shards = append(balancedRoutes.Shards, topology.Shard{
 			ID:    topology.ShardID{Service: balancedService, Shard: topology.ShardNumber(i + 1)},
 			Start: topology.KeyHash(i) * (^topology.KeyHash(0)/topology.KeyHash(len(agents)) + 1),
 			Phase: topology.ShardOwned, Owner: backendID(balancedService, i), Epoch: 1,
 		})
 	}
-	snapshot.Services = []wire.ServiceRoutes{{Service: keyed, Shards: []topology.Shard{shard}}, ofIDs}
+	snapshot.Services = []wire.ServiceRoutes{{Service: keyed, Shards: []topology.Shard{shard}}, balancedRoutes}
 	return snapshot
 }
 
@@ -167,15 +168,15 @@
 	return topology.BackendID(agent + 101)
 }
 
-// show publishes a whole table.
-func (f *fixture) show(snapshot wire.RoutingSnapshot) {
+// publishSnapshot publishes a complete routing table.
+func (f *fixture) publishSnapshot(snapshot wire.RoutingSnapshot) {
 	table, err := routing.FromSnapshot(snapshot)
 	assert.NilError(f.t, err)
 	f.table = table
 	f.onTable(table)
 }
 
-// setShard publishes a change of the keyed service's shard.
+// setShard publishes a change of the keyed service's shard as a delta.
 func (f *fixture) setShard(phase topology.ShardPhase, owner topology.BackendID, epoch topology.Epoch) {
 	shard := topology.Shard{ID: topology.ShardID{Service: keyedService, Shard: 1}, Phase: phase, Owner: owner, Epoch: epoch}
 	table, err := f.table.Apply(wire.RoutingDelta{From: f.table.Revision(), To: f.table.Revision() + 1, Shards: []topology.Shard{shard}})
@@ -184,20 +185,20 @@
 	f.onTable(table)
 }
 
-// reply is what the caller saw.
-type reply struct {
+// callerResponse is the response that the caller received.
+type callerResponse struct {
 	status  int
 	outcome wire.Outcome
 	reason  wire.Reason
 	header  http.Header
 	body    string
-	// closes says that the connection ends with this answer.
+	// closes is set if the response has "Connection: close".
 	closes bool
 	err    error
 }
 
-// send makes a request; extra are header names and values in turn.
-func (f *fixture) send(method, path, body string, extra ...string) reply {
+// send sends a request; extra alternates header names and values.
+func (f *fixture) send(method, path, body string, extra ...string) callerResponse {
 	f.t.Helper()
 	request, err := http.NewRequest(method, f.url+path, strings.NewReader(body))
 	assert.NilError(f.t, err)
@@ -207,35 +208,35 @@
 	return f.do(request)
 }
 
-func (f *fixture) do(request *http.Request) reply {
+func (f *fixture) do(request *http.Request) callerResponse {
 	response, err := f.client.Do(request)
 	if err != nil {
-		return reply{err: err}
+		return callerResponse{err: err}
 	}
 	defer response.Body.Close()
 	content, err := io.ReadAll(response.Body)
-	return reply{
+	return callerResponse{
 		status: response.StatusCode, header: response.Header, body: string(content), closes: response.Close, err: err,
 		outcome: wire.Outcome(response.Header.Get(wire.HeaderOutcome)),
 		reason:  wire.Reason(response.Header.Get(wire.HeaderReason)),
 	}
 }
 
-func (f *fixture) get(path string, extra ...string) reply {
+func (f *fixture) get(path string, extra ...string) callerResponse {
 	f.t.Helper()
 	return f.send(http.MethodGet, path, "", extra...)
 }
 
 // post sends a non-repeatable request to the keyed service.
-func (f *fixture) post(extra ...string) reply {
+func (f *fixture) post(extra ...string) callerResponse {
 	f.t.Helper()
-	return f.send(http.MethodPost, "/keyed/closures/gate-7", "closed", append([]string{wire.HeaderRequestID, newID()}, extra...)...)
+	return f.send(http.MethodPost, "/keyed/closures/gate-7", "closed", append([]string{wire.HeaderRequestID, newRequestID()}, extra...)...)
 }
 
-func newID() string { return requestid.New(time.Now(), [10]byte{1, 2, 3}).String() }
+func newRequestID() string { return requestid.New(time.Now(), [10]byte{1, 2, 3}).String() }
 
-// check compares what the caller saw.
-func (r reply) check(t testing.TB, status int, outcome wire.Outcome, reason wire.Reason) {
+// check compares the response with the expected status, outcome and reason.
+func (r callerResponse) check(t testing.TB, status int, outcome wire.Outcome, reason wire.Reason) {
 	t.Helper()
 	assert.NilError(t, r.err)
 	assert.Equal(t, r.status, status, r.body)
@@ -243,7 +244,7 @@
 	assert.Equal(t, r.reason, reason)
 }
 
-// listenAt takes an address that was just given up.
+// listenAt listens at an address whose listener was just closed.
 func listenAt(t testing.TB, address string) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", address)
--- a/internal/router/forward.go
+++ b/internal/router/forward.go
@@ -10,87 +10,88 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// maximumAttempts bounds the back ends that one request not bound to an owner
-// is sent to.
+// maximumAttempts limits the back ends that a request without a key is sent to.
 const maximumAttempts = 3
 
-// forwarding is one request on its way: the retry loop's state.
-type forwarding struct {
+// forwarder forwards one request; it holds the state of the retry loop.
+type forwarder struct {
 	router     *Router
 	request    *request
 	writer     http.ResponseWriter
 	controller *http.ResponseController
-	// ctx ends with the request's deadline or its caller.
+	// ctx ends at the request's deadline or when its caller disconnects.
 	ctx context.Context
 
-	// last is the latest attempt; nil before the first.
-	last *attemptResult
-	// mayHaveRun is the refusal of an attempt whose outcome is unknown.
-	mayHaveRun *refusal
-	// tried are the back ends of attempts not bound to an owner.
-	tried []*peer
-	// sameOwner counts pauses before the same owner is tried again; paused
-	// says that such a pause has passed.
-	sameOwner int
-	paused    bool
-	// holdUntil is when waiting for an owner ends; zero before the first wait.
-	holdUntil time.Time
-	// paid says that the next attempt's retry was already taken from the
+	// lastAttempt is nil before the first attempt.
+	lastAttempt *attemptResult
+	// unknownOutcome is the error response of the latest attempt that may have
+	// run the request; nil if there is none.
+	unknownOutcome *errorResponse
+	// tried lists the back ends that a request without a key was sent to.
+	tried []*endpoint
+	// sameOwnerRetries counts the pauses before retries at the same owner;
+	// sameOwnerPaused is set once such a pause was begun and not yet used by a
+	// retry.
+	sameOwnerRetries int
+	sameOwnerPaused  bool
+	// holdDeadline is when waiting for an owner ends; zero before the first wait.
+	holdDeadline time.Time
+	// retryPrepaid is set if the next retry was already taken from the retry
 	// budget.
-	paid atomic.Bool
+	retryPrepaid atomic.Bool
 }
 
-// run makes attempts until the request has its answer. Nothing is sent to the
-// caller before the last attempt is known to be the last.
-func (f *forwarding) run() *refusal {
+// run makes attempts until one succeeds or no retry is allowed. Nothing is sent
+// to the caller while another attempt is still possible.
+func (f *forwarder) run() *errorResponse {
 	f.request.service.state.earnRetry()
 	for {
-		to, refused := f.nextTarget()
-		if refused != nil {
-			return refused
+		to, targetErr := f.nextTarget()
+		if targetErr != nil {
+			return targetErr
 		}
 		result := f.attempt(to)
-		f.last = &result
-		told := result.refusal
+		f.lastAttempt = &result
+		errResp := result.errResp
 		if result.kind == attemptAnswered {
-			if told = f.deliver(result); told == nil {
+			if errResp = f.relayResponse(result); errResp == nil {
 				return nil
 			}
-			result.kind, result.refusal = attemptUnknown, told
+			result.kind, result.errResp = attemptUnknown, errResp
 		}
-		if told.outcome == wire.OutcomeUnknown {
-			f.mayHaveRun = told
+		if errResp.outcome == wire.OutcomeUnknown {
+			f.unknownOutcome = errResp
 		}
 		if !f.mayRetry(&result) {
-			return f.final(told)
+			return f.finalError(errResp)
 		}
 	}
 }
 
-// final is the answer after the last attempt: a request that an earlier
-// attempt may have run is not called not run.
-func (f *forwarding) final(told *refusal) *refusal {
-	if told.outcome == wire.OutcomeNotRun && f.mayHaveRun != nil {
-		return f.mayHaveRun
+// finalError returns the error response after the last attempt. If an earlier
+// attempt may have run the request, it does not state not-run.
+func (f *forwarder) finalError(errResp *errorResponse) *errorResponse {
+	if errResp.outcome == wire.OutcomeNotRun && f.unknownOutcome != nil {
+		return f.unknownOutcome
 	}
-	return told
+	return errResp
 }
 
-// mayRetry says whether the request may be sent again after an attempt. The
-// cost and the pause are settled by nextTarget.
-func (f *forwarding) mayRetry(result *attemptResult) bool {
+// mayRetry reports whether the request may be sent again after an attempt.
+// nextTarget charges the retry budget and waits before the retry.
+func (f *forwarder) mayRetry(result *attemptResult) bool {
 	if f.ctx.Err() != nil || result.kind == attemptAbandoned || !f.request.body.replayable() {
 		return false
 	}
-	if result.refusal.outcome == wire.OutcomeUnknown {
-		return f.request.resendable && reachesAnother(result.refusal.reason)
+	if result.errResp.outcome == wire.OutcomeUnknown {
+		return f.request.idempotent && retryableUnknownReason(result.errResp.reason)
 	}
-	return retryableRefusal(result.refusal.reason, f.request.keyed)
+	return retryableNotRunReason(result.errResp.reason, f.request.keyed)
 }
 
-// reachesAnother says whether a request of unknown outcome could fare better
-// elsewhere.
-func reachesAnother(reason wire.Reason) bool {
+// retryableUnknownReason reports whether a request with an unknown outcome may
+// succeed at another back end.
+func retryableUnknownReason(reason wire.Reason) bool {
 	switch reason {
 	case wire.ReasonInterrupted, wire.ReasonTruncated, wire.ReasonTimedOut, wire.ReasonLeaseLost:
 		return true
@@ -98,9 +99,9 @@
 	return false
 }
 
-// retryableRefusal says whether a request that was not run could be taken by
-// another owner, or, where it is not bound to one, by another back end.
-func retryableRefusal(reason wire.Reason, keyed bool) bool {
+// retryableNotRunReason reports whether a request that was not run may be
+// accepted by another owner or, without a key, by another back end.
+func retryableNotRunReason(reason wire.Reason, keyed bool) bool {
 	switch reason {
 	case wire.ReasonWrongEpoch, wire.ReasonNoLease, wire.ReasonDraining, wire.ReasonUnreachable, wire.ReasonNoOwner:
 		return true
@@ -110,10 +111,10 @@
 	return false
 }
 
-// mayHedge says whether an attempt may be ended early in favour of another
-// back end.
-func (f *forwarding) mayHedge() bool {
+// mayCancelSlowAttempt reports whether an unanswered attempt may be cancelled
+// to try another back end.
+func (f *forwarder) mayCancelSlowAttempt() bool {
 	q := f.request
-	return q.resendable && q.class == topology.ClassLookup &&
+	return q.idempotent && q.class == topology.ClassLookup &&
 		len(f.tried) < min(maximumAttempts, len(q.service.balanced)) && q.body.replayable()
 }
--- a/internal/router/header.go
+++ b/internal/router/header.go
@@ -12,14 +12,14 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// internalPrefix starts the names of the product's own headers.
-const internalPrefix = "Quartzdock-"
+// ownHeaderPrefix is the prefix of the product's own headers.
+const ownHeaderPrefix = "Quartzdock-"
 
 const headerForwardedFor = "X-Forwarded-For"
 
-// hopByHop says whether a header belongs to one connection only (RFC 9110,
-// 7.6.1) and is not passed on.
-func hopByHop(name string) bool {
+// isHopByHop reports whether a header applies to a single connection (RFC 9110,
+// 7.6.1) and must not be forwarded.
+func isHopByHop(name string) bool {
 	switch name {
 	case "Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 		"Te", "Trailer", "Transfer-Encoding", "Upgrade":
@@ -28,8 +28,8 @@
 	return false
 }
 
-// namedByConnection returns the headers that the Connection header lists.
-func namedByConnection(header http.Header) []string {
+// connectionOptions returns the header names listed in the Connection header.
+func connectionOptions(header http.Header) []string {
 	var names []string
 	for _, value := range header["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
@@ -39,74 +39,76 @@
 	return names
 }
 
-// copyEndToEnd copies the headers that are passed on. Those of the product are
-// set anew by each hop.
-func copyEndToEnd(to, from http.Header) {
+// copyEndToEndHeaders copies the headers that are forwarded. The product's own
+// headers are left out, because each hop sets them itself.
+func copyEndToEndHeaders(to, from http.Header) {
 	for name, values := range from {
-		if hopByHop(name) || strings.HasPrefix(name, internalPrefix) {
+		if isHopByHop(name) || strings.HasPrefix(name, ownHeaderPrefix) {
 			continue
 		}
 		to[name] = values
 	}
-	for _, name := range namedByConnection(from) {
+	for _, name := range connectionOptions(from) {
 		delete(to, name)
 	}
 }
 
-// ownHeaders is how many headers the router adds at most.
-const ownHeaders = 11
+// maximumAddedHeaders is the maximum number of headers that the router adds.
+const maximumAddedHeaders = 11
 
-// hexadecimal is the base of key positions in headers.
+// hexadecimal is the base of key hashes in headers.
 const hexadecimal = 16
 
-// headerValues sets headers of one value each, whose names are in canonical
-// form. The values share one allocation.
-type headerValues struct {
+// headerSetter sets single-valued headers with canonical names. All values
+// share one allocation.
+type headerSetter struct {
 	header http.Header
-	values [ownHeaders]string
+	values [maximumAddedHeaders]string
 	count  int
 }
 
-func (h *headerValues) set(name, value string) {
+func (h *headerSetter) set(name, value string) {
 	h.values[h.count] = value
 	h.count++
 	h.header[name] = h.values[h.count-1 : h.count : h.count]
 }
 
-// outgoingHeader makes the header for the agent.
-func (f *forwarding) outgoingHeader(to target) http.Header {
+// agentHeader builds the header of the request to the agent.
+func (f *forwarder) agentHeader(to target) http.Header {
 	q := f.request
-	made := make(http.Header, len(q.incoming.Header)+ownHeaders)
-	copyEndToEnd(made, q.incoming.Header)
-	if _, present := made["User-Agent"]; !present {
-		made["User-Agent"] = nil // keeps net/http from naming itself
+	result := make(http.Header, len(q.incoming.Header)+maximumAddedHeaders)
+	copyEndToEndHeaders(result, q.incoming.Header)
+	if _, present := result["User-Agent"]; !present {
+		result["User-Agent"] = nil // suppresses net/http's default value
 	}
-	own := &headerValues{header: made}
-	if forwarded := forwardedFor(made, q.incoming.RemoteAddr); forwarded != "" {
-		own.set(headerForwardedFor, forwarded)
+	added := &headerSetter{header: result}
+	if forwarded := appendForwardedFor(result, q.incoming.RemoteAddr); forwarded != "" {
+		added.set(headerForwardedFor, forwarded)
 	}
-	left := max(time.Until(q.deadline).Milliseconds(), 1)
-	own.set(wire.HeaderDeadline, strconv.FormatInt(left, 10))
-	own.set(wire.HeaderCaller, q.caller)
-	own.set(wire.HeaderClass, className(q.class))
-	own.set(wire.HeaderRevision, strconv.FormatUint(uint64(to.revision), 10))
+	remaining := max(time.Until(q.deadline).Milliseconds(), 1)
+	added.set(wire.HeaderDeadline, strconv.FormatInt(remaining, 10))
+	added.set(wire.HeaderCaller, q.caller)
+	added.set(wire.HeaderClass, className(q.class))
+	added.set(wire.HeaderRevision, strconv.FormatUint(uint64(to.revision), 10))
 	if q.id != "" {
-		own.set(wire.HeaderRequestID, q.id)
+		added.set(wire.HeaderRequestID, q.id)
 	}
 	if q.nonRepeatable {
-		own.set(wire.HeaderNonRepeatable, "true")
+		added.set(wire.HeaderNonRepeatable, "true")
 	}
 	if to.keyed {
-		own.set(wire.HeaderShard, to.shard.String())
-		own.set(wire.HeaderKey, strconv.FormatUint(uint64(q.position), hexadecimal))
-		own.set(wire.HeaderEpoch, strconv.FormatUint(uint64(to.epoch), 10))
+		added.set(wire.HeaderShard, to.shard.String())
+		added.set(wire.HeaderKey, strconv.FormatUint(uint64(q.keyHash), hexadecimal))
+		added.set(wire.HeaderEpoch, strconv.FormatUint(uint64(to.epoch), 10))
 	}
-	return made
+	return result
 }
 
-// setOne sets a header whose name is in canonical form.
-func setOne(header http.Header, name, value string) { header[name] = []string{value} }
+// setSingle sets a header to a single value. The name must be in canonical
+// form.
+func setSingle(header http.Header, name, value string) { header[name] = []string{value} }
 
+// className returns the name of a class in headers.
 func className(class topology.RequestClass) string {
 	if class == topology.ClassBulk {
 		return "bulk"
@@ -114,8 +116,9 @@
 	return "lookup"
 }
 
-// forwardedFor adds the sender's address to those that the request came by.
-func forwardedFor(header http.Header, remote string) string {
+// appendForwardedFor returns the value of X-Forwarded-For with the address of
+// the sender appended, or "" if the address is unknown.
+func appendForwardedFor(header http.Header, remote string) string {
 	host, _, err := net.SplitHostPort(remote)
 	if err != nil {
 		return ""
--- a/internal/router/hold.go
+++ b/internal/router/hold.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// holdBuffer bounds the requests that wait for an owner, by number and by the
-// bytes of their bodies.
+// holdBuffer limits the requests that wait for an owner, by their number and by
+// the total size of their bodies.
 type holdBuffer struct {
 	maximumRequests int64
 	maximumBytes    int64
@@ -11,19 +11,19 @@
 	bytes           atomic.Int64
 }
 
-// enter takes room for a request, if there is some.
-func (b *holdBuffer) enter(bytes int) bool {
+// reserve reserves space for a request. It returns false if the buffer is full.
+func (b *holdBuffer) reserve(bytes int) bool {
 	requests := b.requests.Add(1)
 	total := b.bytes.Add(int64(bytes))
 	if requests <= b.maximumRequests && total <= b.maximumBytes {
 		return true
 	}
-	b.leave(bytes)
+	b.release(bytes)
 	return false
 }
 
-// leave gives the room back.
-func (b *holdBuffer) leave(bytes int) {
+// release frees the space of a request.
+func (b *holdBuffer) release(bytes int) {
 	b.requests.Add(-1)
 	b.bytes.Add(-int64(bytes))
 }
--- a/internal/router/limits_test.go
+++ b/internal/router/limits_test.go
@@ -15,72 +15,72 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// occupy sends requests to a busy agent and waits until it holds at least so
-// many of them. The function that is returned lets them end and gives what
-// their callers saw.
-func (f *fixture) occupy(busy *agentServer, thaw chan struct{}, count int, held int64, send func() reply) func() []reply {
+// startBlocked sends count requests and waits until the agent has received at
+// least received of them, which block until unblock is closed. The returned
+// function closes it and returns the responses.
+func (f *fixture) startBlocked(agent *fakeAgent, unblock chan struct{}, count int, received int64, send func() callerResponse) func() []callerResponse {
 	f.t.Helper()
-	replies := make([]reply, count)
-	var all sync.WaitGroup
+	responses := make([]callerResponse, count)
+	var group sync.WaitGroup
 	for i := range count {
-		all.Go(func() { replies[i] = send() })
+		group.Go(func() { responses[i] = send() })
 	}
-	release := sync.OnceFunc(func() { close(thaw) })
+	release := sync.OnceFunc(func() { close(unblock) })
 	f.t.Cleanup(release)
-	poll.WaitOn(f.t, arrived(busy, held))
-	return func() []reply {
+	poll.WaitOn(f.t, receivedAtLeast(agent, received))
+	return func() []callerResponse {
 		release()
-		all.Wait()
-		return replies
+		group.Wait()
+		return responses
 	}
 }
 
-// slowFor holds requests whose class or method is slow until it is thawed.
-func slowFor(thaw chan struct{}, slow func(*http.Request) bool) http.HandlerFunc {
+// blockWhere blocks the requests for which matches returns true until unblock
+// is closed.
+func blockWhere(unblock chan struct{}, matches func(*http.Request) bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if slow(r) {
-			<-thaw
+		if matches(r) {
+			<-unblock
 		}
-		answered(w, "ok")
+		respondAnswered(w, "ok")
 	}
 }
 
 func isBulk(r *http.Request) bool { return r.Header.Get(wire.HeaderClass) == "bulk" }
 
-// Slow map packs wait for slots of the back end; they must not take every
-// connection to it.
-func TestBulkLeavesConnectionsToLookups(t *testing.T) {
-	thaw := make(chan struct{})
-	owner := newAgent(t, slowFor(thaw, isBulk))
+// Slow bulk requests must not occupy every connection to a back end.
+func TestBulkRequestsLeaveConnectionsForLookups(t *testing.T) {
+	unblock := make(chan struct{})
+	owner := newFakeAgent(t, blockWhere(unblock, isBulk))
 	f := newFixture(t, func(c *Config) { c.AgentConnections = 10 }, owner)
-	finish := f.occupy(owner, thaw, 40, 5, func() reply { return f.get("/keyed/packs/terminal-5") })
+	finish := f.startBlocked(owner, unblock, 40, 5, func() callerResponse { return f.get("/keyed/packs/terminal-5") })
 	f.get("/keyed/plans/a", wire.HeaderDeadline, "2000").check(t, http.StatusOK, wire.OutcomeAnswered, noReason)
 	for _, pack := range finish() {
 		pack.check(t, http.StatusOK, wire.OutcomeAnswered, noReason)
 	}
 }
 
-// A crowd of look-ups must not keep a settlement from its back end.
-func TestLookupsLeaveConnectionsToWrites(t *testing.T) {
-	thaw := make(chan struct{})
-	owner := newAgent(t, slowFor(thaw, func(r *http.Request) bool { return r.Method == http.MethodGet }))
+// A burst of lookups must not keep a non-repeatable write from its back end.
+func TestLookupsLeaveConnectionsForWrites(t *testing.T) {
+	unblock := make(chan struct{})
+	owner := newFakeAgent(t, blockWhere(unblock, func(r *http.Request) bool { return r.Method == http.MethodGet }))
 	f := newFixture(t, func(c *Config) { c.AgentConnections = 10 }, owner)
-	finish := f.occupy(owner, thaw, 40, 5, func() reply { return f.get("/keyed/plans/a") })
+	finish := f.startBlocked(owner, unblock, 40, 5, func() callerResponse { return f.get("/keyed/plans/a") })
 	f.post(wire.HeaderDeadline, "2000").check(t, http.StatusOK, wire.OutcomeAnswered, noReason)
 	for _, plan := range finish() {
 		plan.check(t, http.StatusOK, wire.OutcomeAnswered, noReason)
 	}
 }
 
-// The queue before a back end is bounded; what does not fit is answered at
-// once, with the time to come back, and never reached the back end.
-func TestFullQueueBeforeABackendShedsAtOnce(t *testing.T) {
+// The queue for a back end is bounded. Requests that do not fit are answered
+// immediately with Retry-After and never reach the back end.
+func TestFullBackendQueueShedsImmediately(t *testing.T) {
 	const connections, sent = 2, 60
-	thaw := make(chan struct{})
-	owner := newAgent(t, slowFor(thaw, func(*http.Request) bool { return true }))
+	unblock := make(chan struct{})
+	owner := newFakeAgent(t, blockWhere(unblock, func(*http.Request) bool { return true }))
 	f := newFixture(t, func(c *Config) { c.AgentConnections = connections }, owner)
-	shed := make(chan reply, sent)
-	finish := f.occupy(owner, thaw, sent, connections, func() reply {
+	shed := make(chan callerResponse, sent)
+	finish := f.startBlocked(owner, unblock, sent, connections, func() callerResponse {
 		got := f.get("/keyed/plans/a")
 		if got.reason == wire.ReasonShed {
 			shed <- got
@@ -88,11 +88,11 @@
 		return got
 	})
 	for range sent - connections - connections*queuedPerConnection {
-		var got reply
+		var got callerResponse
 		select {
 		case got = <-shed:
 		case <-time.After(10 * time.Second):
-			t.Fatal("the queue takes more than its limit")
+			t.Fatal("the queue accepts more requests than its limit")
 		}
 		got.check(t, http.StatusServiceUnavailable, wire.OutcomeNotRun, wire.ReasonShed)
 		assert.Assert(t, got.header.Get("Retry-After") != "")
@@ -101,22 +101,23 @@
 	assert.Equal(t, owner.requests.Load(), int64(connections+connections*queuedPerConnection))
 }
 
-// A request whose deadline cannot be met is answered when that is known.
-func TestQueueBeforeABackendShedsByDeadline(t *testing.T) {
-	thaw := make(chan struct{})
-	owner := newAgent(t, slowFor(thaw, func(*http.Request) bool { return true }))
+// A request that would wait in the queue beyond its deadline is answered
+// immediately.
+func TestBackendQueueShedsRequestsThatCannotMeetTheirDeadline(t *testing.T) {
+	unblock := make(chan struct{})
+	owner := newFakeAgent(t, blockWhere(unblock, func(*http.Request) bool { return true }))
 	f := newFixture(t, func(c *Config) { c.AgentConnections = 1 }, owner)
-	finish := f.occupy(owner, thaw, 6, 1, func() reply { return f.get("/keyed/plans/a") })
+	finish := f.startBlocked(owner, unblock, 6, 1, func() callerResponse { return f.get("/keyed/plans/a") })
 	f.get("/keyed/plans/a", wire.HeaderDeadline, "10").check(t, http.StatusServiceUnavailable, wire.OutcomeNotRun, wire.ReasonShed)
 	finish()
 	assert.Equal(t, owner.requests.Load(), int64(6))
 }
 
-func TestSlowServiceLeavesRoomForOthers(t *testing.T) {
-	thaw := make(chan struct{})
-	slow := newAgent(t, slowFor(thaw, func(r *http.Request) bool { return r.Header.Get(wire.HeaderShard) != "" }))
+func TestSlowServiceLeavesCapacityForOthers(t *testing.T) {
+	unblock := make(chan struct{})
+	slow := newFakeAgent(t, blockWhere(unblock, func(r *http.Request) bool { return r.Header.Get(wire.HeaderShard) != "" }))
 	f := newFixture(t, func(c *Config) { c.MaximumInFlight = 8; c.ServiceShare = 0.5 }, slow)
-	finish := f.occupy(slow, thaw, 4, 4, func() reply { return f.get("/keyed/plans/a") })
+	finish := f.startBlocked(slow, unblock, 4, 4, func() callerResponse { return f.get("/keyed/plans/a") })
 	got := f.get("/keyed/plans/a")
 	got.check(t, http.StatusTooManyRequests, wire.OutcomeNotRun, wire.ReasonOverLimit)
 	assert.Equal(t, got.header.Get("Retry-After"), "1")
@@ -124,11 +125,11 @@
 	finish()
 }
 
-func TestRouterOverItsLimitSheds(t *testing.T) {
-	thaw := make(chan struct{})
-	slow := newAgent(t, slowFor(thaw, func(*http.Request) bool { return true }))
+func TestRouterShedsAboveMaximumInFlight(t *testing.T) {
+	unblock := make(chan struct{})
+	slow := newFakeAgent(t, blockWhere(unblock, func(*http.Request) bool { return true }))
 	f := newFixture(t, func(c *Config) { c.MaximumInFlight = 2; c.ServiceShare = 1 }, slow)
-	finish := f.occupy(slow, thaw, 2, 2, func() reply { return f.get("/keyed/plans/a") })
+	finish := f.startBlocked(slow, unblock, 2, 2, func() callerResponse { return f.get("/keyed/plans/a") })
 	got := f.get("/balanced/plans")
 	got.check(t, http.StatusServiceUnavailable, wire.OutcomeNotRun, wire.ReasonShed)
 	assert.Equal(t, got.header.Get("Retry-After"), "1")
@@ -136,17 +137,17 @@
 	f.get("/balanced/plans").check(t, http.StatusOK, wire.OutcomeAnswered, noReason)
 }
 
-// Requests that wait before a frozen owner go to the next one, also those that
-// are non-repeatable: they were not sent.
-func TestQueuedRequestsGoToTheNextOwner(t *testing.T) {
-	thaw := make(chan struct{})
-	frozen := newAgent(t, slowFor(thaw, func(*http.Request) bool { return true }))
-	later := newAgent(t, ok)
-	f := newFixture(t, func(c *Config) { c.AgentConnections = 1; c.SupersededGrace = time.Millisecond }, frozen, later)
-	finish := f.occupy(frozen, thaw, 1, 1, func() reply { return f.get("/keyed/plans/a") })
-	waiting := make(chan reply, 1)
+// Requests that wait for a connection to a frozen owner are sent to the next
+// one, including non-repeatable ones, because they were not sent yet.
+func TestQueuedRequestIsSentToTheNewOwner(t *testing.T) {
+	unblock := make(chan struct{})
+	frozen := newFakeAgent(t, blockWhere(unblock, func(*http.Request) bool { return true }))
+	newOwner := newFakeAgent(t, respondOK)
+	f := newFixture(t, func(c *Config) { c.AgentConnections = 1; c.SupersededGrace = time.Millisecond }, frozen, newOwner)
+	finish := f.startBlocked(frozen, unblock, 1, 1, func() callerResponse { return f.get("/keyed/plans/a") })
+	waiting := make(chan callerResponse, 1)
 	go func() { waiting <- f.post() }()
-	poll.WaitOn(t, f.queuedBefore(1, 1))
+	poll.WaitOn(t, f.queuedFor(1, 1))
 	f.setShard(topology.ShardOwned, 2, 2)
 	(<-waiting).check(t, http.StatusOK, wire.OutcomeAnswered, noReason)
 	finish()
@@ -154,52 +155,52 @@
 }
 
 // The table becomes stale while a request waits for a connection.
-func TestQueuedRequestIsNotSentByAStaleTable(t *testing.T) {
-	thaw := make(chan struct{})
-	owner := newAgent(t, slowFor(thaw, func(*http.Request) bool { return true }))
+func TestQueuedRequestIsNotSentWhenTheTableBecomesStale(t *testing.T) {
+	unblock := make(chan struct{})
+	owner := newFakeAgent(t, blockWhere(unblock, func(*http.Request) bool { return true }))
 	f := newFixture(t, func(c *Config) { c.AgentConnections = 1 }, owner)
-	finish := f.occupy(owner, thaw, 1, 1, func() reply { return f.get("/keyed/plans/a") })
-	waiting := make(chan reply, 1)
+	finish := f.startBlocked(owner, unblock, 1, 1, func() callerResponse { return f.get("/keyed/plans/a") })
+	waiting := make(chan callerResponse, 1)
 	go func() { waiting <- f.get("/keyed/plans/a") }()
-	poll.WaitOn(t, f.queuedBefore(1, 1))
-	f.age.Store(int64(time.Minute))
+	poll.WaitOn(t, f.queuedFor(1, 1))
+	f.tableAge.Store(int64(time.Minute))
 	finish()
 	(<-waiting).check(t, http.StatusServiceUnavailable, wire.OutcomeNotRun, wire.ReasonStale)
 	assert.Equal(t, owner.requests.Load(), int64(1))
 }
 
-// queuedBefore waits until so many requests wait for a connection to a back
-// end.
-func (f *fixture) queuedBefore(backend topology.BackendID, count int) poll.Check {
+// queuedFor waits until count requests wait for a connection to a back end.
+func (f *fixture) queuedFor(backend topology.BackendID, count int) poll.Check {
 	return func(poll.LogT) poll.Result {
-		if waiting := f.router.view.Load().peers[backend].gate.Waiting(); waiting != count {
-			return poll.Continue("%d requests wait", waiting)
+		if waiting := f.router.view.Load().endpoints[backend].gate.Waiting(); waiting != count {
+			return poll.Continue("%d requests are queued", waiting)
 		}
 		return poll.Success()
 	}
 }
 
-// The caller that gave up is told nothing, but its place is given back.
-func TestCallerThatLeavesFreesItsPlace(t *testing.T) {
-	thaw := make(chan struct{})
-	owner := newAgent(t, slowFor(thaw, func(*http.Request) bool { return true }))
+// A caller disconnects while its request waits for a connection. The request
+// must leave the queue and not be sent.
+func TestDisconnectedCallerLeavesTheQueue(t *testing.T) {
+	unblock := make(chan struct{})
+	owner := newFakeAgent(t, blockWhere(unblock, func(*http.Request) bool { return true }))
 	f := newFixture(t, func(c *Config) { c.AgentConnections = 1 }, owner)
-	finish := f.occupy(owner, thaw, 1, 1, func() reply { return f.get("/keyed/plans/a") })
-	ctx, leave := context.WithCancel(t.Context())
+	finish := f.startBlocked(owner, unblock, 1, 1, func() callerResponse { return f.get("/keyed/plans/a") })
+	ctx, disconnect := context.WithCancel(t.Context())
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, f.url+"/keyed/plans/a", nil)
 	assert.NilError(t, err)
-	left := make(chan reply, 1)
-	go func() { left <- f.do(request) }()
-	poll.WaitOn(t, f.queuedBefore(1, 1))
-	leave()
-	assert.ErrorIs(t, (<-left).err, context.Canceled)
-	poll.WaitOn(t, f.queuedBefore(1, 0))
+	received := make(chan callerResponse, 1)
+	go func() { received <- f.do(request) }()
+	poll.WaitOn(t, f.queuedFor(1, 1))
+	disconnect()
+	assert.ErrorIs(t, (<-received).err, context.Canceled)
+	poll.WaitOn(t, f.queuedFor(1, 0))
 	finish()
-	assert.Equal(t, owner.requests.Load(), int64(1), "the one that left was never sent")
+	assert.Equal(t, owner.requests.Load(), int64(1), "the request of the disconnected caller was sent")
 }
 
-func TestRefusalsCarryTheirStatus(t *testing.T) {
-	f := newFixture(t, func(c *Config) { c.MaximumBodyBytes = 100 }, newAgent(t, ok))
+func TestErrorStatusCodes(t *testing.T) {
+	f := newFixture(t, func(c *Config) { c.MaximumBodyBytes = 100 }, newFakeAgent(t, respondOK))
 	f.get("/nothing/here").check(t, http.StatusNotFound, wire.OutcomeNotRun, wire.ReasonNotFound)
 	f.get("/keyed/").check(t, http.StatusBadRequest, wire.OutcomeNotRun, wire.ReasonInvalid)
 	f.get("/keyed/plans/a", wire.HeaderDeadline, "soon").check(t, http.StatusBadRequest, wire.OutcomeNotRun, wire.ReasonInvalid)
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -13,18 +13,19 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// latencyBuckets in seconds span a loopback look-up to a slow map pack.
+// latencyBuckets, in seconds, range from a lookup over loopback to a slow bulk
+// download.
 var latencyBuckets = []float64{.0005, .001, .0025, .005, .01, .025, .05, .1, .25, .5, 1, 2.5, 5, 10, 30, 60}
 
-// routerMetrics are the process's counters.
+// routerMetrics holds the router's counters and histograms.
 type routerMetrics struct {
-	requests   *prometheus.CounterVec
-	latency    *prometheus.HistogramVec
-	retries    *prometheus.CounterVec
-	exhausted  *prometheus.CounterVec
-	superseded prometheus.Counter
-	truncated  prometheus.Counter
-	cutOff     prometheus.Counter
+	requests        *prometheus.CounterVec
+	latency         *prometheus.HistogramVec
+	retries         *prometheus.CounterVec
+	budgetExhausted *prometheus.CounterVec
+	superseded      prometheus.Counter
+	truncated       prometheus.Counter
+	cutOff          prometheus.Counter
 }
 
 func newRouterMetrics(registry prometheus.Registerer) *routerMetrics {
@@ -42,7 +43,7 @@
 			Name: "quartzdock_router_retries_total",
 			Help: "Requests sent again to the same owner or to another back end.",
 		}, []string{"service"}),
-		exhausted: prometheus.NewCounterVec(prometheus.CounterOpts{
+		budgetExhausted: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "quartzdock_router_retry_budget_exhausted_total",
 			Help: "Retries that the budget did not allow.",
 		}, []string{"service"}),
@@ -59,12 +60,13 @@
 			Help: "Requests cut off because a planned stop reached its limit.",
 		}),
 	}
-	registry.MustRegister(m.requests, m.latency, m.retries, m.exhausted, m.superseded, m.truncated, m.cutOff)
+	registry.MustRegister(m.requests, m.latency, m.retries, m.budgetExhausted, m.superseded, m.truncated, m.cutOff)
 	return m
 }
 
-// gauges are read when metrics are collected.
-func gauges(r *Router) []prometheus.Collector {
+// newGauges returns gauges that read the router's state when metrics are
+// collected.
+func newGauges(r *Router) []prometheus.Collector {
 	return []prometheus.Collector{
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "quartzdock_router_in_flight",
@@ -73,11 +75,11 @@
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "quartzdock_router_held",
 			Help: "Requests that wait for an owner.",
-		}, func() float64 { return float64(r.hold.requests.Load()) }),
+		}, func() float64 { return float64(r.holdBuffer.requests.Load()) }),
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "quartzdock_router_routing_age_seconds",
 			Help: "Time since the routing table was proved to be the newest.",
-		}, func() float64 { return r.freshness().Seconds() }),
+		}, func() float64 { return r.tableAge().Seconds() }),
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "quartzdock_router_revision",
 			Help: "Revision of the routing table in force.",
@@ -85,7 +87,7 @@
 	}
 }
 
-// serviceState is what outlives the views of a service.
+// serviceState is the state of a service that persists across views.
 type serviceState struct {
 	name     string
 	inFlight atomic.Int64
@@ -96,10 +98,10 @@
 	budget *admission.RetryBudget
 }
 
-// stateOf finds or makes the state of a service. It is called by the
-// publishing goroutine alone.
-func (r *Router) stateOf(service *routing.Service) *serviceState {
-	if state, known := r.states[service.ID]; known && state.name == service.Name {
+// serviceStateFor returns the state of a service and creates it if necessary.
+// It must be called only by the goroutine that calls publish.
+func (r *Router) serviceStateFor(service *routing.Service) *serviceState {
+	if state, known := r.serviceStates[service.ID]; known && state.name == service.Name {
 		return state
 	}
 	state := &serviceState{
@@ -109,18 +111,19 @@
 	}
 	state.latency[topology.ClassLookup] = r.metrics.latency.WithLabelValues(service.Name, "lookup")
 	state.latency[topology.ClassBulk] = r.metrics.latency.WithLabelValues(service.Name, "bulk")
-	r.states[service.ID] = state
+	r.serviceStates[service.ID] = state
 	return state
 }
 
-// earnRetry counts a first attempt.
+// earnRetry credits the retry budget for a new request.
 func (s *serviceState) earnRetry() {
 	s.mutex.Lock()
 	s.budget.Earn()
 	s.mutex.Unlock()
 }
 
-// spendRetry asks the budget for one more attempt.
+// spendRetry takes a retry from the budget. It returns false if the budget is
+// exhausted.
 func (r *Router) spendRetry(s *serviceState) bool {
 	s.mutex.Lock()
 	granted := s.budget.Spend()
@@ -128,12 +131,12 @@
 	if granted {
 		r.metrics.retries.WithLabelValues(s.name).Inc()
 	} else {
-		r.metrics.exhausted.WithLabelValues(s.name).Inc()
+		r.metrics.budgetExhausted.WithLabelValues(s.name).Inc()
 	}
 	return granted
 }
 
-// latencyIndex takes classes that this version does not know as look-ups.
+// latencyIndex maps classes that this version does not know to lookups.
 func latencyIndex(class topology.RequestClass) topology.RequestClass {
 	if class == topology.ClassBulk {
 		return topology.ClassBulk
@@ -141,18 +144,18 @@
 	return topology.ClassLookup
 }
 
-// countUnclassified counts a request that belongs to no service or was
-// malformed; the path is not a label, since callers choose it.
-func (r *Router) countUnclassified(told *refusal) {
-	r.metrics.requests.WithLabelValues("", string(told.outcome), string(told.reason)).Inc()
+// countUnclassified counts a request that could not be classified. The path is
+// not used as a label, because callers could create any number of values.
+func (r *Router) countUnclassified(errResp *errorResponse) {
+	r.metrics.requests.WithLabelValues("", string(errResp.outcome), string(errResp.reason)).Inc()
 }
 
-// count counts a finished request.
-func (r *Router) count(q *request, told *refusal, elapsed time.Duration) {
-	if told == nil {
+// countRequest records a finished request.
+func (r *Router) countRequest(q *request, errResp *errorResponse, elapsed time.Duration) {
+	if errResp == nil {
 		q.service.state.answered.Inc()
 		q.service.state.latency[latencyIndex(q.class)].Observe(elapsed.Seconds())
 		return
 	}
-	r.metrics.requests.WithLabelValues(q.service.state.name, string(told.outcome), string(told.reason)).Inc()
+	r.metrics.requests.WithLabelValues(q.service.state.name, string(errResp.outcome), string(errResp.reason)).Inc()
 }
--- a/internal/router/pipelining_test.go
+++ b/internal/router/pipelining_test.go
@@ -13,28 +13,28 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// Look-ups that a caller sends ahead run side by side; one that is marked as not
-// repeatable waits for those before it.
-func TestLookupsSentAheadRunSideBySide(t *testing.T) {
-	begun, end := make(chan string, 3), make(chan struct{})
-	agent := newAgent(t, func(w http.ResponseWriter, r *http.Request) {
-		begun <- r.URL.Path
-		<-end
-		answered(w, r.URL.Path)
+// Pipelined lookups run concurrently. One with the non-repeatable header waits
+// for those before it.
+func TestPipelinedLookupsRunConcurrently(t *testing.T) {
+	started, finish := make(chan string, 3), make(chan struct{})
+	agent := newFakeAgent(t, func(w http.ResponseWriter, r *http.Request) {
+		started <- r.URL.Path
+		<-finish
+		respondAnswered(w, r.URL.Path)
 	})
 	f := newFixture(t, nil, agent)
 	connection, err := net.Dial("tcp", f.url[len("http://"):])
 	assert.NilError(t, err)
 	defer connection.Close()
-	line := ""
-	for i, extra := range []string{"", "", wire.HeaderNonRepeatable + ": true\r\n" + wire.HeaderRequestID + ": " + newID() + "\r\n"} {
-		line += fmt.Sprintf("GET /balanced/%d HTTP/1.1\r\nHost: a\r\n%s\r\n", i, extra)
+	requests := ""
+	for i, extra := range []string{"", "", wire.HeaderNonRepeatable + ": true\r\n" + wire.HeaderRequestID + ": " + newRequestID() + "\r\n"} {
+		requests += fmt.Sprintf("GET /balanced/%d HTTP/1.1\r\nHost: a\r\n%s\r\n", i, extra)
 	}
-	_, err = io.WriteString(connection, line)
+	_, err = io.WriteString(connection, requests)
 	assert.NilError(t, err)
-	first, second := <-begun, <-begun
+	first, second := <-started, <-started
 	assert.Assert(t, first != second)
-	close(end)
+	close(finish)
 	answers := bufio.NewReader(connection)
 	for i := range 3 {
 		response, err := http.ReadResponse(answers, nil)
--- a/internal/router/process_bench_test.go
+++ b/internal/router/process_bench_test.go
@@ -23,22 +23,23 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// The benchmarks run router and stand-in as processes of this test binary, each
-// on one core, so that their processor time can be told apart.
+// The benchmarks run the router and a fake back end as separate processes of
+// this test binary, each with its own GOMAXPROCS, so that their CPU time can be
+// measured separately.
 const (
-	roleVariable    = "QUARTZDOCK_BENCHMARK_ROLE"
-	agentVariable   = "QUARTZDOCK_BENCHMARK_AGENT"
-	answerVariable  = "QUARTZDOCK_BENCHMARK_ANSWER_BYTES"
-	usagePath       = "/usage"
-	saturatingLoops = 64
-	latencyLoops    = 4
-	latencySamples  = 2000
+	roleVariable          = "QUARTZDOCK_BENCHMARK_ROLE"
+	agentVariable         = "QUARTZDOCK_BENCHMARK_AGENT"
+	responseSizeVariable  = "QUARTZDOCK_BENCHMARK_ANSWER_BYTES"
+	usagePath             = "/usage"
+	saturatingConnections = 64
+	latencyConnections    = 4
+	latencySamples        = 2000
 )
 
 func TestMain(m *testing.M) {
 	switch os.Getenv(roleVariable) {
 	case "stand-in":
-		serveStandIn()
+		serveBackend()
 	case "router":
 		serveRouter(os.Getenv(agentVariable))
 	default:
@@ -46,7 +47,7 @@
 	}
 }
 
-// usage is what a process used since its start.
+// usage is a process's resource usage since its start.
 type usage struct {
 	CPU         time.Duration
 	Allocations uint64
@@ -55,7 +56,8 @@
 	Resident    int64 // bytes
 }
 
-func (u usage) minus(earlier usage) usage {
+// since returns the usage since an earlier measurement, without memory in use.
+func (u usage) since(earlier usage) usage {
 	return usage{CPU: u.CPU - earlier.CPU, Allocations: u.Allocations - earlier.Allocations, Bytes: u.Bytes - earlier.Bytes}
 }
 
@@ -83,7 +85,9 @@
 	return resident * int64(os.Getpagesize())
 }
 
-// serveUsage listens for questions of the benchmark and prints both addresses.
+// serveUsage serves the process's resource usage over HTTP. It prints the given
+// address and its own, and exits the process when the parent closes standard
+// input.
 func serveUsage(address string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -98,13 +102,14 @@
 			_ = json.NewEncoder(w).Encode(currentUsage())
 		}))
 	}()
-	_, _ = io.Copy(io.Discard, os.Stdin) // until the parent is gone
+	_, _ = io.Copy(io.Discard, os.Stdin) // until the parent exits or closes the pipe
 	os.Exit(0)
 }
 
-func serveStandIn() {
+// serveBackend runs the fake back end.
+func serveBackend() {
 	size := 200
-	_, _ = fmt.Sscan(os.Getenv(answerVariable), &size)
+	_, _ = fmt.Sscan(os.Getenv(responseSizeVariable), &size)
 	content := []byte(strings.Repeat("x", size))
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -119,13 +124,14 @@
 	serveUsage(listener.Addr().String())
 }
 
-// fixedSource never gives another table.
+// fixedSource is a Source whose table never changes.
 type fixedSource struct{}
 
 func (fixedSource) Freshness(time.Duration) time.Duration { return 0 }
 func (fixedSource) Send(wire.ToController) error          { return nil }
 func (fixedSource) Stop()                                 {}
 
+// serveRouter runs a router with the agent as its only back end.
 func serveRouter(agent string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -146,7 +152,8 @@
 	serveUsage(listener.Addr().String())
 }
 
-// benchmarkSnapshot has 75,000 shards that all belong to one back end.
+// benchmarkSnapshot returns a table with 75,000 shards, all owned by one back
+// end.
 func benchmarkSnapshot(agent string) wire.RoutingSnapshot {
 	const shards = 75_000
 	service := topology.Service{ID: keyedService, Name: "keyed", Rules: []topology.RequestRule{
@@ -166,10 +173,10 @@
 	}
 }
 
-// process is a started role.
+// process is a running child process.
 type process struct {
-	address string
-	usageAt string
+	address      string
+	usageAddress string
 }
 
 func startProcess(b *testing.B, role string, processors int, extra ...string) process {
@@ -196,12 +203,12 @@
 		b.Fatal(err)
 	}
 	var p process
-	_, _ = fmt.Sscan(line, &p.address, &p.usageAt)
+	_, _ = fmt.Sscan(line, &p.address, &p.usageAddress)
 	return p
 }
 
 func (p process) usage(b *testing.B) usage {
-	response, err := http.Get("http://" + p.usageAt + usagePath + "?collect")
+	response, err := http.Get("http://" + p.usageAddress + usagePath + "?collect")
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -213,18 +220,18 @@
 	return u
 }
 
-// lookups sends look-ups on one connection until told to stop, and returns the
-// time that each took.
-func lookups(address string, more func(sent int) bool) ([]time.Duration, error) {
+// sendLookups sends lookups on one connection while more returns true, and
+// returns their latencies.
+func sendLookups(address string, more func(sent int) bool) ([]time.Duration, error) {
 	connection, err := net.Dial("tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	defer connection.Close()
 	reader := bufio.NewReader(connection)
-	var took []time.Duration
+	var latencies []time.Duration
 	for sent := 0; more(sent); sent++ {
-		began := time.Now()
+		started := time.Now()
 		if _, err := fmt.Fprintf(connection, "GET /keyed/plans/gate-%d HTTP/1.1\r\nHost: a\r\n\r\n", sent); err != nil {
 			return nil, err
 		}
@@ -235,25 +242,25 @@
 		if _, err := io.Copy(io.Discard, response.Body); err != nil || response.StatusCode != http.StatusOK {
 			return nil, fmt.Errorf("status %d: %w", response.StatusCode, err)
 		}
-		took = append(took, time.Since(began))
+		latencies = append(latencies, time.Since(started))
 	}
-	return took, nil
+	return latencies, nil
 }
 
-// inParallel runs look-ups on several connections.
-func inParallel(b *testing.B, loops int, address string, more func(sent int) bool) []time.Duration {
+// sendInParallel sends lookups on several connections concurrently.
+func sendInParallel(b *testing.B, connections int, address string, more func(sent int) bool) []time.Duration {
 	var mutex sync.Mutex
 	var all []time.Duration
 	var group sync.WaitGroup
-	for range loops {
+	for range connections {
 		group.Go(func() {
-			took, err := lookups(address, more)
+			latencies, err := sendLookups(address, more)
 			mutex.Lock()
 			defer mutex.Unlock()
 			if err != nil {
 				b.Error(err)
 			}
-			all = append(all, took...)
+			all = append(all, latencies...)
 		})
 	}
 	group.Wait()
@@ -262,27 +269,28 @@
 
 func micros(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
 
-// BenchmarkSaturated saturates the stand-in directly, then the router before
-// it. The ratio of processor times is what a router core forwards of what the
-// same core serves directly.
+// BenchmarkSaturated saturates a fake back end directly, then a router in front
+// of another one. The ratio of CPU times is the rate that a core running the
+// router can forward, relative to the rate that the same core can serve
+// directly.
 func BenchmarkSaturated(b *testing.B) {
 	direct := startProcess(b, "stand-in", 1)
-	behind := startProcess(b, "stand-in", 4)
-	router := startProcess(b, "router", 1, agentVariable+"="+behind.address)
-	load := func(to process) (perSecond, cpu, allocations, bytes float64) {
-		before, began := to.usage(b), time.Now()
-		end := began.Add(700 * time.Millisecond)
-		count := float64(len(inParallel(b, saturatingLoops, to.address, func(int) bool { return time.Now().Before(end) })))
-		elapsed := time.Since(began)
-		used := to.usage(b).minus(before)
-		return count / elapsed.Seconds(), micros(used.CPU) / count, float64(used.Allocations) / count, float64(used.Bytes) / count
+	backend := startProcess(b, "stand-in", 4)
+	router := startProcess(b, "router", 1, agentVariable+"="+backend.address)
+	measure := func(to process) (perSecond, cpu, allocations, bytes float64) {
+		before, started := to.usage(b), time.Now()
+		end := started.Add(700 * time.Millisecond)
+		count := float64(len(sendInParallel(b, saturatingConnections, to.address, func(int) bool { return time.Now().Before(end) })))
+		elapsed := time.Since(started)
+		consumed := to.usage(b).since(before)
+		return count / elapsed.Seconds(), micros(consumed.CPU) / count, float64(consumed.Allocations) / count, float64(consumed.Bytes) / count
 	}
-	load(router)
+	measure(router)
 	var directRates, routedRates, directCPU, routedCPU, allocations, bytes []float64
 	for b.Loop() {
-		perSecond, cpu, _, _ := load(direct)
+		perSecond, cpu, _, _ := measure(direct)
 		directRates, directCPU = append(directRates, perSecond), append(directCPU, cpu)
-		perSecond, cpu, count, size := load(router)
+		perSecond, cpu, count, size := measure(router)
 		routedRates, routedCPU = append(routedRates, perSecond), append(routedCPU, cpu)
 		allocations, bytes = append(allocations, count), append(bytes, size)
 	}
@@ -301,56 +309,56 @@
 	return values[len(values)/2]
 }
 
-// BenchmarkAddedLatency sends look-ups without work directly and through the
-// router, turn by turn.
+// BenchmarkAddedLatency alternates between sending trivial lookups directly to
+// the fake back end and through the router.
 func BenchmarkAddedLatency(b *testing.B) {
-	behind := startProcess(b, "stand-in", 2)
-	router := startProcess(b, "router", 2, agentVariable+"="+behind.address)
+	backend := startProcess(b, "stand-in", 2)
+	router := startProcess(b, "router", 2, agentVariable+"="+backend.address)
 	var direct, routed []time.Duration
 	for b.Loop() {
 		for range 10 {
-			count := func(sent int) bool { return sent < latencySamples/10/latencyLoops }
-			direct = append(direct, inParallel(b, latencyLoops, behind.address, count)...)
-			routed = append(routed, inParallel(b, latencyLoops, router.address, count)...)
+			count := func(sent int) bool { return sent < latencySamples/10/latencyConnections }
+			direct = append(direct, sendInParallel(b, latencyConnections, backend.address, count)...)
+			routed = append(routed, sendInParallel(b, latencyConnections, router.address, count)...)
 		}
 	}
 	slices.Sort(direct)
 	slices.Sort(routed)
-	at := func(all []time.Duration, part float64) float64 { return micros(all[int(part*float64(len(all)-1))]) }
+	quantile := func(all []time.Duration, part float64) float64 { return micros(all[int(part*float64(len(all)-1))]) }
 	for name, part := range map[string]float64{"p50": 0.5, "p99": 0.99} {
-		b.ReportMetric(at(direct, part), "direct-"+name+"-µs")
-		b.ReportMetric(at(routed, part), "routed-"+name+"-µs")
-		b.ReportMetric(at(routed, part)-at(direct, part), "added-"+name+"-µs")
+		b.ReportMetric(quantile(direct, part), "direct-"+name+"-µs")
+		b.ReportMetric(quantile(routed, part), "routed-"+name+"-µs")
+		b.ReportMetric(quantile(routed, part)-quantile(direct, part), "added-"+name+"-µs")
 	}
 }
 
-// BenchmarkIdleConnections opens connections of callers that carry one request
-// and then nothing.
+// BenchmarkIdleConnections measures the router's memory for connections that
+// are idle after one request.
 func BenchmarkIdleConnections(b *testing.B) {
 	const connections = 2000
-	behind := startProcess(b, "stand-in", 4)
-	router := startProcess(b, "router", 1, agentVariable+"="+behind.address)
+	backend := startProcess(b, "stand-in", 4)
+	router := startProcess(b, "router", 1, agentVariable+"="+backend.address)
 	for b.Loop() {
 		before := router.usage(b)
 		release := make(chan struct{})
 		var opened, closed sync.WaitGroup
-		turns := make(chan struct{}, latencyLoops) // so that no request is shed
+		requestSlots := make(chan struct{}, latencyConnections) // so that no request is shed
 		for range connections {
 			opened.Add(1)
 			closed.Go(func() {
-				turns <- struct{}{}
-				giveTurn := sync.OnceFunc(func() {
-					<-turns
+				requestSlots <- struct{}{}
+				releaseSlot := sync.OnceFunc(func() {
+					<-requestSlots
 					opened.Done()
 				})
-				_, err := lookups(router.address, func(sent int) bool {
+				_, err := sendLookups(router.address, func(sent int) bool {
 					if sent == 1 {
-						giveTurn()
+						releaseSlot()
 						<-release
 					}
 					return sent < 1
 				})
-				giveTurn()
+				releaseSlot()
 				if err != nil {
 					b.Error(err)
 				}
--- a/internal/router/run.go
+++ b/internal/router/run.go
@@ -16,16 +16,16 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// ErrCutOff says that a planned stop reached its limit with requests in
-// progress.
+// ErrCutOff is returned when a planned stop reaches Config.DrainLimit with
+// requests still in progress.
 var ErrCutOff = errors.New("requests were cut off at the drain limit")
 
-// reportInterval is how often outcomes are reported to a controller, and how
-// often changes of state are looked for.
+// reportInterval is how often the outcomes of attempts are reported to a
+// controller and the routing table is checked for staleness.
 const reportInterval = time.Second
 
-// Run serves callers until the context ends, then finishes the requests in
-// progress, at most for Config.DrainLimit.
+// Run creates a router and serves callers until the context ends. It then waits
+// up to Config.DrainLimit for the requests in progress.
 func Run(ctx context.Context, config Config) error {
 	r, err := New(config)
 	if err != nil {
@@ -35,40 +35,41 @@
 	return r.Serve(ctx)
 }
 
-// Serve accepts callers until the context ends, then finishes the requests in
-// progress.
+// Serve accepts callers' connections until the context ends, then drains the
+// requests in progress.
 func (r *Router) Serve(ctx context.Context) error {
 	listener, err := r.listen()
 	if err != nil {
 		return fmt.Errorf("router: %w", err)
 	}
-	server := httpserver.NewPipelined(r.server(), listener, r.config.MaximumConnections, httpserver.Pipelining{
-		Requests: r.config.PipelinedRequests, WriteStall: r.config.StallTimeout, Repeatable: r.mayRunBeside,
+	server := httpserver.NewPipelined(r.newServer(), listener, r.config.MaximumConnections, httpserver.Pipelining{
+		Requests: r.config.PipelinedRequests, WriteStall: r.config.StallTimeout, Repeatable: r.mayRunConcurrently,
 	})
-	failed := make(chan error, 1)
-	go func() { failed <- server.Serve() }()
-	r.config.Log.Info("router serves callers", "address", listener.Addr().String())
-	reporter, stopReporter := context.WithCancel(context.Background())
-	defer stopReporter()
-	go r.report(reporter)
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- server.Serve() }()
+	r.config.Log.Info("serving callers", "address", listener.Addr().String())
+	reportCtx, stopReporting := context.WithCancel(context.Background())
+	defer stopReporting()
+	go r.reportLoop(reportCtx)
 	select {
-	case err := <-failed:
+	case err := <-serveErr:
 		return fmt.Errorf("router: serving callers: %w", err)
 	case <-ctx.Done():
 		return r.drain(server)
 	}
 }
 
-// Close ends the subscription and the connections to agents.
+// Close stops the source of routing tables and closes the connections to
+// agents.
 func (r *Router) Close() {
 	r.source.Stop()
 	v := r.view.Load()
 	if v == nil {
 		return
 	}
-	for _, p := range v.peers {
-		if p.pool != nil {
-			p.pool.Close()
+	for _, e := range v.endpoints {
+		if e.pool != nil {
+			e.pool.Close()
 		}
 	}
 }
@@ -84,7 +85,7 @@
 	return listener.(*net.TCPListener), nil
 }
 
-func (r *Router) server() *http.Server {
+func (r *Router) newServer() *http.Server {
 	return &http.Server{
 		Handler:           r.Handler(),
 		TLSConfig:         r.config.CallerTLS,
@@ -95,17 +96,18 @@
 	}
 }
 
-// drain is the planned stop. For DrainDelay callers are still served and asked
-// to connect elsewhere; then the listener closes and what is in progress
-// finishes. Requests that may outlast the stop are refused from its begin on.
+// drain performs the planned stop. For DrainDelay it still accepts connections
+// and answers with "Connection: close", so that callers reconnect elsewhere. It
+// then closes the listener and waits for the requests in progress. Requests
+// whose deadline is after the end of the stop are rejected throughout.
 func (r *Router) drain(server *httpserver.Server) error {
 	end := time.Now().Add(r.config.DrainDelay + r.config.DrainLimit)
 	r.admission.Begin(end)
-	r.config.Log.Info("router drains", "in_flight", r.inFlight.Load())
+	r.config.Log.Info("draining router", "in_flight", r.inFlight.Load())
 	time.Sleep(r.config.DrainDelay)
-	limit, cancel := context.WithDeadline(context.Background(), end)
+	stopCtx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
-	err := server.Stop(limit)
+	err := server.Stop(stopCtx)
 	var cutOff *httpserver.CutOffError
 	if errors.As(err, &cutOff) {
 		r.metrics.cutOff.Add(float64(cutOff.Requests))
@@ -115,9 +117,9 @@
 	return err
 }
 
-// report tells a controller what requests showed of the back ends, and logs
-// when the routing table becomes stale or fresh.
-func (r *Router) report(ctx context.Context) {
+// reportLoop periodically reports the outcomes of attempts to a controller and
+// logs when the routing table becomes stale or fresh again.
+func (r *Router) reportLoop(ctx context.Context) {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	stale := false
@@ -129,32 +131,34 @@
 		}
 		if now := r.stale(); now != stale {
 			stale = now
-			r.config.Log.Warn("routing table changed state", "stale", stale, "revision", r.revision())
+			r.config.Log.Warn("routing table staleness changed", "stale", stale, "revision", r.revision())
 		}
-		r.sendLoad()
+		r.sendObservations()
 	}
 }
 
-func (r *Router) sendLoad() {
+// sendObservations sends the outcomes since the last report, if there are any.
+func (r *Router) sendObservations() {
 	v := r.view.Load()
 	if v == nil {
 		return
 	}
 	var load wire.RouterLoad
-	for _, p := range v.peers {
-		if counts, any := p.takeCounts(); any {
+	for _, e := range v.endpoints {
+		if counts, any := e.takeCounts(); any {
 			load.Observed = append(load.Observed, counts)
 		}
 	}
 	if len(load.Observed) == 0 {
 		return
 	}
-	// A lost report only delays what the next one shows.
+	// Reports are best effort: later attempts show the state of the back ends
+	// again.
 	_ = r.source.Send(wire.ToController{RouterLoad: &load})
 }
 
-// openSource opens the configured source of routing tables, or a subscription
-// to the controllers.
+// openSource opens Config.Source or, if it is nil, a subscription to the
+// controllers.
 func (r *Router) openSource() (Source, error) {
 	if r.config.Source != nil {
 		return r.config.Source(r.publish)
--- a/internal/router/stop_test.go
+++ b/internal/router/stop_test.go
@@ -19,19 +19,19 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// Callers send without a pause, each on its own connection, until an answer
-// tells them to go elsewhere. Each request is answered.
-func TestPlannedStopCutsOffNothing(t *testing.T) {
+// Callers send continuously, each on its own connection, until a response has
+// "Connection: close". Every request must be answered.
+func TestPlannedStopAnswersEveryRequest(t *testing.T) {
 	const callers = 16
-	owner := newAgent(t, func(w http.ResponseWriter, _ *http.Request) {
+	owner := newFakeAgent(t, func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(5 * time.Millisecond)
-		answered(w, "ok")
+		respondAnswered(w, "ok")
 	})
 	f := newFixture(t, func(c *Config) { c.DrainDelay = 50 * time.Millisecond }, owner)
 	var served atomic.Int64
-	var all sync.WaitGroup
+	var group sync.WaitGroup
 	for range callers {
-		all.Go(func() {
+		group.Go(func() {
 			for {
 				got := f.get("/keyed/plans/a")
 				if !assert.Check(t, got.err == nil && got.outcome == wire.OutcomeAnswered, "%v %s %s", got.err, got.outcome, got.reason) {
@@ -44,83 +44,84 @@
 			}
 		})
 	}
-	poll.WaitOn(t, arrived(owner, 10*callers))
+	poll.WaitOn(t, receivedAtLeast(owner, 10*callers))
 	f.stop()
-	all.Wait()
+	group.Wait()
 	assert.NilError(t, <-f.stopped)
 	f.stopped <- nil
 	assert.Equal(t, owner.requests.Load(), served.Load())
 }
 
-// During a planned stop callers learn that they should go elsewhere, and are
-// served until they do.
-func TestStoppingRouterSaysSo(t *testing.T) {
-	f := newFixture(t, nil, newAgent(t, ok))
+// During a planned stop, responses have "Connection: close", and callers are
+// served until they reconnect elsewhere.
+func TestStoppingRouterClosesConnections(t *testing.T) {
+	f := newFixture(t, nil, newFakeAgent(t, respondOK))
 	f.get("/keyed/plans/a").check(t, http.StatusOK, wire.OutcomeAnswered, noReason)
 	f.router.admission.Begin(time.Now().Add(time.Hour))
 	assert.ErrorIs(t, f.router.Ready(), ErrDraining)
 	got := f.get("/keyed/plans/a")
 	got.check(t, http.StatusOK, wire.OutcomeAnswered, noReason)
-	assert.Assert(t, got.closes, "the connection ends with this answer")
+	assert.Assert(t, got.closes, "the response has no Connection: close")
 	got = f.get("/nothing")
 	got.check(t, http.StatusNotFound, wire.OutcomeNotRun, wire.ReasonNotFound)
 	assert.Assert(t, got.closes)
 }
 
-// A map pack that is still being sent, and a request that waits for its owner,
-// both end whole after the stop began.
+// A response that is still being streamed and a held request both complete
+// after the stop began.
 func TestPlannedStopWaitsForSlowAndHeldRequests(t *testing.T) {
-	thaw := make(chan struct{})
-	owner := newAgent(t, func(w http.ResponseWriter, r *http.Request) {
+	unblock := make(chan struct{})
+	owner := newFakeAgent(t, func(w http.ResponseWriter, r *http.Request) {
 		if !isBulk(r) {
-			answered(w, "ok")
+			respondAnswered(w, "ok")
 			return
 		}
-		answered(w, long)
+		respondAnswered(w, longBody)
 		w.(http.Flusher).Flush()
-		<-thaw
-		answered(w, long)
+		<-unblock
+		respondAnswered(w, longBody)
 	})
 	f := newFixture(t, nil, owner)
-	pack, edit := make(chan reply, 1), make(chan reply, 1)
+	pack, edit := make(chan callerResponse, 1), make(chan callerResponse, 1)
 	go func() { pack <- f.get("/keyed/packs/terminal-5") }()
-	poll.WaitOn(t, arrived(owner, 1))
+	poll.WaitOn(t, receivedAtLeast(owner, 1))
 	f.setShard(topology.ShardReleasing, 1, 1)
 	go func() { edit <- f.post() }()
-	poll.WaitOn(t, f.held(1))
+	poll.WaitOn(t, f.heldRequests(1))
 	f.stop()
-	poll.WaitOn(t, f.refusesConnections())
+	poll.WaitOn(t, f.listenerClosed())
 	f.setShard(topology.ShardOwned, 1, 2)
 	(<-edit).check(t, http.StatusOK, wire.OutcomeAnswered, noReason)
-	close(thaw)
+	close(unblock)
 	got := <-pack
 	got.check(t, http.StatusOK, wire.OutcomeAnswered, noReason)
-	assert.Assert(t, got.body == long+long)
+	assert.Assert(t, got.body == longBody+longBody)
 	assert.NilError(t, <-f.stopped)
 	f.stopped <- nil
 }
 
-// A planned stop takes nothing that may outlast it: the caller is told so, with
-// proof, in place of being cut off while the owner works. What ends in time is
-// served on.
-func TestPlannedStopTakesNothingThatMayOutlastIt(t *testing.T) {
-	thaw := make(chan struct{})
-	release := sync.OnceFunc(func() { close(thaw) })
-	owner := newAgent(t, func(w http.ResponseWriter, r *http.Request) {
+// A request whose deadline is after the end of the stop is rejected as not run.
+// If it were accepted, it could be cut off while the owner works on it. A
+// request that ends in time is served.
+func TestPlannedStopRejectsRequestsThatMayOutlastIt(t *testing.T) {
+	unblock := make(chan struct{})
+	release := sync.OnceFunc(func() { close(unblock) })
+	owner := newFakeAgent(t, func(w http.ResponseWriter, r *http.Request) {
 		if isBulk(r) {
-			<-thaw
+			<-unblock
 		}
-		answered(w, "ok")
+		respondAnswered(w, "ok")
 	})
 	f := newFixture(t, func(c *Config) { c.DrainLimit = time.Minute }, owner)
-	t.Cleanup(release) // also where the test fails before its end
-	pack := make(chan reply, 1)
+	t.Cleanup(release) // also if the test fails early
+	pack := make(chan callerResponse, 1)
 	go func() { pack <- f.get("/keyed/packs/terminal-5") }()
-	poll.WaitOn(t, arrived(owner, 1))
+	poll.WaitOn(t, receivedAtLeast(owner, 1))
 	f.stop()
-	poll.WaitOn(t, f.refusesConnections()) // the stop has begun and goes on
-	// A second listener for the handler, as the router's own is closed by now:
-	// callers come before it is, which a test can't arrange without a race.
+	poll.WaitOn(t, f.listenerClosed()) // the stop is in progress
+	// Real callers send such requests before the router's listener closes, which a
+	// test cannot arrange without a race. By now it is closed, so use a second
+	// listener.
 	late := httptest.NewServer(f.router.Handler())
 	defer late.Close()
 	f.url = late.URL
@@ -137,8 +138,8 @@
 	f.stopped <- nil
 }
 
-// refusesConnections waits until the router listens no more.
-func (f *fixture) refusesConnections() poll.Check {
+// listenerClosed waits until the router's listener is closed.
+func (f *fixture) listenerClosed() poll.Check {
 	return func(poll.LogT) poll.Result {
 		fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 		response, err := fresh.Get(f.url + "/nothing")
@@ -152,14 +153,14 @@
 	}
 }
 
-// Past the operator's limit a stop is not planned any more: it says how many
-// requests it cut off.
-func TestPlannedStopReportsWhatItCutsOff(t *testing.T) {
-	stuck := newAgent(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+// When DrainLimit has passed, the stop cuts off the remaining requests and
+// reports their number.
+func TestPlannedStopReportsRequestsCutOff(t *testing.T) {
+	stuck := newFakeAgent(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	f := newFixture(t, func(c *Config) { c.DrainLimit = 20 * time.Millisecond }, stuck)
-	cutOff := make(chan reply, 1)
+	cutOff := make(chan callerResponse, 1)
 	go func() { cutOff <- f.get("/keyed/plans/a") }()
-	poll.WaitOn(t, arrived(stuck, 1))
+	poll.WaitOn(t, receivedAtLeast(stuck, 1))
 	f.stop()
 	err := <-f.stopped
 	f.stopped <- err
@@ -168,17 +169,17 @@
 	assert.Assert(t, (<-cutOff).err != nil)
 }
 
-// A router that starts again knows nothing: it refuses with proof until it has
-// a table, and then sends a caller's resend to the same record of ids with the
-// same id.
-func TestRestartedRouterWaitsForATable(t *testing.T) {
+// A restarted router rejects requests as not run until it has a table. It then
+// routes a repetition of an earlier request to the same shard, with the same
+// id.
+func TestRouterWithoutTableRejectsRequests(t *testing.T) {
 	seen := make(chan http.Header, 2)
-	owner := newAgent(t, func(w http.ResponseWriter, r *http.Request) {
+	owner := newFakeAgent(t, func(w http.ResponseWriter, r *http.Request) {
 		seen <- r.Header
-		answered(w, "ok")
+		respondAnswered(w, "ok")
 	})
 	f := newFixture(t, nil, owner)
-	id := newID()
+	id := newRequestID()
 	f.post(wire.HeaderRequestID, id).check(t, http.StatusOK, wire.OutcomeAnswered, noReason)
 	before := <-seen
 
@@ -188,7 +189,7 @@
 	assert.Equal(t, got.header.Get("Retry-After"), "2")
 	assert.ErrorIs(t, f.router.Ready(), ErrNoTable)
 
-	table, err := routing.FromSnapshot(snapshotOf([]*agentServer{owner}))
+	table, err := routing.FromSnapshot(newSnapshot([]*fakeAgent{owner}))
 	assert.NilError(t, err)
 	f.onTable(table)
 	f.post(wire.HeaderRequestID, id).check(t, http.StatusOK, wire.OutcomeAnswered, noReason)
@@ -197,22 +198,22 @@
 	assert.Equal(t, after.Get(wire.HeaderShard), before.Get(wire.HeaderShard))
 }
 
-// A caller that goes away is not worked for any longer.
-func TestCancellationReachesTheBackend(t *testing.T) {
+// When a caller disconnects, the request to the back end is cancelled.
+func TestCallerCancellationReachesTheBackend(t *testing.T) {
 	cancelled := make(chan struct{})
-	owner := newAgent(t, func(_ http.ResponseWriter, r *http.Request) {
+	owner := newFakeAgent(t, func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
 		close(cancelled)
 	})
 	f := newFixture(t, nil, owner)
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, disconnect := context.WithCancel(t.Context())
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, f.url+"/keyed/plans/a", nil)
 	assert.NilError(t, err)
-	left := make(chan reply, 1)
-	go func() { left <- f.do(request) }()
-	poll.WaitOn(t, arrived(owner, 1))
-	leave()
-	assert.ErrorIs(t, (<-left).err, context.Canceled)
+	received := make(chan callerResponse, 1)
+	go func() { received <- f.do(request) }()
+	poll.WaitOn(t, receivedAtLeast(owner, 1))
+	disconnect()
+	assert.ErrorIs(t, (<-received).err, context.Canceled)
 	<-cancelled
 	poll.WaitOn(t, f.idle())
 }
@@ -220,8 +221,8 @@
 // idle waits until the router has no request in progress.
 func (f *fixture) idle() poll.Check {
 	return func(poll.LogT) poll.Result {
-		if left := f.router.inFlight.Load(); left != 0 {
-			return poll.Continue("%d in progress", left)
+		if received := f.router.inFlight.Load(); received != 0 {
+			return poll.Continue("%d in progress", received)
 		}
 		return poll.Success()
 	}
--- a/internal/router/stream_test.go
+++ b/internal/router/stream_test.go
@@ -19,25 +19,26 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// Answers that come after their request was given up must not reach the next
-// caller that uses the connection, and each caller gets its own answer.
-func TestLateAnswersReachNobody(t *testing.T) {
+// A response that arrives after its request was given up must not reach the
+// next caller that uses the connection. Each caller gets the response to its
+// own request.
+func TestLateResponsesAreDiscarded(t *testing.T) {
 	const callers, each = 16, 25
-	owner := newAgent(t, func(w http.ResponseWriter, r *http.Request) {
+	owner := newFakeAgent(t, func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(time.Duration(rand.IntN(6)) * time.Millisecond)
-		answered(w, r.Header.Get("X-Number"))
+		respondAnswered(w, r.Header.Get("X-Number"))
 	})
 	f := newFixture(t, func(c *Config) { c.AgentConnections = 8 }, owner)
-	var whole, late atomic.Int64
-	var all sync.WaitGroup
+	var complete, late atomic.Int64
+	var group sync.WaitGroup
 	for caller := range callers {
-		all.Go(func() {
+		group.Go(func() {
 			for i := range each {
 				number := fmt.Sprint(caller*each + i)
 				got := f.get("/keyed/plans/a", "X-Number", number, wire.HeaderDeadline, "4")
 				if got.outcome == wire.OutcomeAnswered {
-					whole.Add(1)
-					assert.Check(t, got.body == number, "caller %s got the answer %s", number, got.body)
+					complete.Add(1)
+					assert.Check(t, got.body == number, "request %s got the response to %s", number, got.body)
 					continue
 				}
 				late.Add(1)
@@ -45,18 +46,18 @@
 			}
 		})
 	}
-	all.Wait()
-	assert.Assert(t, late.Load() > 0, "no answer was late")
+	group.Wait()
+	assert.Assert(t, late.Load() > 0, "no response was late")
 	for range each {
 		assert.Equal(t, f.get("/keyed/plans/a", "X-Number", "last").body, "last")
 	}
 }
 
-// A large answer takes the memory of a few buffers, whatever its size.
-func TestLargeAnswerStreamsWithBoundedMemory(t *testing.T) {
+// Streaming a response takes the memory of a few buffers, whatever its size.
+func TestLargeResponseIsStreamedWithBoundedMemory(t *testing.T) {
 	const size = 64 * mebibyte
 	piece := make([]byte, 64*kibibyte)
-	owner := newAgent(t, func(w http.ResponseWriter, _ *http.Request) {
+	owner := newFakeAgent(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(wire.HeaderOutcome, string(wire.OutcomeAnswered))
 		w.Header().Set("Content-Length", fmt.Sprint(size))
 		for range size / len(piece) {
@@ -74,14 +75,15 @@
 	runtime.ReadMemStats(&after)
 	assert.Equal(t, count, int64(size))
 	allocated := after.TotalAlloc - before.TotalAlloc
-	assert.Assert(t, allocated < 2*mebibyte, "%d bytes were allocated in all", allocated)
+	assert.Assert(t, allocated < 2*mebibyte, "%d bytes were allocated in total", allocated)
 }
 
-// A caller that takes nothing holds the back end up; the router keeps no more
-// than its buffers, and cuts the caller off after the stall timeout.
-func TestCallerThatTakesNothingIsCutOff(t *testing.T) {
+// A caller that does not read its response blocks the back end. The router
+// buffers no more than its fixed buffers and disconnects the caller after
+// StallTimeout.
+func TestCallerThatDoesNotReadIsDisconnected(t *testing.T) {
 	ended := make(chan struct{})
-	owner := newAgent(t, func(w http.ResponseWriter, r *http.Request) {
+	owner := newFakeAgent(t, func(w http.ResponseWriter, r *http.Request) {
 		defer close(ended)
 		w.Header().Set(wire.HeaderOutcome, string(wire.OutcomeAnswered))
 		piece := make([]byte, 64*kibibyte)
@@ -101,21 +103,23 @@
 	poll.WaitOn(t, f.idle())
 }
 
-// sendRaw sends text and returns what is answered until the connection ends.
+// sendRaw sends text and returns everything received until the connection ends.
 func (f *fixture) sendRaw(text string) string {
 	connection, err := net.Dial("tcp", strings.TrimPrefix(f.url, "http://"))
 	assert.NilError(f.t, err)
 	defer connection.Close()
 	_, err = io.WriteString(connection, text)
 	assert.NilError(f.t, err)
-	// The connection may end with a reset: the text was not a whole request.
+	// The connection may end with a reset, because the text was not a complete
+	// request.
 	content, _ := io.ReadAll(connection)
 	return string(content)
 }
 
-// A sender that stops in its body is told so, and no back end was bothered.
-func TestSlowSenderIsCutOffWithATypedAnswer(t *testing.T) {
-	owner := newAgent(t, ok)
+// A caller that stops in the middle of its body gets an error response, and
+// nothing is sent to a back end.
+func TestSlowRequestBodyReturnsTimeout(t *testing.T) {
+	owner := newFakeAgent(t, respondOK)
 	f := newFixture(t, func(c *Config) { c.BufferedBodyTimeout = 20 * time.Millisecond }, owner)
 	got := f.sendRaw("PUT /keyed/plans/a HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\n123")
 	assert.Assert(t, strings.HasPrefix(got, "HTTP/1.1 408 "), got)
@@ -124,62 +128,63 @@
 	assert.Equal(t, owner.requests.Load(), int64(0))
 }
 
-// A sender that never ends its header is cut off.
-func TestSlowHeaderIsCutOff(t *testing.T) {
-	f := newFixture(t, func(c *Config) { c.HeaderTimeout = 20 * time.Millisecond }, newAgent(t, ok))
+// A caller that does not complete its header is disconnected.
+func TestSlowHeaderClosesConnection(t *testing.T) {
+	f := newFixture(t, func(c *Config) { c.HeaderTimeout = 20 * time.Millisecond }, newFakeAgent(t, respondOK))
 	got := f.sendRaw("GET /keyed/plans/a HTTP/1.1\r\nHost: a\r\nX-Slow: ")
 	assert.Assert(t, !strings.Contains(got, " 200 "), got)
 }
 
-func TestOversizedHeaderIsCutOff(t *testing.T) {
-	owner := newAgent(t, ok)
+func TestOversizedHeaderIsRejected(t *testing.T) {
+	owner := newFakeAgent(t, respondOK)
 	f := newFixture(t, func(c *Config) { c.MaximumHeaderBytes = 1024 }, owner)
 	// The rest of the header is not read, so the connection is reset.
-	response, err := f.client.Do(f.large("X-Large", 16*kibibyte))
+	response, err := f.client.Do(f.requestWithLargeHeader("X-Large", 16*kibibyte))
 	assert.NilError(t, err)
 	defer response.Body.Close()
 	assert.Equal(t, response.StatusCode, http.StatusRequestHeaderFieldsTooLarge)
 	assert.Equal(t, owner.requests.Load(), int64(0))
 }
 
-// large makes a request with a large header.
-func (f *fixture) large(name string, size int) *http.Request {
+// requestWithLargeHeader returns a request with a header field of the given
+// size.
+func (f *fixture) requestWithLargeHeader(name string, size int) *http.Request {
 	request, err := http.NewRequest(http.MethodGet, f.url+"/keyed/plans/a", nil)
 	assert.NilError(f.t, err)
 	request.Header.Set(name, strings.Repeat("x", size))
 	return request
 }
 
-// A long body that breaks off after its beginning was passed on: the back end
-// must see that it is not whole, and it is not sent a second time.
-func TestBackendSeesThatALongBodyBrokeOff(t *testing.T) {
+// A long body ends early after its beginning was forwarded. The back end must
+// detect that it is incomplete, and it must not be sent again.
+func TestBackendDetectsTruncatedRequestBody(t *testing.T) {
 	seen := make(chan error, 2)
-	owner := newAgent(t, func(w http.ResponseWriter, r *http.Request) {
+	owner := newFakeAgent(t, func(w http.ResponseWriter, r *http.Request) {
 		_, err := io.Copy(io.Discard, r.Body)
 		seen <- err
-		answered(w, "ok")
+		respondAnswered(w, "ok")
 	})
 	f := newFixture(t, nil, owner)
 	connection, err := net.Dial("tcp", strings.TrimPrefix(f.url, "http://"))
 	assert.NilError(t, err)
-	_, err = fmt.Fprintf(connection, "PUT /keyed/plans/a HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", len(long), long[:len(long)/2])
+	_, err = fmt.Fprintf(connection, "PUT /keyed/plans/a HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", len(longBody), longBody[:len(longBody)/2])
 	assert.NilError(t, err)
-	poll.WaitOn(t, arrived(owner, 1))
+	poll.WaitOn(t, receivedAtLeast(owner, 1))
 	assert.NilError(t, connection.Close())
-	assert.Assert(t, <-seen != nil, "the back end took half a body for whole")
+	assert.Assert(t, <-seen != nil, "the back end took half of the body for a complete one")
 	poll.WaitOn(t, f.idle())
 	assert.Equal(t, owner.requests.Load(), int64(1))
 }
 
-// The end of a long upload must not leave the connection's next request
-// cancelled, as if its caller had gone away.
-func TestConnectionIsOfUseAfterALongBody(t *testing.T) {
-	f := newFixture(t, nil, newAgent(t, func(w http.ResponseWriter, r *http.Request) {
+// A read deadline that is left over from a streamed request body must not
+// cancel the next request on the connection, as if its caller had disconnected.
+func TestConnectionIsReusableAfterLargeBody(t *testing.T) {
+	f := newFixture(t, nil, newFakeAgent(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		answered(w, "ok")
+		respondAnswered(w, "ok")
 	}))
 	for range 200 {
-		f.send(http.MethodPut, "/keyed/plans/a", long).check(t, http.StatusOK, wire.OutcomeAnswered, noReason)
+		f.send(http.MethodPut, "/keyed/plans/a", longBody).check(t, http.StatusOK, wire.OutcomeAnswered, noReason)
 		f.get("/keyed/plans/a").check(t, http.StatusOK, wire.OutcomeAnswered, noReason)
 	}
 }
--- a/internal/router/superseded.go
+++ b/internal/router/superseded.go
@@ -9,64 +9,66 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// Causes for which the router itself ends an attempt.
+// Causes with which the router cancels an attempt.
 var (
-	// errSuperseded: the routing table named a new owner meanwhile.
+	// errSuperseded: the routing table names a new owner of the shard.
 	errSuperseded = errors.New("the shard has a new owner")
-	// errAttemptTimeout: another back end may be faster.
+	// errAttemptTimeout: no response within Config.AttemptTimeout; another back
+	// end may be faster.
 	errAttemptTimeout = errors.New("the back end took too long")
 )
 
-// attemptList holds a peer's keyed attempts without answer, so that they can be
-// ended when their shard gets a new owner: a frozen owner will not answer.
-type attemptList struct {
+// pendingAttempts lists an endpoint's keyed attempts that have no response yet,
+// so that they can be cancelled when their shard gets a new owner. The old
+// owner may be frozen and never answer.
+type pendingAttempts struct {
 	mutex sync.Mutex
-	first *pendingAttempt
+	head  *pendingAttempt
 }
 
-// pendingAttempt is a member of an attemptList.
+// pendingAttempt is an element of the linked list pendingAttempts.
 type pendingAttempt struct {
-	shard  topology.ShardID
-	epoch  topology.Epoch
-	key    topology.KeyHash
-	owner  topology.BackendID
-	cancel context.CancelCauseFunc
-	before *pendingAttempt
-	after  *pendingAttempt
+	shard    topology.ShardID
+	epoch    topology.Epoch
+	key      topology.KeyHash
+	owner    topology.BackendID
+	cancel   context.CancelCauseFunc
+	previous *pendingAttempt
+	next     *pendingAttempt
 }
 
-func (l *attemptList) add(p *pendingAttempt) {
+func (l *pendingAttempts) add(p *pendingAttempt) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	p.after = l.first
-	if l.first != nil {
-		l.first.before = p
+	p.next = l.head
+	if l.head != nil {
+		l.head.previous = p
 	}
-	l.first = p
+	l.head = p
 }
 
-func (l *attemptList) remove(p *pendingAttempt) {
+func (l *pendingAttempts) remove(p *pendingAttempt) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if p.before != nil {
-		p.before.after = p.after
-	} else if l.first == p {
-		l.first = p.after
+	if p.previous != nil {
+		p.previous.next = p.next
+	} else if l.head == p {
+		l.head = p.next
 	}
-	if p.after != nil {
-		p.after.before = p.before
+	if p.next != nil {
+		p.next.previous = p.previous
 	}
-	p.before, p.after = nil, nil
+	p.previous, p.next = nil, nil
 }
 
-// superseded returns how to cancel the attempts whose key has a new owner in
-// the view. After a split or a merge the epoch is a later one as well, but the
-// owner goes on with what it began.
-func (l *attemptList) superseded(v *view) []context.CancelCauseFunc {
+// supersededCancels returns the cancel functions of the attempts whose key has
+// a new owner in the view. A split or a merge raises the epoch as well, but the
+// owner stays and completes the requests that it has begun.
+func (l *pendingAttempts) supersededCancels(v *view) []context.CancelCauseFunc {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var found []context.CancelCauseFunc
-	for p := l.first; p != nil; p = p.after {
+	for p := l.head; p != nil; p = p.next {
 		shard, present := v.table.Shard(p.shard)
 		if present && shard.Epoch <= p.epoch {
 			continue
@@ -79,12 +81,12 @@
 	return found
 }
 
-// cancelSuperseded ends, after a grace in which answers on their way can
-// arrive, the attempts whose shard has a new owner.
+// cancelSuperseded cancels the attempts whose shard has a new owner. It waits
+// for SupersededGrace first, so that responses in transit can arrive.
 func (r *Router) cancelSuperseded(previous, next *view) {
 	var cancels []context.CancelCauseFunc
-	for _, p := range previous.peers {
-		cancels = append(cancels, p.attempts.superseded(next)...)
+	for _, e := range previous.endpoints {
+		cancels = append(cancels, e.pending.supersededCancels(next)...)
 	}
 	if len(cancels) == 0 {
 		return
--- a/internal/router/target.go
+++ b/internal/router/target.go
@@ -11,33 +11,36 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// target is where an attempt goes. Keyed targets name shard and epoch, by
-// which the agent and the back end check that the sender's table is right.
+// target is the destination of an attempt. A keyed target includes shard and
+// epoch, by which the agent and the back end check that the router's table is
+// current.
 type target struct {
-	peer     *peer
+	endpoint *endpoint
 	revision topology.Revision
 	keyed    bool
 	shard    topology.ShardID
 	epoch    topology.Epoch
 }
 
-// Waits between attempts.
+// Backoff between attempts.
 var (
-	// sameOwnerBackoff paces attempts at an owner that refused as out of step.
+	// sameOwnerBackoff applies to retries at the same owner.
 	sameOwnerBackoff = admission.Backoff{Initial: 10 * time.Millisecond, Maximum: 200 * time.Millisecond}
-	// otherBackendBackoff paces attempts at other back ends.
+	// otherBackendBackoff applies to retries at other back ends.
 	otherBackendBackoff = admission.Backoff{Initial: 2 * time.Millisecond, Maximum: 50 * time.Millisecond}
 )
 
-// recheckInterval bounds a wait for a new table.
-const recheckInterval = 500 * time.Millisecond
+// ownerRecheckInterval is the maximum time that a request waits for a new
+// routing table before it looks up its owner again.
+const ownerRecheckInterval = 500 * time.Millisecond
 
-// nextTarget finds where the next attempt goes. It waits, within the deadline
-// and the hold timeout, for an owner or for a retry's turn.
-func (f *forwarding) nextTarget() (target, *refusal) {
+// nextTarget returns the target of the next attempt. It waits, within the
+// deadline and the hold timeout, until there is an owner or until a retry is
+// due.
+func (f *forwarder) nextTarget() (target, *errorResponse) {
 	v := f.router.view.Load()
-	if refused := f.refuseIfStale(); refused != nil {
-		return target{}, refused
+	if errResp := f.staleTableError(); errResp != nil {
+		return target{}, errResp
 	}
 	if f.request.keyed {
 		return f.ownerTarget(v)
@@ -45,211 +48,218 @@
 	return f.balancedTarget(v)
 }
 
-// refuseIfStale refuses to route by a table that may no longer be in force: the
-// controllers count on it when they say that a change is in force everywhere.
-func (f *forwarding) refuseIfStale() *refusal {
+// staleTableError returns an error if the routing table is stale. A router must
+// not route by a table that may have been replaced: when the controllers report
+// that a change is in force everywhere, they rely on this.
+func (f *forwarder) staleTableError() *errorResponse {
 	if !f.router.stale() {
 		return nil
 	}
-	return f.giveUp(wire.ReasonStale, "the router has not heard a controller for too long")
+	return f.finalNotRunError(wire.ReasonStale, "the router has not heard a controller for too long")
 }
 
-// giveUp makes the final answer of a request that is in no attempt: it was not
-// run, unless an earlier attempt may have.
-func (f *forwarding) giveUp(reason wire.Reason, detail string) *refusal {
-	if f.mayHaveRun != nil {
-		return f.mayHaveRun
+// finalNotRunError returns the final error response for a request that is not
+// sent again. It states not-run, unless an earlier attempt may have run the
+// request.
+func (f *forwarder) finalNotRunError(reason wire.Reason, detail string) *errorResponse {
+	if f.unknownOutcome != nil {
+		return f.unknownOutcome
 	}
-	return notRun(reason, detail)
+	return notRunError(reason, detail)
 }
 
-// balancedTarget picks a back end for a request that is not bound to an owner.
-func (f *forwarding) balancedTarget(v *view) (target, *refusal) {
-	if f.last != nil {
-		if refused := f.awaitOtherBackend(v); refused != nil {
-			return target{}, refused
+// balancedTarget chooses a back end for a request without a key.
+func (f *forwarder) balancedTarget(v *view) (target, *errorResponse) {
+	if f.lastAttempt != nil {
+		if errResp := f.waitForBalancedRetry(v); errResp != nil {
+			return target{}, errResp
 		}
 		v = f.router.view.Load()
 	}
 	service, known := v.services[f.request.service.service.Name]
 	if !known {
-		return target{}, f.giveUp(wire.ReasonNotFound, "the service was removed")
+		return target{}, f.finalNotRunError(wire.ReasonNotFound, "the service was removed")
 	}
 	chosen := chooseBalanced(service.balanced, f.tried, f.router.config.Clock())
 	if chosen == nil || chosen.pool == nil {
-		return target{}, f.giveUp(wire.ReasonNoOwner, "the service has no active back end")
+		return target{}, f.finalNotRunError(wire.ReasonNoOwner, "the service has no active back end")
 	}
 	f.tried = append(f.tried, chosen)
-	return target{peer: chosen, revision: v.table.Revision()}, nil
+	return target{endpoint: chosen, revision: v.table.Revision()}, nil
 }
 
-// awaitOtherBackend pays for a retry and waits its pause.
-func (f *forwarding) awaitOtherBackend(v *view) *refusal {
+// waitForBalancedRetry charges the retry budget and waits for the backoff.
+func (f *forwarder) waitForBalancedRetry(v *view) *errorResponse {
 	if len(f.tried) >= maximumAttempts {
-		return f.final(f.last.refusal)
+		return f.finalError(f.lastAttempt.errResp)
 	}
-	if !f.payRetry() {
-		return f.final(f.last.refusal)
+	if !f.chargeRetry() {
+		return f.finalError(f.lastAttempt.errResp)
 	}
-	f.wait(v, nil, otherBackendBackoff.Wait(len(f.tried)-1, rand.Float64()))
-	return f.endOfWait()
+	f.waitForChange(v, nil, otherBackendBackoff.Wait(len(f.tried)-1, rand.Float64()))
+	return f.contextError()
 }
 
-// payRetry takes a retry from the budget, unless the last attempt cost the
-// back ends nothing or the retry was paid when that attempt was ended early.
-func (f *forwarding) payRetry() bool {
-	if f.last.kind == attemptNotSent || f.paid.Swap(false) {
+// chargeRetry takes a retry from the budget. A retry is free if nothing was
+// sent in the last attempt, or if it was already charged when that attempt was
+// cancelled.
+func (f *forwarder) chargeRetry() bool {
+	if f.lastAttempt.kind == attemptNotSent || f.retryPrepaid.Swap(false) {
 		return true
 	}
 	return f.router.spendRetry(f.request.service.state)
 }
 
-// ownerTarget finds the owner of the request's shard. While there is none, or
-// only the one that just refused, the request is held.
-func (f *forwarding) ownerTarget(v *view) (target, *refusal) {
-	hold := holding{forwarding: f}
-	defer hold.leave()
+// ownerTarget returns the owner of the request's shard. While there is none, or
+// while the owner may not be tried yet, the request is held.
+func (f *forwarder) ownerTarget(v *view) (target, *errorResponse) {
+	hold := holdReservation{forwarder: f}
+	defer hold.release()
 	for {
-		found, refused := f.ownerIn(v)
-		if refused != nil {
-			return target{}, refused
+		found, errResp := f.lookUpOwner(v)
+		if errResp != nil {
+			return target{}, errResp
 		}
-		if found.peer != nil && f.mayTry(found) {
+		if found.endpoint != nil && f.mayAttempt(found) {
 			return found, nil
 		}
-		if refused := hold.enter(); refused != nil {
-			return target{}, refused
+		if errResp := hold.reserve(); errResp != nil {
+			return target{}, errResp
 		}
-		f.wait(v, found.peer, f.pauseFor(found))
-		if refused := f.endOfWait(); refused != nil {
-			return target{}, refused
+		f.waitForChange(v, found.endpoint, f.ownerWaitDelay(found))
+		if errResp := f.contextError(); errResp != nil {
+			return target{}, errResp
 		}
-		if refused := f.refuseIfStale(); refused != nil {
-			return target{}, refused
+		if errResp := f.staleTableError(); errResp != nil {
+			return target{}, errResp
 		}
 		v = f.router.view.Load()
 	}
 }
 
-// ownerIn looks the owner up. Its peer is nil while the shard is between
-// owners.
-func (f *forwarding) ownerIn(v *view) (target, *refusal) {
+// lookUpOwner looks up the owner in a view. The endpoint is nil while the shard
+// has no serving owner or its endpoint is not usable.
+func (f *forwarder) lookUpOwner(v *view) (target, *errorResponse) {
 	service, known := v.services[f.request.service.service.Name]
 	if !known {
-		return target{}, f.giveUp(wire.ReasonNotFound, "the service was removed")
+		return target{}, f.finalNotRunError(wire.ReasonNotFound, "the service was removed")
 	}
-	route, found := v.table.LookupIn(service.service, f.request.position)
+	route, found := v.table.LookupIn(service.service, f.request.keyHash)
 	if !found {
-		return target{}, f.giveUp(wire.ReasonNoOwner, "the service has no shards")
+		return target{}, f.finalNotRunError(wire.ReasonNoOwner, "the service has no shards")
 	}
 	serves := route.Shard.Phase == topology.ShardOwned || route.Shard.Phase == topology.ShardWarming
 	if !serves || route.Owner == nil {
 		return target{}, nil
 	}
-	owner := v.peers[route.Owner.ID]
+	owner := v.endpoints[route.Owner.ID]
 	if owner.pool == nil {
 		return target{}, nil
 	}
 	return target{
-		peer: owner, revision: v.table.Revision(), keyed: true, shard: route.Shard.ID, epoch: route.Shard.Epoch,
+		endpoint: owner, revision: v.table.Revision(), keyed: true, shard: route.Shard.ID, epoch: route.Shard.Epoch,
 	}, nil
 }
 
-// mayTry says whether an attempt at an owner makes sense now: always at a new
-// one; again at the same one after a pause, at the cost of a retry unless
-// nothing was sent.
-func (f *forwarding) mayTry(found target) bool {
-	if f.last == nil || found.peer != f.last.target.peer || found.epoch != f.last.target.epoch || found.shard != f.last.target.shard {
-		f.sameOwner = 0
-		return found.peer.breaker.allow(f.router.config.Clock())
+// mayAttempt reports whether the owner may be tried now. A new owner, or one to
+// which nothing could be sent, may be tried whenever its breaker allows. The
+// owner of the last attempt may be retried after a backoff, if the retry budget
+// allows.
+func (f *forwarder) mayAttempt(found target) bool {
+	if f.lastAttempt == nil || found.endpoint != f.lastAttempt.target.endpoint || found.epoch != f.lastAttempt.target.epoch || found.shard != f.lastAttempt.target.shard {
+		f.sameOwnerRetries = 0
+		return found.endpoint.breaker.allow(f.router.config.Clock())
 	}
-	if f.last.kind == attemptNotSent {
-		return found.peer.breaker.allow(f.router.config.Clock())
+	if f.lastAttempt.kind == attemptNotSent {
+		return found.endpoint.breaker.allow(f.router.config.Clock())
 	}
-	if !f.paused {
+	if !f.sameOwnerPaused {
 		return false
 	}
-	f.paused = false
+	f.sameOwnerPaused = false
 	return f.router.spendRetry(f.request.service.state)
 }
 
-// pauseFor is how long to wait before the owner is looked up again when no new
-// table arrives.
-func (f *forwarding) pauseFor(found target) time.Duration {
-	if found.peer == nil {
-		return recheckInterval
+// ownerWaitDelay returns how long to wait before the owner is looked up again
+// if no new table arrives. It begins a backoff if the last attempt was at this
+// owner.
+func (f *forwarder) ownerWaitDelay(found target) time.Duration {
+	if found.endpoint == nil {
+		return ownerRecheckInterval
 	}
-	if f.last == nil || f.last.kind == attemptNotSent {
+	if f.lastAttempt == nil || f.lastAttempt.kind == attemptNotSent {
 		return probeInterval
 	}
-	f.paused = true
-	f.sameOwner++
-	return sameOwnerBackoff.Wait(f.sameOwner-1, rand.Float64())
+	f.sameOwnerPaused = true
+	f.sameOwnerRetries++
+	return sameOwnerBackoff.Wait(f.sameOwnerRetries-1, rand.Float64())
 }
 
-// wait ends at a new view, at the end of the pause, when the peer can be
-// reached again, or with the request.
-func (f *forwarding) wait(v *view, p *peer, pause time.Duration) {
+// waitForChange waits for a newer view, the end of the pause, the endpoint's
+// becoming reachable or the end of the request, whichever comes first.
+func (f *forwarder) waitForChange(v *view, e *endpoint, pause time.Duration) {
 	var reachable <-chan struct{}
-	if p != nil {
-		reachable = p.breaker.whenReachable()
+	if e != nil {
+		reachable = e.breaker.reachableAgain()
 	}
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
-	case <-v.changed:
+	case <-v.replaced:
 	case <-reachable:
 	case <-timer.C:
 	case <-f.ctx.Done():
 	}
 }
 
-// endOfWait says whether the request ended while it waited.
-func (f *forwarding) endOfWait() *refusal {
+// contextError returns the error response if the request's context has ended,
+// or nil.
+func (f *forwarder) contextError() *errorResponse {
 	err := f.ctx.Err()
 	if err == nil {
 		return nil
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
-		return f.giveUp(wire.ReasonExpired, "the deadline passed before an owner could take the request")
+		return f.finalNotRunError(wire.ReasonExpired, "the deadline passed before an owner could take the request")
 	}
-	return f.giveUp(wire.ReasonInterrupted, "the caller went away")
+	return f.finalNotRunError(wire.ReasonInterrupted, "the caller went away")
 }
 
-// holding is a request's place in the hold buffer.
-type holding struct {
-	forwarding *forwarding
-	inside     bool
+// holdReservation is a request's reservation in the hold buffer.
+type holdReservation struct {
+	forwarder *forwarder
+	reserved  bool
 }
 
-// enter takes a place, or refuses where there is none or the request has been
-// held too long.
-func (h *holding) enter() *refusal {
-	f := h.forwarding
-	if !h.inside {
-		if !f.router.hold.enter(len(f.request.body.buffered)) {
-			return f.giveUp(wire.ReasonShed, "too many requests wait for an owner")
+// reserve makes the reservation unless the request has one. It returns an error
+// if the buffer is full or the request has been held too long.
+func (h *holdReservation) reserve() *errorResponse {
+	f := h.forwarder
+	if !h.reserved {
+		if !f.router.holdBuffer.reserve(len(f.request.body.buffered)) {
+			return f.finalNotRunError(wire.ReasonShed, "too many requests wait for an owner")
 		}
-		h.inside = true
-		if f.holdUntil.IsZero() {
-			f.holdUntil = time.Now().Add(f.router.config.HoldTimeout)
+		h.reserved = true
+		if f.holdDeadline.IsZero() {
+			f.holdDeadline = time.Now().Add(f.router.config.HoldTimeout)
 		}
 	}
-	if time.Now().After(f.holdUntil) {
-		return f.giveUp(f.noOwnerReason(), "no owner took the request in time")
+	if time.Now().After(f.holdDeadline) {
+		return f.finalNotRunError(f.holdTimeoutReason(), "no owner took the request in time")
 	}
 	return nil
 }
 
-func (h *holding) leave() {
-	if h.inside {
-		h.forwarding.router.hold.leave(len(h.forwarding.request.body.buffered))
+// release gives up the reservation, if there is one.
+func (h *holdReservation) release() {
+	if h.reserved {
+		h.forwarder.router.holdBuffer.release(len(h.forwarder.request.body.buffered))
 	}
 }
 
-// noOwnerReason tells an unreachable owner from a missing one.
-func (f *forwarding) noOwnerReason() wire.Reason {
-	if f.last != nil && f.last.kind == attemptNotSent {
+// holdTimeoutReason distinguishes an unreachable owner from a missing one.
+func (f *forwarder) holdTimeoutReason() wire.Reason {
+	if f.lastAttempt != nil && f.lastAttempt.kind == attemptNotSent {
 		return wire.ReasonUnreachable
 	}
 	return wire.ReasonNoOwner
--- a/internal/router/transport_bench_test.go
+++ b/internal/router/transport_bench_test.go
@@ -17,9 +17,9 @@
 	"github.com/quartzdock/quartzdock/internal/upstream"
 )
 
-// This bench compares two ways for requests between router and agent; see
-// docs/decisions/011-request-transport.md. The gob streams are a prototype: no
-// cancellation, flow control, limits or proof of what was sent.
+// This benchmark compares two transports between router and agent; see
+// docs/decisions/011-request-transport.md. The gob streams are a prototype
+// without cancellation, flow control, limits or proof of what was sent.
 
 type gobRequest struct {
 	ID            uint64
@@ -29,7 +29,7 @@
 	WantedInBytes int
 }
 
-type gobAnswer struct {
+type gobResponse struct {
 	ID     uint64
 	Status int
 	Header map[string][]string
@@ -37,17 +37,17 @@
 	Last   bool
 }
 
-// gobChunk bounds the part of an answer that keeps others from the stream.
-const gobChunk = 16 * kibibyte
+// gobChunkBytes limits how long one response blocks others on the same stream.
+const gobChunkBytes = 16 * kibibyte
 
-// gobClient carries many requests at a time on one connection.
+// gobClient multiplexes requests on one connection.
 type gobClient struct {
 	connection net.Conn
 	sending    sync.Mutex
 	encoder    *gob.Encoder
 	mutex      sync.Mutex
 	next       uint64
-	waiting    map[uint64]chan gobAnswer
+	waiting    map[uint64]chan gobResponse
 }
 
 func dialGob(address string) (*gobClient, error) {
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &gobClient{connection: connection, encoder: gob.NewEncoder(connection), waiting: make(map[uint64]chan gobAnswer)}
+	c := &gobClient{connection: connection, encoder: gob.NewEncoder(connection), waiting: make(map[uint64]chan gobResponse)}
 	go c.receive()
 	return c, nil
 }
@@ -63,26 +63,26 @@
 func (c *gobClient) receive() {
 	decoder := gob.NewDecoder(c.connection)
 	for {
-		var answer gobAnswer
-		if decoder.Decode(&answer) != nil {
+		var response gobResponse
+		if decoder.Decode(&response) != nil {
 			return
 		}
 		c.mutex.Lock()
-		waiting := c.waiting[answer.ID]
-		if answer.Last {
-			delete(c.waiting, answer.ID)
+		waiting := c.waiting[response.ID]
+		if response.Last {
+			delete(c.waiting, response.ID)
 		}
 		c.mutex.Unlock()
-		waiting <- answer
+		waiting <- response
 	}
 }
 
 func (c *gobClient) do(request gobRequest) (int, error) {
-	answers := make(chan gobAnswer, 4)
+	responses := make(chan gobResponse, 4)
 	c.mutex.Lock()
 	c.next++
 	request.ID = c.next
-	c.waiting[request.ID] = answers
+	c.waiting[request.ID] = responses
 	c.mutex.Unlock()
 	c.sending.Lock()
 	err := c.encoder.Encode(&request)
@@ -92,9 +92,9 @@
 	}
 	received := 0
 	for {
-		answer := <-answers
-		received += len(answer.Body)
-		if answer.Last {
+		response := <-responses
+		received += len(response.Body)
+		if response.Last {
 			return received, nil
 		}
 	}
@@ -121,10 +121,10 @@
 		go func() {
 			header := map[string][]string{"Content-Type": {"text/plain"}, "Quartzdock-Outcome": {"answered"}}
 			for left := request.WantedInBytes; ; header = nil {
-				part := min(left, gobChunk)
+				part := min(left, gobChunkBytes)
 				left -= part
 				sending.Lock()
-				_ = encoder.Encode(&gobAnswer{ID: request.ID, Status: http.StatusOK, Header: header, Body: make([]byte, part), Last: left == 0})
+				_ = encoder.Encode(&gobResponse{ID: request.ID, Status: http.StatusOK, Header: header, Body: make([]byte, part), Last: left == 0})
 				sending.Unlock()
 				if left == 0 {
 					return
@@ -134,10 +134,10 @@
 	}
 }
 
-// exchangeOf makes one request for an answer of so many bytes.
-type exchangeOf func(size int) error
+// exchangeFunc sends one request for a response of the given size.
+type exchangeFunc func(size int) error
 
-func overGob(b *testing.B, connections int) exchangeOf {
+func overGob(b *testing.B, connections int) exchangeFunc {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -155,14 +155,14 @@
 	}
 	header := benchmarkHeader()
 	return func(size int) error {
-		client := <-clients // in turn
+		client := <-clients // round robin
 		clients <- client
 		_, err := client.do(gobRequest{Method: "GET", Path: "/keyed/plans/gate-7", Header: header, WantedInBytes: size})
 		return err
 	}
 }
 
-func overHTTP(b *testing.B) exchangeOf {
+func overHTTP(b *testing.B) exchangeFunc {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		size, _ := strconv.Atoi(r.URL.Query().Get("size"))
 		w.Header().Set("Quartzdock-Outcome", "answered")
@@ -200,36 +200,36 @@
 	}
 }
 
-// BenchmarkTransport: processor time of both ends together, and how long
-// look-ups take while map packs are fetched over the same transport.
+// BenchmarkTransport measures the CPU time of both ends together, and the
+// latency of lookups with and without bulk responses on the same transport.
 func BenchmarkTransport(b *testing.B) {
-	ways := []struct {
+	transports := []struct {
 		name string
-		open func() exchangeOf
+		open func() exchangeFunc
 	}{
-		{"http, up to 100 connections", func() exchangeOf { return overHTTP(b) }},
-		{"gob, 1 connection", func() exchangeOf { return overGob(b, 1) }},
-		{"gob, 4 connections", func() exchangeOf { return overGob(b, 4) }},
+		{"http, up to 100 connections", func() exchangeFunc { return overHTTP(b) }},
+		{"gob, 1 connection", func() exchangeFunc { return overGob(b, 1) }},
+		{"gob, 4 connections", func() exchangeFunc { return overGob(b, 4) }},
 	}
-	for _, way := range ways {
-		exchange := way.open()
-		b.Run(way.name+"/look-ups", func(b *testing.B) { measureTransport(b, exchange, false) })
-		b.Run(way.name+"/look-ups beside packs", func(b *testing.B) { measureTransport(b, exchange, true) })
+	for _, transport := range transports {
+		exchange := transport.open()
+		b.Run(transport.name+"/look-ups", func(b *testing.B) { measureTransport(b, exchange, false) })
+		b.Run(transport.name+"/look-ups beside packs", func(b *testing.B) { measureTransport(b, exchange, true) })
 	}
 }
 
-func measureTransport(b *testing.B, exchange exchangeOf, packs bool) {
+func measureTransport(b *testing.B, exchange exchangeFunc, packs bool) {
 	const lookupLoops, packLoops, packBytes = 16, 4, 4 * mebibyte
-	var took []time.Duration
+	var latencies []time.Duration
 	var cpu time.Duration
 	for b.Loop() {
 		var mutex sync.Mutex
-		var all, lookups sync.WaitGroup
+		var group, lookups sync.WaitGroup
 		end := time.Now().Add(500 * time.Millisecond)
 		before := currentUsage()
 		for range packLoops {
 			if packs {
-				all.Go(func() {
+				group.Go(func() {
 					for time.Now().Before(end) {
 						if err := exchange(packBytes); err != nil {
 							b.Error(err)
@@ -242,31 +242,31 @@
 			lookups.Go(func() {
 				var own []time.Duration
 				for time.Now().Before(end) {
-					began := time.Now()
+					started := time.Now()
 					if err := exchange(200); err != nil {
 						b.Error(err)
 					}
-					own = append(own, time.Since(began))
+					own = append(own, time.Since(started))
 				}
 				mutex.Lock()
 				defer mutex.Unlock()
-				took = append(took, own...)
+				latencies = append(latencies, own...)
 			})
 		}
 		lookups.Wait()
-		cpu += currentUsage().minus(before).CPU
-		all.Wait()
+		cpu += currentUsage().since(before).CPU
+		group.Wait()
 	}
-	slices.Sort(took)
+	slices.Sort(latencies)
 	b.ReportMetric(0, "ns/op")
 	if !packs {
-		b.ReportMetric(micros(cpu)/float64(len(took)), "µs-cpu/req")
+		b.ReportMetric(micros(cpu)/float64(len(latencies)), "µs-cpu/req")
 	}
-	b.ReportMetric(micros(took[len(took)/2]), "p50-µs")
-	b.ReportMetric(micros(took[len(took)*99/100]), "p99-µs")
+	b.ReportMetric(micros(latencies[len(latencies)/2]), "p50-µs")
+	b.ReportMetric(micros(latencies[len(latencies)*99/100]), "p99-µs")
 }
 
-// BenchmarkCodec is the part of a request that is encoding and decoding alone.
+// BenchmarkCodec measures the encoding and decoding of a request alone.
 func BenchmarkCodec(b *testing.B) {
 	b.Run("gob", func(b *testing.B) {
 		var stream bytes.Buffer
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -12,100 +12,102 @@
 	"github.com/quartzdock/quartzdock/internal/upstream"
 )
 
-// view is what goroutines that carry requests read: a routing table and the
-// connections, budgets and counts that belong to it. It is immutable; what it
-// points to is safe for use by several goroutines.
+// view combines a routing table with the endpoints and service states that it
+// refers to. Goroutines that handle requests read it. It is immutable, and the
+// objects it points to are safe for concurrent use.
 type view struct {
-	table    *routing.Table
-	services map[string]*serviceView
-	peers    map[topology.BackendID]*peer
-	// changed is closed when a later view is published.
-	changed chan struct{}
+	table     *routing.Table
+	services  map[string]*serviceView
+	endpoints map[topology.BackendID]*endpoint
+	// replaced is closed when a newer view is published.
+	replaced chan struct{}
 }
 
-// serviceView is a service in one view.
+// serviceView is the part of a view that belongs to one service.
 type serviceView struct {
 	service *routing.Service
 	state   *serviceState
-	// balanced are the back ends that take requests not bound to an owner.
-	balanced []*peer
+	// balanced lists the active back ends, for requests without a key.
+	balanced []*endpoint
 }
 
-// publish makes the next view from a table. It is called by one goroutine at a
-// time.
+// publish builds and publishes the view of a new table. Calls must not overlap.
 func (r *Router) publish(table *routing.Table) {
 	previous := r.view.Load()
 	next := &view{
 		table:    table,
 		services: make(map[string]*serviceView),
-		changed:  make(chan struct{}),
+		replaced: make(chan struct{}),
 	}
-	shared := previous != nil && table.SharesBackends(previous.table)
-	if shared {
-		next.peers = previous.peers
+	sameBackends := previous != nil && table.SharesBackends(previous.table)
+	if sameBackends {
+		next.endpoints = previous.endpoints
 	} else {
-		next.peers = r.peersOf(previous, table)
+		next.endpoints = r.buildEndpoints(previous, table)
 	}
 	for service := range table.Services() {
-		if shared {
-			next.services[service.Name] = r.nextServiceView(service, previous)
+		if sameBackends {
+			next.services[service.Name] = r.reuseServiceView(service, previous)
 		} else {
-			next.services[service.Name] = r.serviceViewOf(service, next.peers)
+			next.services[service.Name] = r.newServiceView(service, next.endpoints)
 		}
 	}
 	r.view.Store(next)
 	if previous == nil {
 		return
 	}
-	close(previous.changed)
-	if !shared {
-		r.closePeersNotIn(previous, next)
+	close(previous.replaced)
+	if !sameBackends {
+		r.closeRemovedEndpoints(previous, next)
 	}
 	r.cancelSuperseded(previous, next)
 }
 
-func (r *Router) peersOf(previous *view, table *routing.Table) map[topology.BackendID]*peer {
-	peers := make(map[topology.BackendID]*peer)
+// buildEndpoints returns the endpoints of a table's back ends. It reuses those
+// of the previous view.
+func (r *Router) buildEndpoints(previous *view, table *routing.Table) map[topology.BackendID]*endpoint {
+	endpoints := make(map[topology.BackendID]*endpoint)
 	for backend := range table.Backends() {
-		peers[backend.ID] = r.peerOf(previous, backend)
+		endpoints[backend.ID] = r.endpointFor(previous, backend)
 	}
-	return peers
+	return endpoints
 }
 
-// nextServiceView is the view of a service whose back ends did not change: only
-// its shards may have.
-func (r *Router) nextServiceView(service *routing.Service, previous *view) *serviceView {
-	earlier := previous.services[service.Name]
-	if earlier.service == service {
-		return earlier
+// reuseServiceView returns the view of a service whose back ends did not
+// change; only its shards may have changed.
+func (r *Router) reuseServiceView(service *routing.Service, previous *view) *serviceView {
+	old := previous.services[service.Name]
+	if old.service == service {
+		return old
 	}
-	return &serviceView{service: service, state: earlier.state, balanced: earlier.balanced}
+	return &serviceView{service: service, state: old.state, balanced: old.balanced}
 }
 
-// peerOf keeps the peer of a back end while its address stays.
-func (r *Router) peerOf(previous *view, backend *topology.Backend) *peer {
+// endpointFor returns the endpoint of a back end. It reuses the previous one if
+// the address is the same.
+func (r *Router) endpointFor(previous *view, backend *topology.Backend) *endpoint {
 	if previous != nil {
-		if kept := previous.peers[backend.ID]; kept != nil && kept.address == backend.AgentAddress {
-			return kept
+		if old := previous.endpoints[backend.ID]; old != nil && old.address == backend.AgentAddress {
+			return old
 		}
 	}
-	return r.newPeer(backend)
+	return r.newEndpoint(backend)
 }
 
-func (r *Router) newPeer(backend *topology.Backend) *peer {
-	made := &peer{
-		id:      backend.ID,
-		address: backend.AgentAddress,
-		near:    backend.Location.Zone == r.config.Location.Zone && backend.Location.Region == r.config.Location.Region,
+func (r *Router) newEndpoint(backend *topology.Backend) *endpoint {
+	result := &endpoint{
+		id:       backend.ID,
+		address:  backend.AgentAddress,
+		sameZone: backend.Location.Zone == r.config.Location.Zone && backend.Location.Region == r.config.Location.Region,
 	}
 	var err error
-	made.gate, err = gate.New(admission.Config{
+	result.gate, err = gate.New(admission.Config{
 		Slots:      r.config.AgentConnections,
 		QueueLimit: queuedPerConnection * r.config.AgentConnections,
 	}, r.config.Clock)
 	if err != nil {
-		r.config.Log.Error("back end has no usable limit", "backend", backend.Name, "error", err)
-		return made
+		r.config.Log.Error("failed to create connection gate for back end", "backend", backend.Name, "error", err)
+		return result
 	}
 	pool, err := upstream.New(upstream.Config{
 		Address:        backend.AgentAddress,
@@ -113,14 +115,15 @@
 		Dial:           dialFunc(r.config.AgentTLS),
 	})
 	if err != nil {
-		r.config.Log.Error("back end has no usable address", "backend", backend.Name, "error", err)
-		return made
+		r.config.Log.Error("failed to create connection pool for back end", "backend", backend.Name, "error", err)
+		return result
 	}
-	made.pool = pool
-	return made
+	result.pool = pool
+	return result
 }
 
-// dialFunc dials over TLS where a configuration is given.
+// dialFunc returns a function that dials over TLS, or nil, for the default, if
+// config is nil.
 func dialFunc(config *tls.Config) func(context.Context, string) (net.Conn, error) {
 	if config == nil {
 		return nil
@@ -131,21 +134,21 @@
 	}
 }
 
-func (r *Router) serviceViewOf(service *routing.Service, peers map[topology.BackendID]*peer) *serviceView {
-	made := &serviceView{service: service, state: r.stateOf(service)}
+func (r *Router) newServiceView(service *routing.Service, endpoints map[topology.BackendID]*endpoint) *serviceView {
+	result := &serviceView{service: service, state: r.serviceStateFor(service)}
 	for _, backend := range service.Backends() {
 		if backend.State == topology.BackendActive {
-			made.balanced = append(made.balanced, peers[backend.ID])
+			result.balanced = append(result.balanced, endpoints[backend.ID])
 		}
 	}
-	return made
+	return result
 }
 
-// closePeersNotIn closes the connections of back ends that went. Requests in
-// progress end first.
-func (r *Router) closePeersNotIn(previous, next *view) {
-	for id, old := range previous.peers {
-		if next.peers[id] != old && old.pool != nil {
+// closeRemovedEndpoints closes the connections of endpoints that are not in the
+// next view, once their requests in progress have ended.
+func (r *Router) closeRemovedEndpoints(previous, next *view) {
+	for id, old := range previous.endpoints {
+		if next.endpoints[id] != old && old.pool != nil {
 			go old.pool.Close()
 		}
 	}
--- a/internal/router/view_bench_test.go
+++ b/internal/router/view_bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// BenchmarkPublish makes the view of each next table: 75,000 shards of 40
-// services with 1,100 back ends, of which one shard gets a new owner each time.
+// BenchmarkPublish publishes successive tables with 75,000 shards of 40
+// services and 1,100 back ends. Between two tables, one shard changes.
 func BenchmarkPublish(b *testing.B) {
 	const services, shards, backends = 40, 75_000, 1100
 	r, err := New(Config{
@@ -34,7 +34,7 @@
 		snapshot.Services = append(snapshot.Services, routes)
 	}
 	for backend := range topology.BackendID(backends) {
-		// No address: this is about tables, not about connections.
+		// Without an address, no connections are opened.
 		snapshot.Backends = append(snapshot.Backends, topology.Backend{
 			ID: backend + 1, Service: topology.ServiceID(backend%services) + 1, State: topology.BackendActive,
 		})
