--- a/internal/ownership/charts.go
+++ b/internal/ownership/charts.go
@@ -10,7 +10,7 @@
 //go:embed shard.chart backend.chart
 var chartFiles embed.FS
 
-// ShardEvent is a kind of change in a shard's life; see shard.chart.
+// ShardEvent is a kind of change in a shard's lifecycle; see shard.chart.
 type ShardEvent uint8
 
 // Events of shard.chart.
@@ -36,11 +36,12 @@
 	return "unknown"
 }
 
-// ShardAction is what a transition of shard.chart does beside changing the
-// phase.
+// ShardAction is what a transition of shard.chart does in addition to changing
+// the phase.
 type ShardAction uint8
 
-// Actions of shard.chart. ShardNoAction is that of a transition without one.
+// Actions of shard.chart. ShardNoAction is used for a transition without an
+// action.
 const (
 	ShardNoAction ShardAction = iota
 	ShardGiveToTarget
@@ -58,7 +59,7 @@
 )
 
 // NextPhase returns the phase after an event and the action to perform. It
-// reports false where the chart has no such transition, phase or event.
+// returns false if the chart has no such transition, phase or event.
 func NextPhase(phase topology.ShardPhase, event ShardEvent) (topology.ShardPhase, ShardAction, bool) {
 	if phase < topology.ShardUnassigned || phase > topology.ShardReleasing || int(event) >= len(shardEventNames) {
 		return phase, ShardNoAction, false
@@ -68,7 +69,7 @@
 	return topology.ShardPhase(next) + topology.ShardUnassigned, ShardAction(action), ok
 }
 
-// BackendEvent is an operator's order for a back end; see backend.chart.
+// BackendEvent is an operator's command for a back end; see backend.chart.
 type BackendEvent uint8
 
 // Events of backend.chart.
@@ -78,7 +79,7 @@
 	EventRemove
 )
 
-// BackendAction is what a transition of backend.chart demands.
+// BackendAction is what a transition of backend.chart requires.
 type BackendAction uint8
 
 // Actions of backend.chart.
@@ -93,8 +94,9 @@
 	[]string{"check_owns_nothing"},
 )
 
-// NextBackendState returns a back end's state after an order. It reports false
-// where the chart has no such transition, state or order.
+// NextBackendState returns a back end's state after a command and the action to
+// perform. It returns false if the chart has no such transition, state or
+// command.
 func NextBackendState(state topology.BackendState, event BackendEvent) (topology.BackendState, BackendAction, bool) {
 	if state < topology.BackendActive || state > topology.BackendRemoved || event > EventRemove {
 		return state, BackendNoAction, false
--- a/internal/ownership/errors.go
+++ b/internal/ownership/errors.go
@@ -7,21 +7,23 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// Reasons that a holder may not serve a shard.
+// Reasons why a holder may not serve a shard.
 var (
-	// ErrNoLease: the back end's lease is not valid.
+	// ErrNoLease is returned if the back end's lease is not valid.
 	ErrNoLease = errors.New("no valid lease")
-	// ErrNotOwner: another back end owns the shard, or none does.
+	// ErrNotOwner is returned if another back end owns the shard, or none does.
 	ErrNotOwner = errors.New("not the owner of the shard")
-	// ErrReleasing: the shard is on its way to another back end and takes no
-	// new work.
+	// ErrReleasing is returned for new requests if the shard is being moved to
+	// another back end.
 	ErrReleasing = errors.New("shard takes no new work: it is moving")
 )
 
-// WrongEpochError says that a shard is owned at another epoch than asked.
+// WrongEpochError is returned if the shard is owned at another epoch than that
+// of the request.
 type WrongEpochError struct {
 	Shard topology.ShardID
-	// Asked is the epoch of the request, Held the holder's own.
+	// Asked is the epoch of the request, Held the epoch at which the holder
+	// owns the shard.
 	Asked, Held topology.Epoch
 }
 
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -16,14 +16,14 @@
 
 const duration = ownership.DefaultLeaseDuration
 
-func TestNothingExpiresBeforePredecessorsLeases(t *testing.T) {
+func TestNoLeaseLapsesBeforeEarlierLeadersLeasesEnd(t *testing.T) {
 	elected := 10 * time.Second
 	table := ownership.NewLeaseTable(duration, elected)
 	assert.Assert(t, !table.Lapsed(7, elected+duration-1))
 	assert.Assert(t, table.Lapsed(7, elected+duration))
 }
 
-func TestSecondProcessWaitsForTheFirstsLease(t *testing.T) {
+func TestSecondProcessGetsNoLeaseWhileTheFirstHoldsOne(t *testing.T) {
 	table := ownership.NewLeaseTable(duration, 0)
 	assert.Equal(t, table.Renew(1, 100, 0), duration)
 	assert.Equal(t, table.Renew(1, 200, duration-1), time.Duration(0))
@@ -41,7 +41,7 @@
 }
 
 // TestHolderStopsBeforeGrantor draws clocks that drift within the bound and
-// messages that are late, and checks that the holder's lease ends first.
+// delayed messages, and checks that the lease ends at the holder first.
 func TestHolderStopsBeforeGrantor(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		rate := rapid.Float64Range(1-ownership.DefaultClockDrift, 1).Draw(r, "holder's clock rate")
@@ -55,12 +55,12 @@
 		holder.Granted(holderClock(sent), granted)
 		end := received + granted
 		if holder.Valid(holderClock(end)) {
-			r.Fatalf("holder serves at %s, when the grantor counts the lease as over", end)
+			r.Fatalf("the holder's lease is valid at %s, when it has ended at the grantor", end)
 		}
 	})
 }
 
-func TestHolderServesOnlyWhatItOwns(t *testing.T) {
+func TestHolderAdmitsOnlyOwnedShards(t *testing.T) {
 	holder := ownership.NewHolder(0)
 	mine := topology.Shard{ID: topology.ShardID{Service: 1, Shard: 1}, Owner: 5, Epoch: 3, Phase: topology.ShardOwned}
 	leaving := topology.Shard{ID: topology.ShardID{Service: 1, Shard: 2}, Owner: 5, Epoch: 4, Phase: topology.ShardReleasing}
@@ -72,7 +72,7 @@
 	assert.NilError(t, holder.Admits(mine.ID, 3, 1))
 	assert.ErrorIs(t, holder.Admits(others.ID, 1, 1), ownership.ErrNotOwner)
 	assert.ErrorIs(t, holder.Admits(leaving.ID, 4, 1), ownership.ErrReleasing)
-	assert.NilError(t, holder.Owns(leaving.ID, 4, 1), "running work may end")
+	assert.NilError(t, holder.Owns(leaving.ID, 4, 1), "running requests may finish")
 	var wrong *ownership.WrongEpochError
 	assert.Assert(t, errors.As(holder.Admits(mine.ID, 2, 1), &wrong))
 	assert.Equal(t, wrong.Held, topology.Epoch(3))
@@ -80,10 +80,10 @@
 }
 
 // TestLeasesOfTwoLeadersNeverOverlap draws three clocks that drift within the
-// bound: those of an old leader, of its successor and of the process beside a
-// back end. The old leader grants until its leader lease ends; the new one may
-// think so up to any time between then and its election. When it counts the
-// back end's lease as ended, the holder must not serve any more.
+// bound: those of an old leader, of its successor and of a back end's agent.
+// The old leader grants leases until its leader lease ends; the new leader may
+// assume any later end up to its own election. When the new leader counts the
+// back end's lease as ended, the holder must no longer serve.
 func TestLeasesOfTwoLeadersNeverOverlap(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		const slowest = 1 - ownership.DefaultClockDrift
@@ -108,10 +108,10 @@
 		table.SetSettled(min(next(known), next(elected)) + duration)
 		free := time.Duration(float64(table.Settled())/float64(next(time.Hour))*float64(time.Hour)) + 1
 		if !table.Lapsed(1, next(free)+1) || table.Lapsed(1, next(free)-time.Millisecond) {
-			r.Fatalf("the table settles at another time than %s", free)
+			r.Fatalf("earlier leases do not lapse at %s", free)
 		}
 		if holder.Valid(holders(free)) {
-			r.Fatalf("the holder serves until %s, the new leader gives the shard away at %s", holder.ValidUntil(), holders(free))
+			r.Fatalf("the holder's lease is valid until %s, but lapsed at the new leader at %s", holder.ValidUntil(), holders(free))
 		}
 	})
 }
