--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -29,17 +29,18 @@
 )
 
 const (
-	// controlConnections of a back end's limit are kept for grants, warming
-	// and probes.
+	// controlConnections of the back end's connection limit are reserved for
+	// grants, warming and probes.
 	controlConnections = 3
-	// assumedSlots and assumedConnections hold until the routing table says.
-	assumedSlots       = 1
-	assumedConnections = 4
+	// initialSlots and initialConnections apply until the first routing table
+	// arrives.
+	initialSlots       = 1
+	initialConnections = 4
 	recordFolder       = "requests"
-	// cancelLinger is for how long a request that was given up keeps its slot
-	// while the back end has not confirmed its end.
-	cancelLinger = time.Second
-	eventBacklog = 64
+	// cancelLinger is how long a cancelled request keeps its slot while the
+	// back end has not confirmed that it ended.
+	cancelLinger     = time.Second
+	eventQueueLength = 64
 )
 
 // controllerLink is the part of subscription.Client that the agent uses.
@@ -49,7 +50,8 @@
 	Stop()
 }
 
-// Agent is a running agent.
+// Agent holds the lease of one back end, grants it shards and forwards requests
+// to it.
 type Agent struct {
 	config       Config
 	start        time.Time
@@ -72,40 +74,44 @@
 	stopped    chan struct{}
 	background sync.WaitGroup
 
-	// loadDue is when load is reported next; it belongs to the subscription's
-	// sending goroutine.
-	loadDue time.Duration
+	// nextLoadReport is when load is reported next. Only the subscription's
+	// sending goroutine uses it.
+	nextLoadReport time.Duration
 
-	// Written by the control goroutine or the prober, read when reporting.
+	// The fields below are written by the control goroutine, the prober or the
+	// goroutine that stops the agent, and read by others.
 	wantLease           atomic.Bool
 	grantsPossibleUntil atomic.Int64
 	leaving             atomic.Bool
-	unanswered          unanswered
-	// admission says what a planned stop still takes.
+	unanswered          unansweredRequests
+	// admission decides by their deadlines which requests are still admitted
+	// during a planned stop.
 	admission plannedstop.Admission
-	// closedToNew: the back end has been leaving for LeavingGrace.
+	// closedToNew is set once the back end has been leaving for LeavingGrace.
 	closedToNew atomic.Bool
-	// stopping: requests are refused and connections closed with their answers.
+	// stopping makes the agent refuse requests and close each connection after
+	// its answer.
 	stopping atomic.Bool
-	// moving counts owned shards that are on their way to another owner, and
-	// waitsForRestart says that none will be.
-	moving          atomic.Int32
+	// movingShards counts owned shards that are being moved to another owner.
+	// waitsForRestart is set when the placement policy keeps the shards in
+	// place for a restart, so none will move.
+	movingShards    atomic.Int32
 	waitsForRestart atomic.Bool
-	releasing       atomic.Bool
+	releasingLease  atomic.Bool
 	releaseReports  atomic.Uint32
 	backendState    atomic.Uint32
 	healthy         atomic.Bool
-	claimed         atomic.Uint32
+	reportedBusy    atomic.Uint32
 	self            atomic.Uint32
 	service         atomic.Uint32
-	// following is the revision of the table that the control goroutine has
-	// followed.
-	following atomic.Uint64
-	// table is the newest one put in force.
+	// appliedRevision is the revision of the last routing table that the
+	// control goroutine has applied.
+	appliedRevision atomic.Uint64
+	// table is the newest routing table. It may be newer than appliedRevision.
 	table atomic.Pointer[routing.Table]
 }
 
-// New opens the record and the listener. Run serves.
+// New opens the request record and the listener. Run starts serving.
 func New(config Config) (*Agent, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -113,29 +119,29 @@
 	agent := &Agent{
 		config:  config.withDefaults(),
 		start:   steady.Reading(),
-		events:  make(chan func(*controlLoop), eventBacklog),
+		events:  make(chan func(*controlLoop), eventQueueLength),
 		stopped: make(chan struct{}),
 	}
 	agent.view.Store(newView(nil, nil))
-	// Unknown until the back end has replaced the grants of the process before.
+	// Unknown until the back end has replaced the grants of an earlier process.
 	agent.grantsPossibleUntil.Store(math.MaxInt64)
 	agent.holder = ownership.NewHolder(agent.config.ClockDrift)
-	agent.lease = &lease{holder: agent.holder, withheld: true, extended: agent.leaseExtended}
+	agent.lease = &lease{holder: agent.holder, suspended: true, onExtended: agent.leaseExtended}
 	agent.fitness = newFitness(agent.config.Fitness)
-	if err := agent.open(); err != nil {
-		return nil, errors.Join(err, agent.release())
+	if err := agent.openResources(); err != nil {
+		return nil, errors.Join(err, agent.closeResources())
 	}
 	return agent, nil
 }
 
-// open takes what must be given back by release.
-func (agent *Agent) open() (err error) {
+// openResources opens what closeResources closes.
+func (agent *Agent) openResources() (err error) {
 	recordConfig := agent.config.Record
 	recordConfig.Directory = filepath.Join(agent.config.DataFolder, recordFolder)
 	if agent.record, err = requestrecord.Open(recordConfig); err != nil {
 		return err
 	}
-	if agent.gate, err = gate.New(admission.Config{Slots: assumedSlots}, agent.now); err != nil {
+	if agent.gate, err = gate.New(admission.Config{Slots: initialSlots}, agent.now); err != nil {
 		return err
 	}
 	if err := agent.openPools(); err != nil {
@@ -151,7 +157,7 @@
 func (agent *Agent) openPools() (err error) {
 	agent.requests, err = upstream.New(upstream.Config{
 		Address:        agent.config.BackendAddress,
-		MaxConnections: assumedConnections,
+		MaxConnections: initialConnections,
 		MinWarm:        agent.config.WarmConnections,
 		DialTimeout:    agent.config.DialTimeout,
 		Linger:         cancelLinger,
@@ -172,8 +178,8 @@
 	return nil
 }
 
-// release gives back what open took, as far as it came.
-func (agent *Agent) release() error {
+// closeResources closes what openResources has opened, which may be a part.
+func (agent *Agent) closeResources() error {
 	var failures []error
 	if agent.listener != nil {
 		if err := agent.listener.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
@@ -191,7 +197,7 @@
 	return errors.Join(failures...)
 }
 
-// advertised is the address by which controllers know the back end.
+// advertised returns the address by which controllers know the back end.
 func (agent *Agent) advertised() string {
 	if agent.config.Advertise != "" {
 		return agent.config.Advertise
@@ -199,7 +205,7 @@
 	return agent.Address()
 }
 
-// Address is the "IP:port" where requests are taken.
+// Address returns the "IP:port" on which requests are accepted.
 func (agent *Agent) Address() string { return agent.listener.Addr().String() }
 
 // Ready returns why the agent can't serve now, or nil.
@@ -210,10 +216,11 @@
 	return nil
 }
 
-// now is the process's monotonic clock.
+// now returns the reading of the process's monotonic clock.
 func (agent *Agent) now() time.Duration { return steady.Elapsed(agent.start) }
 
-// post gives the control goroutine an event; after it ended events are lost.
+// post queues an event for the control goroutine. Events are dropped once that
+// goroutine has ended.
 func (agent *Agent) post(event func(*controlLoop)) {
 	select {
 	case agent.events <- event:
@@ -225,23 +232,23 @@
 	agent.post(func(control *controlLoop) { control.syncGrants() })
 }
 
-// Run serves until the context ends, and then stops as planned: see stop.
+// Run serves until the context ends, then performs a planned stop; see stop.
 func (agent *Agent) Run(ctx context.Context) error {
 	link, err := subscription.Start(agent.subscriptionConfig())
 	if err != nil {
-		return errors.Join(err, agent.release())
+		return errors.Join(err, agent.closeResources())
 	}
 	return agent.runWith(ctx, link)
 }
 
-// runWith is Run with an open link to the controllers.
+// runWith is Run with a subscription that is already open.
 func (agent *Agent) runWith(ctx context.Context, link controllerLink) error {
 	agent.subscription = link
 	loops, endLoops := context.WithCancel(context.Background())
 	defer endLoops()
 	go func() {
 		defer close(agent.stopped)
-		newControl(agent).run(loops)
+		newControlLoop(agent).run(loops)
 	}()
 	agent.background.Go(func() { agent.probe(loops) })
 
@@ -256,7 +263,7 @@
 	endLoops()
 	<-agent.stopped
 	agent.background.Wait()
-	return errors.Join(err, agent.release())
+	return errors.Join(err, agent.closeResources())
 }
 
 func (agent *Agent) subscriptionConfig() subscription.Config {
@@ -277,7 +284,8 @@
 	}
 }
 
-// onWelcome learns the agent's identity.
+// onWelcome stores the identity that the controller gives the agent. If it
+// changed, the current routing table is applied again.
 func (agent *Agent) onWelcome(welcome wire.Welcome) {
 	agent.service.Store(uint32(welcome.Service))
 	if agent.self.Swap(uint32(welcome.Backend)) != uint32(welcome.Backend) {
@@ -287,18 +295,19 @@
 	}
 }
 
-// onTable puts a routing table in force before it is confirmed: from here on
-// the holder refuses what the table takes away.
+// onTable makes a routing table effective before it is confirmed to the
+// controller: from here on the holder refuses requests for shards that the
+// table takes away.
 func (agent *Agent) onTable(table *routing.Table) {
 	self := topology.BackendID(agent.self.Load())
 	agent.table.Store(table)
-	mine := newShare(table, self)
-	agent.holder.SetShards(maps.Values(mine.owned), self)
-	agent.post(func(control *controlLoop) { control.tableChanged(mine) })
+	assigned := newAssignment(table, self)
+	agent.holder.SetShards(maps.Values(assigned.owned), self)
+	agent.post(func(control *controlLoop) { control.applyTable(assigned) })
 }
 
-// send tells the controller; what is lost with a session is repeated by the
-// caller.
+// send sends a message to the controller. A message may be lost with its
+// session; callers send again.
 func (agent *Agent) send(message wire.ToController) {
 	_ = agent.subscription.Send(message)
 }
@@ -313,7 +322,8 @@
 	return secure.DialContext(ctx, "tcp", address)
 }
 
-// applyLimits takes over how much the back end may be asked to do.
+// applyLimits sets the slots and connections that the routing table allows for
+// the back end.
 func (control *controlLoop) applyLimits(backend *topology.Backend) {
 	if slots := int(backend.Slots); slots > 0 {
 		control.gate.SetSlots(slots)
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -13,14 +13,15 @@
 	"github.com/quartzdock/quartzdock/lab/ledger"
 )
 
-// shortClockBound keeps tests fast: all clocks here are the same.
+// shortClockBound keeps tests fast: all processes here use the same clock, so
+// that ids soon pass a record's floor.
 func shortClockBound(config *Config) { config.Record.ClockBound = 5 * time.Millisecond }
 
 func TestOwnedShardIsServed(t *testing.T) {
-	r := startRig(t, backend.Config{}, shortClockBound)
-	r.own(1, 3)
+	r := startHarness(t, backend.Config{}, shortClockBound)
+	r.ownShard(1, 3)
 	id := newID(time.Now())
-	got := r.do(call{method: http.MethodGet, path: "/closures/route/k", epoch: 3,
+	got := r.send(testRequest{method: http.MethodGet, path: "/closures/route/k", epoch: 3,
 		header: map[string]string{wire.HeaderRequestID: id}})
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, http.StatusOK)
@@ -28,28 +29,28 @@
 	assert.NilError(t, answer.Check([]byte(got.body), id, "k"))
 }
 
-func TestFenceRefusesWhatIsNotOwned(t *testing.T) {
-	r := startRig(t, backend.Config{}, shortClockBound)
-	r.own(1, 3)
-	got := r.do(call{method: http.MethodGet, path: "/closures/route/k", epoch: 2})
+func TestRequestIsRefusedAtWrongEpochOrWithoutLease(t *testing.T) {
+	r := startHarness(t, backend.Config{}, shortClockBound)
+	r.ownShard(1, 3)
+	got := r.send(testRequest{method: http.MethodGet, path: "/closures/route/k", epoch: 2})
 	assert.Equal(t, got.status, http.StatusMisdirectedRequest)
 	assert.Equal(t, got.reason, wire.ReasonWrongEpoch)
 
-	r.leader.refuses.Store(true)
+	r.controller.unresponsive.Store(true)
 	r.waitFor("lease over", func() bool { return !r.agent.holder.Valid(r.agent.now()) })
-	got = r.do(call{method: http.MethodGet, path: "/closures/route/k", epoch: 3})
+	got = r.send(testRequest{method: http.MethodGet, path: "/closures/route/k", epoch: 3})
 	assert.Equal(t, got.reason, wire.ReasonNoLease)
 	assert.Equal(t, got.outcome, wire.OutcomeNotRun)
 }
 
-func TestAnswerThatOutlivedItsLeaseIsUnknown(t *testing.T) {
-	r := startRig(t, backend.Config{}, shortClockBound)
-	r.own(1, 1)
+func TestAnswerAfterLeaseEndIsUnknown(t *testing.T) {
+	r := startHarness(t, backend.Config{}, shortClockBound)
+	r.ownShard(1, 1)
 	id := r.freshID()
-	result := r.background(call{method: http.MethodGet, path: "/closures/route/k?work=1500ms", epoch: 1,
+	result := r.sendAsync(testRequest{method: http.MethodGet, path: "/closures/route/k?work=1500ms", epoch: 1,
 		header: map[string]string{wire.HeaderRequestID: id}})
-	r.running(id)
-	r.leader.refuses.Store(true)
+	r.waitRunning(id)
+	r.controller.unresponsive.Store(true)
 	got := <-result
 	assert.Equal(t, got.status, http.StatusGatewayTimeout)
 	assert.Equal(t, got.outcome, wire.OutcomeUnknown)
@@ -57,21 +58,21 @@
 }
 
 func TestNonRepeatableRequestRunsOnce(t *testing.T) {
-	r := startRig(t, backend.Config{}, shortClockBound)
-	r.own(1, 1)
+	r := startHarness(t, backend.Config{}, shortClockBound)
+	r.ownShard(1, 1)
 	id := r.freshID()
-	posted := call{method: http.MethodPost, path: "/closures/edit/k?work=200ms", body: "closed", epoch: 1, id: id}
-	first := r.background(posted)
-	r.running(id)
-	assert.Equal(t, r.do(posted).reason, wire.ReasonDuplicate)
+	posted := testRequest{method: http.MethodPost, path: "/closures/edit/k?work=200ms", body: "closed", epoch: 1, id: id}
+	first := r.sendAsync(posted)
+	r.waitRunning(id)
+	assert.Equal(t, r.send(posted).reason, wire.ReasonDuplicate)
 	original := <-first
 	assert.Equal(t, original.outcome, wire.OutcomeAnswered)
-	again := r.do(posted)
+	again := r.send(posted)
 	assert.Equal(t, again.outcome, wire.OutcomeAnswered)
 	assert.Equal(t, again.body, original.body)
-	assert.Equal(t, r.count(id, ledger.KindRun), 1)
+	assert.Equal(t, r.countEntries(id, ledger.KindRun), 1)
 
 	changed := posted
 	changed.body = "opened"
-	assert.Equal(t, r.do(changed).status, http.StatusBadRequest)
+	assert.Equal(t, r.send(changed).status, http.StatusBadRequest)
 }
--- a/internal/agent/assignment.go
+++ b/internal/agent/assignment.go
@@ -8,61 +8,61 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// share is what a routing table says of one back end. It is found in a single
-// pass over the shards of its service, of which there may be 75,000, at each
-// change of the table. It is immutable.
-type share struct {
+// assignment is the part of a routing table that concerns one back end. It is
+// computed at each change of the table in one pass over the shards of its
+// service, of which there may be 75,000. It is immutable.
+type assignment struct {
 	table *routing.Table
 	self  topology.BackendID
-	// backend and service are nil where the table does not know them.
+	// backend and service are nil if they are not in the table.
 	backend *topology.Backend
 	service *routing.Service
 	owned   map[topology.ShardID]topology.Shard
-	// covers has the ranges of owned shards.
-	covers map[topology.ShardID]requestrecord.Range
-	// warming has the epochs of the shards that are to be warmed here.
+	// keyRange maps each owned shard to its range of key hashes.
+	keyRange map[topology.ShardID]requestrecord.Range
+	// warming maps each shard that is to be warmed here to its epoch.
 	warming map[topology.ShardID]topology.Epoch
 }
 
-func newShare(table *routing.Table, self topology.BackendID) *share {
-	found := &share{
-		table:   table,
-		self:    self,
-		owned:   make(map[topology.ShardID]topology.Shard),
-		covers:  make(map[topology.ShardID]requestrecord.Range),
-		warming: make(map[topology.ShardID]topology.Epoch),
+func newAssignment(table *routing.Table, self topology.BackendID) *assignment {
+	assigned := &assignment{
+		table:    table,
+		self:     self,
+		owned:    make(map[topology.ShardID]topology.Shard),
+		keyRange: make(map[topology.ShardID]requestrecord.Range),
+		warming:  make(map[topology.ShardID]topology.Epoch),
 	}
 	backend, known := table.Backend(self)
 	if !known {
-		return found
+		return assigned
 	}
-	found.backend = backend
-	if found.service, known = table.Service(backend.Service); known {
-		found.takeShards()
+	assigned.backend = backend
+	if assigned.service, known = table.Service(backend.Service); known {
+		assigned.collectShards()
 	}
-	return found
+	return assigned
 }
 
-func (found *share) takeShards() {
+func (assigned *assignment) collectShards() {
 	var previous *topology.Shard
-	for shard := range found.service.Shards() {
+	for shard := range assigned.service.Shards() {
 		if previous != nil {
-			found.cover(previous, shard.Start-1)
+			assigned.setKeyRange(previous, shard.Start-1)
 		}
 		previous = nil
-		if shard.Owner == found.self {
-			found.owned[shard.ID] = *shard
+		if shard.Owner == assigned.self {
+			assigned.owned[shard.ID] = *shard
 			previous = shard
 		}
-		if shard.Target == found.self && shard.Phase == topology.ShardWarming {
-			found.warming[shard.ID] = shard.Epoch
+		if shard.Target == assigned.self && shard.Phase == topology.ShardWarming {
+			assigned.warming[shard.ID] = shard.Epoch
 		}
 	}
 	if previous != nil {
-		found.cover(previous, math.MaxUint64)
+		assigned.setKeyRange(previous, math.MaxUint64)
 	}
 }
 
-func (found *share) cover(shard *topology.Shard, last topology.KeyHash) {
-	found.covers[shard.ID] = requestrecord.Range{Start: shard.Start, Last: last}
+func (assigned *assignment) setKeyRange(shard *topology.Shard, last topology.KeyHash) {
+	assigned.keyRange[shard.ID] = requestrecord.Range{Start: shard.Start, Last: last}
 }
--- a/internal/agent/bench_test.go
+++ b/internal/agent/bench_test.go
@@ -25,7 +25,7 @@
 	"github.com/quartzdock/quartzdock/lab/backend"
 )
 
-// benchSlots and benchCallers keep the back end busy without a queue.
+// benchSlots exceeds benchCallers, so that no request waits in a queue.
 const (
 	benchSlots   = 20
 	benchCallers = 16
@@ -37,17 +37,18 @@
 	config.WarmConnections = benchSlots
 }
 
-// processCPU is the processor time that this process has used.
+// processCPU returns the processor time that this process has used.
 func processCPU() time.Duration {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// measured runs do for b.N requests from several callers and reports latency,
+// runBenchmark calls do b.N times from several callers and reports latency,
 // processor time and requests per second. The processor time is that of caller,
-// agent and back end together: the agent's is what it adds to a direct run.
-func measured(b *testing.B, callers int, do func() error) {
+// agent and back end together: the agent's own is the difference from a direct
+// run.
+func runBenchmark(b *testing.B, callers int, do func() error) {
 	b.Helper()
 	b.ReportAllocs()
 	var next atomic.Int64
@@ -82,7 +83,7 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "req/s")
 }
 
-// lookup sends one request on a kept connection and reads its answer.
+// lookup sends one request on a connection of the pool and reads the response.
 func lookup(pool *upstream.Pool, request *http.Request) error {
 	response, err := pool.Do(context.Background(), request)
 	if err != nil {
@@ -104,42 +105,42 @@
 	return pool
 }
 
-// BenchmarkForward compares a look-up straight to a back end that does nothing
-// with the same through the agent, in one process.
+// BenchmarkForward compares a look-up sent directly to a back end that does no
+// work with the same look-up through the agent, in one process.
 func BenchmarkForward(b *testing.B) {
 	answer := []byte("gate 17 is to the left, 240 m, about three minutes on foot")
-	r, fake := startFakeRig(b, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(answer) }, benchConfig)
+	r, fake := startFakeHarness(b, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(answer) }, benchConfig)
 	r.agent.gate.SetSlots(benchSlots)
 	r.agent.requests.SetMaxConnections(100)
-	request := r.newRequest(call{method: http.MethodGet, path: "/closures/route/k", epoch: 1,
+	request := r.newRequest(testRequest{method: http.MethodGet, path: "/closures/route/k", epoch: 1,
 		header: map[string]string{wire.HeaderDeadline: "1000", wire.HeaderCaller: "app"}})
 	request.Body, request.ContentLength = nil, 0
 	for _, callers := range []int{1, benchCallers} {
 		direct := newBenchPool(b, fake.Listener.Addr().String())
 		through := newBenchPool(b, r.agent.Address())
 		b.Run(fmt.Sprintf("direct/callers=%d", callers), func(b *testing.B) {
-			measured(b, callers, func() error { return lookup(direct, request) })
+			runBenchmark(b, callers, func() error { return lookup(direct, request) })
 		})
 		b.Run(fmt.Sprintf("agent/callers=%d", callers), func(b *testing.B) {
-			measured(b, callers, func() error { return lookup(through, request) })
+			runBenchmark(b, callers, func() error { return lookup(through, request) })
 		})
 	}
 }
 
-// BenchmarkNonRepeatable is BenchmarkForward's agent with a request that passes
-// the record.
+// BenchmarkNonRepeatable is the agent's part of BenchmarkForward with a
+// non-repeatable request, which passes the request record.
 func BenchmarkNonRepeatable(b *testing.B) {
-	r, _ := startFakeRig(b, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "posted") }, benchConfig)
+	r, _ := startFakeHarness(b, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "posted") }, benchConfig)
 	r.agent.gate.SetSlots(benchSlots)
 	r.agent.requests.SetMaxConnections(100)
-	time.Sleep(2 * r.agent.config.Record.ClockBound) // the floor passes
+	time.Sleep(2 * r.agent.config.Record.ClockBound) // new ids are above the record's floor from here on
 	for _, callers := range []int{1, benchCallers} {
 		pool := newBenchPool(b, r.agent.Address())
 		b.Run(fmt.Sprintf("callers=%d", callers), func(b *testing.B) {
 			before := r.agent.record.Stats()
 			var number atomic.Uint64
-			measured(b, callers, func() error {
-				request := r.newRequest(call{method: http.MethodPost, path: "/closures/edit/k", epoch: 1,
+			runBenchmark(b, callers, func() error {
+				request := r.newRequest(testRequest{method: http.MethodPost, path: "/closures/edit/k", epoch: 1,
 					id: benchID(number.Add(1)), body: "closed", header: map[string]string{wire.HeaderCaller: "desk"}})
 				return lookup(pool, request)
 			})
@@ -149,12 +150,12 @@
 	}
 }
 
-// benchID makes ids that differ also between runs of a benchmark.
+// benchID returns ids that also differ between runs of a benchmark.
 func benchID(number uint64) string {
 	return newIDOf(time.Now(), uint64(time.Now().UnixNano())^number<<40)
 }
 
-// slowListener takes a time to accept a connection, as back ends do.
+// slowListener delays each accepted connection, as real back ends do.
 type slowListener struct {
 	net.Listener
 	cost time.Duration
@@ -167,7 +168,8 @@
 }
 
 // BenchmarkConnections compares a request on a kept connection with one for
-// which the agent must connect, at a back end that takes 1 ms to accept.
+// which the agent must open a connection, at a back end that takes 1 ms to
+// accept it.
 func BenchmarkConnections(b *testing.B) {
 	for _, kept := range []bool{true, false} {
 		b.Run(fmt.Sprintf("kept=%t", kept), func(b *testing.B) {
@@ -184,14 +186,15 @@
 			b.Cleanup(pool.Close)
 			request, err := http.NewRequest(http.MethodGet, back.URL, nil)
 			assert.NilError(b, err)
-			measured(b, 1, func() error { return lookup(pool, request) })
+			runBenchmark(b, 1, func() error { return lookup(pool, request) })
 		})
 	}
 }
 
-// tableOf has shards in equal parts over the services; the first back end is
-// the agent's and owns the first 75 shards of the first service.
-func tableOf(b *testing.B, r *rig, revision topology.Revision, services, shards int) *routing.Table {
+// tableOf returns a table whose shards are spread evenly over the services. The
+// agent's back end comes first and owns the first 75 shards of the first
+// service.
+func tableOf(b *testing.B, r *harness, revision topology.Revision, services, shards int) *routing.Table {
 	const ownShards, otherBackends = 75, 1000
 	snapshot := wire.RoutingSnapshot{Revision: revision, Backends: []topology.Backend{r.asBackend(topology.BackendActive)}}
 	for id := range otherBackends {
@@ -218,12 +221,12 @@
 	return table
 }
 
-// BenchmarkTableChange is what a delta costs an agent after its table was
-// made: one shard elsewhere moved.
+// BenchmarkTableChange measures what a change of the routing table costs an
+// agent, after the table was built, if a shard of other back ends has moved.
 func BenchmarkTableChange(b *testing.B) {
 	for _, size := range []struct{ services, shards int }{{1, 75}, {1, 75_000}, {100, 75_000}} {
 		b.Run(fmt.Sprintf("services=%d/shards=%d", size.services, size.shards), func(b *testing.B) {
-			r := startRig(b, backend.Config{}, benchConfig)
+			r := startHarness(b, backend.Config{}, benchConfig)
 			table := tableOf(b, r, 1, size.services, size.shards)
 			handled := make(chan struct{})
 			b.ReportAllocs()
@@ -238,13 +241,13 @@
 	}
 }
 
-// BenchmarkIdle is an agent that owns 75 shards and forwards nothing. An
-// operation is one second.
+// BenchmarkIdle measures an agent that owns 75 shards and forwards no requests.
+// One operation is one second.
 func BenchmarkIdle(b *testing.B) {
 	for _, size := range []struct{ services, shards int }{{1, 75}, {1, 75_000}} {
 		b.Run(fmt.Sprintf("shards=%d", size.shards), func(b *testing.B) {
-			r := startRig(b, backend.Config{}, benchConfig)
-			r.leader.renewEach.Store(int64(125 * time.Millisecond))
+			r := startHarness(b, backend.Config{}, benchConfig)
+			r.controller.renewInterval.Store(int64(125 * time.Millisecond))
 			table := tableOf(b, r, 1, size.services, size.shards)
 			r.agent.onTable(table)
 			r.waitFor("shards", func() bool { return len(r.agent.view.Load().shards) == 75 })
--- a/internal/agent/body.go
+++ b/internal/agent/body.go
@@ -13,33 +13,33 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// bufferedBytes is the longest body, of a request or an answer, that is held
-// whole in memory; longer ones are streamed.
-const bufferedBytes = 64 << 10
+// maxBufferedBytes is the longest request or response body that is buffered in
+// memory. Longer ones are streamed.
+const maxBufferedBytes = 64 << 10
 
 var errDigest = errors.New("body does not match its digest")
 
-// buffers holds byte slices of length bufferedBytes.
-var buffers = sync.Pool{New: func() any { return new([bufferedBytes]byte) }}
+// bufferPool holds buffers of maxBufferedBytes.
+var bufferPool = sync.Pool{New: func() any { return new([maxBufferedBytes]byte) }}
 
-// requestBody is the body of a request: whole in memory, or the rest of a
-// stream of which nothing was read.
+// requestBody is the body of a request: buffered in memory, or a stream of
+// which nothing has been read.
 type requestBody struct {
-	// whole is valid where stream is nil.
-	whole  []byte
-	buffer *[bufferedBytes]byte
-	stream *streamedBody
-	length int64
+	// buffered is valid if stream is nil.
+	buffered []byte
+	buffer   *[maxBufferedBytes]byte
+	stream   *streamedBody
+	length   int64
 }
 
-// release gives the memory back and, where a stream was not read to its end,
-// stops whoever still reads it.
+// release returns the buffer to the pool. It aborts a stream that was not read
+// to its end, so that a reader in progress returns.
 func (body *requestBody) release() {
 	if body.buffer != nil {
-		buffers.Put(body.buffer)
+		bufferPool.Put(body.buffer)
 	}
 	if body.stream != nil {
-		body.stream.stop()
+		body.stream.abort()
 	}
 }
 
@@ -48,28 +48,28 @@
 	if body.stream != nil {
 		return body.stream
 	}
-	if len(body.whole) == 0 {
+	if len(body.buffered) == 0 {
 		return nil
 	}
-	return io.NopCloser(&wholeReader{rest: body.whole})
+	return io.NopCloser(&sliceReader{remaining: body.buffered})
 }
 
-// wholeReader reads a slice; unlike bytes.Reader it offers no WriteTo, which
-// would hide it from the counting of what was sent.
-type wholeReader struct{ rest []byte }
+// sliceReader reads a slice. Unlike bytes.Reader it has no WriteTo method,
+// which would bypass the counting of bytes sent.
+type sliceReader struct{ remaining []byte }
 
-func (reader *wholeReader) Read(buffer []byte) (int, error) {
-	if len(reader.rest) == 0 {
+func (reader *sliceReader) Read(buffer []byte) (int, error) {
+	if len(reader.remaining) == 0 {
 		return 0, io.EOF
 	}
-	count := copy(buffer, reader.rest)
-	reader.rest = reader.rest[count:]
+	count := copy(buffer, reader.remaining)
+	reader.remaining = reader.remaining[count:]
 	return count, nil
 }
 
-// takeBody reads a short body whole, before the request waits for a slot: a
-// slow sender must not hold one. A long body is streamed later.
-func (agent *Agent) takeBody(w http.ResponseWriter, r *http.Request) (*requestBody, *refusal) {
+// readBody reads a short body into memory before the request waits for a slot,
+// so that a slow sender holds none. A long body is streamed later.
+func (agent *Agent) readBody(w http.ResponseWriter, r *http.Request) (*requestBody, *refusal) {
 	if r.ContentLength > agent.config.MaxBodyBytes {
 		return nil, notRun(http.StatusRequestEntityTooLarge, wire.ReasonTooLarge,
 			"the body is longer than "+strconv.FormatInt(agent.config.MaxBodyBytes, decimal)+" bytes")
@@ -77,78 +77,80 @@
 	if r.Body == nil || r.Body == http.NoBody {
 		return &requestBody{}, nil
 	}
-	source := agent.newStream(w, r)
-	if r.ContentLength < 0 || r.ContentLength > bufferedBytes {
+	source := agent.newStreamedBody(w, r)
+	if r.ContentLength < 0 || r.ContentLength > maxBufferedBytes {
 		return &requestBody{stream: source, length: r.ContentLength}, nil
 	}
-	body := &requestBody{buffer: buffers.Get().(*[bufferedBytes]byte), length: r.ContentLength}
-	body.whole = body.buffer[:r.ContentLength]
-	if _, err := io.ReadFull(source, body.whole); err != nil {
+	body := &requestBody{buffer: bufferPool.Get().(*[maxBufferedBytes]byte), length: r.ContentLength}
+	body.buffered = body.buffer[:r.ContentLength]
+	if _, err := io.ReadFull(source, body.buffered); err != nil {
 		body.release()
 		return nil, notRun(http.StatusBadRequest, wire.ReasonInvalid, "the body could not be read: "+err.Error())
 	}
 	return body, nil
 }
 
-// streamedBody is a request body that must make progress, stay within the
-// limit and match its digest.
+// streamedBody is a request body that is read with a progress timeout and a
+// size limit, and checked against its digest.
 type streamedBody struct {
-	source     io.ReadCloser
-	request    *http.Request
-	controller *http.ResponseController
-	progress   time.Duration
-	digest     *xxhash.Digest
-	done       bool
-	mutex      sync.Mutex
-	stopped    bool
+	source          io.ReadCloser
+	request         *http.Request
+	controller      *http.ResponseController
+	progressTimeout time.Duration
+	digest          *xxhash.Digest
+	done            bool
+	mutex           sync.Mutex
+	aborted         bool
 }
 
-func (agent *Agent) newStream(w http.ResponseWriter, r *http.Request) *streamedBody {
+func (agent *Agent) newStreamedBody(w http.ResponseWriter, r *http.Request) *streamedBody {
 	return &streamedBody{
-		source:     http.MaxBytesReader(w, r.Body, agent.config.MaxBodyBytes),
-		request:    r,
-		controller: http.NewResponseController(w),
-		progress:   agent.config.ProgressTimeout,
-		digest:     xxhash.New(),
+		source:          http.MaxBytesReader(w, r.Body, agent.config.MaxBodyBytes),
+		request:         r,
+		controller:      http.NewResponseController(w),
+		progressTimeout: agent.config.ProgressTimeout,
+		digest:          xxhash.New(),
 	}
 }
 
-// Read ends with an error when the sender gives nothing for the progress
-// timeout.
+// Read fails if the sender sends nothing for the progress timeout.
 func (stream *streamedBody) Read(buffer []byte) (int, error) {
-	if err := stream.extend(); err != nil {
+	if err := stream.extendDeadline(); err != nil {
 		return 0, err
 	}
 	count, err := stream.source.Read(buffer)
 	_, _ = stream.digest.Write(buffer[:count])
 	if err == io.EOF {
-		stream.finish()
+		stream.clearDeadline()
 		return count, stream.checkDigest()
 	}
 	return count, err
 }
 
-// extend moves the deadline of the connection, unless stop has set it.
-func (stream *streamedBody) extend() error {
+// extendDeadline moves the connection's read deadline forward, unless the body
+// was aborted.
+func (stream *streamedBody) extendDeadline() error {
 	stream.mutex.Lock()
 	defer stream.mutex.Unlock()
-	if stream.stopped {
+	if stream.aborted {
 		return http.ErrBodyReadAfterClose
 	}
-	return stream.controller.SetReadDeadline(time.Now().Add(stream.progress))
+	return stream.controller.SetReadDeadline(time.Now().Add(stream.progressTimeout))
 }
 
-// finish removes the deadline, so that the connection can be used again.
-func (stream *streamedBody) finish() {
+// clearDeadline removes the read deadline, so that the connection can be used
+// again.
+func (stream *streamedBody) clearDeadline() {
 	stream.mutex.Lock()
 	defer stream.mutex.Unlock()
 	stream.done = true
-	if !stream.stopped {
+	if !stream.aborted {
 		_ = stream.controller.SetReadDeadline(time.Time{})
 	}
 }
 
-// checkDigest returns io.EOF for a whole body.
+// checkDigest returns io.EOF if the body matches the digest in its trailer or
+// has none.
 func (stream *streamedBody) checkDigest() error {
 	expected := stream.request.Trailer.Get(wire.TrailerDigest)
 	if expected != "" && expected != digestText(stream.digest.Sum64()) {
@@ -157,27 +159,27 @@
 	return io.EOF
 }
 
-// stop ends a Read in progress: the answer came before the whole body, or the
-// request was refused. The connection can't be used again.
-func (stream *streamedBody) stop() {
+// abort ends a Read in progress, because the response arrived before the whole
+// body was sent or the request was refused. The connection can't be used again.
+func (stream *streamedBody) abort() {
 	stream.mutex.Lock()
 	defer stream.mutex.Unlock()
-	stream.stopped = true
+	stream.aborted = true
 	if !stream.done {
 		_ = stream.controller.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-// Close implements io.Closer. The server closes the source itself.
+// Close implements io.Closer. It does nothing: the server closes the source.
 func (stream *streamedBody) Close() error { return nil }
 
-// fingerprint tells requests apart that carry the same id: method, target,
-// length and, where it is in memory, the body.
+// fingerprint returns a hash that distinguishes requests with the same id. It
+// covers the method, target and length, and the body if it is buffered.
 func fingerprint(r *http.Request, body *requestBody) uint64 {
 	digest := xxhash.New()
 	for _, part := range []string{r.Method, " ", r.URL.RequestURI(), " ", strconv.FormatInt(body.length, decimal), " "} {
 		_, _ = digest.WriteString(part)
 	}
-	_, _ = digest.Write(body.whole)
+	_, _ = digest.Write(body.buffered)
 	return digest.Sum64()
 }
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -29,26 +29,27 @@
 	DefaultProgressTimeout = 10 * time.Second
 )
 
-// Config of an Agent. Zero fields take the defaults.
+// Config configures an Agent. Zero fields take their defaults.
 type Config struct {
-	// Name of the back end beside the agent, as operators created it.
+	// Name of the agent's back end, as operators created it.
 	Name     string
 	Group    topology.GroupID
 	Location topology.Location
 	// Controllers lists session addresses, "IP:port".
 	Controllers []string
-	// Listen is where routers and other agents send requests, "IP:port".
+	// Listen is the "IP:port" on which the agent accepts requests from routers
+	// and other agents.
 	Listen string
-	// Advertise is the address by which operators created the back end; empty
-	// takes the bound one.
+	// Advertise is the address under which operators created the back end. If
+	// empty, the bound address is used.
 	Advertise string
 	// DataFolder holds the record of non-repeatable requests.
 	DataFolder string
 	// BackendAddress is the back end's "IP:port".
 	BackendAddress string
 
-	// ServerTLS and ClientTLS, if set, secure the links to routers and other
-	// agents; Transport those to controllers.
+	// ServerTLS and ClientTLS, if set, secure the connections with routers and
+	// other agents. Transport configures the connections to controllers.
 	ServerTLS *tls.Config
 	ClientTLS *tls.Config
 	Transport transport.Options
@@ -60,35 +61,36 @@
 	HeaderTimeout time.Duration
 	// RequestTimeout applies to requests without a deadline.
 	RequestTimeout time.Duration
-	// ProgressTimeout ends a request whose sender or reader does not take or
-	// give a single byte for so long.
+	// ProgressTimeout ends a request if its sender sends, or its reader reads,
+	// not a single byte for this long.
 	ProgressTimeout time.Duration
 	// DialTimeout bounds a new connection to the back end.
 	DialTimeout time.Duration
-	// WarmConnections to the back end are kept open. Negative keeps none.
+	// WarmConnections is the number of connections to the back end that are
+	// kept open. A negative number keeps none.
 	WarmConnections int
-	// LoadInterval is how often the back end's load endpoint is asked.
+	// LoadInterval is how often the back end's load endpoint is queried.
 	LoadInterval time.Duration
-	// StopTimeout bounds a planned stop: at most its first half waits until the
-	// shards have moved, the rest for requests in progress. A part at its end is
-	// kept for the release of the lease (see drainTime).
+	// StopTimeout bounds a planned stop. Up to half of it is spent waiting
+	// until the shards have moved, the rest on requests in progress. Some time
+	// at its end is reserved for releasing the lease; see drainBudget.
 	StopTimeout time.Duration
-	// LeavingGrace is for how long a back end that leaves still takes new work,
-	// while its shards move.
+	// LeavingGrace is how long a leaving back end still accepts new requests
+	// while its shards are moved.
 	LeavingGrace time.Duration
 
-	// ClockDrift bounds the drift between two machines' monotonic clocks, as a
-	// share.
+	// ClockDrift bounds the relative drift between the monotonic clocks of two
+	// machines, as a fraction.
 	ClockDrift float64
-	// Record holds the settings of the record of non-repeatable requests. Its
-	// Directory is set by the agent.
+	// Record configures the record of non-repeatable requests. The agent sets
+	// its Directory.
 	Record requestrecord.Config
-	// Fitness says when the back end counts as failed.
+	// Fitness configures when the back end counts as failed.
 	Fitness FitnessConfig
 
-	// Log takes changes of state; nil discards.
+	// Log receives state changes and failures. If nil, nothing is logged.
 	Log *slog.Logger
-	// Registry takes the agent's metrics; nil takes none.
+	// Registry receives the agent's metrics. If nil, none are registered.
 	Registry prometheus.Registerer
 }
 
@@ -118,12 +120,12 @@
 	}
 }
 
-// validate returns all findings joined.
+// validate returns all errors joined.
 func (config Config) validate() error {
-	var findings []error
+	var problems []error
 	require := func(value, field string) {
 		if value == "" {
-			findings = append(findings, errors.New("agent: "+field+" is required"))
+			problems = append(problems, errors.New("agent: "+field+" is required"))
 		}
 	}
 	require(config.Name, "Name")
@@ -131,10 +133,10 @@
 	require(config.DataFolder, "DataFolder")
 	require(config.BackendAddress, "BackendAddress")
 	if len(config.Controllers) == 0 {
-		findings = append(findings, errors.New("agent: Controllers is required"))
+		problems = append(problems, errors.New("agent: Controllers is required"))
 	}
 	if config.ClockDrift < 0 || config.ClockDrift >= 1 {
-		findings = append(findings, errors.New("agent: ClockDrift must be a share from 0 to below 1"))
+		problems = append(problems, errors.New("agent: ClockDrift must be at least 0 and below 1"))
 	}
-	return errors.Join(findings...)
+	return errors.Join(problems...)
 }
--- a/internal/agent/counts.go
+++ b/internal/agent/counts.go
@@ -11,19 +11,20 @@
 
 const subsystem = "agent"
 
-// counts are what the agent counts beside Prometheus vectors.
+// counts holds the agent's counters and the metrics with labels.
 type counts struct {
 	grantFailures   atomic.Uint64
 	recordsLost     atomic.Uint64
-	recordsTaken    atomic.Uint64
+	recordsReceived atomic.Uint64
 	transfersFailed atomic.Uint64
-	// outcomes by outcome and reason.
+	// outcomes counts requests by outcome and reason.
 	outcomes *prometheus.CounterVec
-	// slotTime of requests that were sent to the back end.
+	// slotTime is for how long requests that were sent to the back end held
+	// their slots, by class.
 	slotTime *prometheus.HistogramVec
 }
 
-// register makes the metrics and registers them where a registry is given.
+// register creates the metrics and, if there is a registry, registers them.
 func (agent *Agent) register() error {
 	agent.counts.outcomes = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Namespace: metrics.Namespace, Subsystem: subsystem, Name: "requests_total",
@@ -68,7 +69,7 @@
 		gauge("lease_seconds", "Time until the lease ends; negative without one.",
 			func() float64 { return (agent.holder.ValidUntil() - agent.now()).Seconds() }),
 		gauge("backend_fit", "1 while the back end serves; 0 while it is unreachable or rests after failures.",
-			func() float64 { return boolean(agent.backendState.Load() == uint32(stateFit)) }),
+			func() float64 { return boolToFloat(agent.backendState.Load() == uint32(stateFit)) }),
 		gauge("backend_connections", "Open connections to the back end for requests.",
 			func() float64 { return float64(agent.requests.Stats().Open) }),
 		gauge("record_entries", "Request ids remembered.",
@@ -82,7 +83,7 @@
 		counter("records_lost_total", "Shards taken over without their record of request ids.",
 			agent.counts.recordsLost.Load),
 		counter("records_taken_total", "Records of request ids received from previous owners.",
-			agent.counts.recordsTaken.Load),
+			agent.counts.recordsReceived.Load),
 		counter("record_transfers_failed_total", "Records that did not reach the next owner.",
 			agent.counts.transfersFailed.Load),
 		counter("grant_failures_total", "Messages of grants that the back end did not answer.",
@@ -90,14 +91,14 @@
 	}
 }
 
-func boolean(value bool) float64 {
+func boolToFloat(value bool) float64 {
 	if value {
 		return 1
 	}
 	return 0
 }
 
-// countOutcome counts one request's end.
+// countOutcome counts the outcome of one request.
 func (agent *Agent) countOutcome(outcome wire.Outcome, reason wire.Reason) {
 	agent.counts.outcomes.WithLabelValues(string(outcome), string(reason)).Inc()
 }
--- a/internal/agent/fence_test.go
+++ b/internal/agent/fence_test.go
@@ -17,18 +17,18 @@
 
 func TestLeaseCountsFromSendingLessTheDriftBound(t *testing.T) {
 	holder := ownership.NewHolder(0.02)
-	held := &lease{holder: holder, extended: func() {}}
+	held := &lease{holder: holder, onExtended: func() {}}
 	held.Granted(time.Second, 500*time.Millisecond)
 	assert.Equal(t, holder.ValidUntil(), 1490*time.Millisecond)
 	held.Granted(900*time.Millisecond, 500*time.Millisecond)
-	assert.Equal(t, holder.ValidUntil(), 1490*time.Millisecond, "an earlier renewal answered later shortens nothing")
+	assert.Equal(t, holder.ValidUntil(), 1490*time.Millisecond, "a late answer to an earlier renewal must not shorten the lease")
 
-	held.withhold()
+	held.suspend()
 	held.Granted(1200*time.Millisecond, 500*time.Millisecond)
-	assert.Equal(t, holder.ValidUntil(), time.Duration(0), "given up")
+	assert.Equal(t, holder.ValidUntil(), time.Duration(0), "the lease was given up")
 	held.resume(2 * time.Second)
 	held.Granted(1900*time.Millisecond, 500*time.Millisecond)
-	assert.Equal(t, holder.ValidUntil(), time.Duration(0), "the renewal was sent before the return")
+	assert.Equal(t, holder.ValidUntil(), time.Duration(0), "the renewal was sent before the lease was resumed")
 	held.Granted(2*time.Second, 500*time.Millisecond)
 	assert.Equal(t, holder.ValidUntil(), 2490*time.Millisecond)
 }
@@ -41,68 +41,70 @@
 	assert.Equal(t, clock.Convert(500*time.Millisecond), int64(0), "a time that has passed")
 }
 
-// TestFreezeEndsWhatWasAdmitted: no renewal passes for longer than the lease, as
-// when the agent is frozen, and the answer is there when it returns.
-func TestFreezeEndsWhatWasAdmitted(t *testing.T) {
-	r := startRig(t, backend.Config{}, shortClockBound)
-	r.own(1, 1)
+// TestFreezeBeyondTheLeaseMakesAnswersUnknown: no renewal succeeds for longer
+// than the lease, as if the agent were suspended, and the back end's answer is
+// there when it resumes.
+func TestFreezeBeyondTheLeaseMakesAnswersUnknown(t *testing.T) {
+	r := startHarness(t, backend.Config{}, shortClockBound)
+	r.ownShard(1, 1)
 	id := r.freshID()
-	posted := call{method: http.MethodPost, path: "/closures/edit/k?work=1200ms", body: "closed", epoch: 1, id: id}
-	result := r.background(posted)
-	r.running(id)
-	r.leader.refuses.Store(true)
+	posted := testRequest{method: http.MethodPost, path: "/closures/edit/k?work=1200ms", body: "closed", epoch: 1, id: id}
+	result := r.sendAsync(posted)
+	r.waitRunning(id)
+	r.controller.unresponsive.Store(true)
 	got := <-result
 	assert.Equal(t, got.outcome, wire.OutcomeUnknown)
 	assert.Equal(t, got.reason, wire.ReasonLeaseLost)
-	assert.Equal(t, r.count(id, ledger.KindWrite), 0, "the back end's fence keeps nothing after the lease")
+	assert.Equal(t, r.countEntries(id, ledger.KindWrite), 0, "the back end's fencing check must discard writes after the lease")
 
-	r.leader.refuses.Store(false)
+	r.controller.unresponsive.Store(false)
 	r.waitFor("lease", func() bool { return r.agent.holder.Valid(r.agent.now()) })
-	again := r.do(posted)
+	again := r.send(posted)
 	assert.Assert(t, again.outcome != wire.OutcomeNotRun, "%+v", again)
-	assert.Equal(t, r.count(id, ledger.KindRun), 1)
+	assert.Equal(t, r.countEntries(id, ledger.KindRun), 1)
 }
 
 func TestStreamIsCutWhenTheLeaseEnds(t *testing.T) {
-	r := startRig(t, backend.Config{}, shortClockBound)
-	r.own(1, 1)
+	r := startHarness(t, backend.Config{}, shortClockBound)
+	r.ownShard(1, 1)
 	id := r.freshID()
-	result := r.background(call{method: http.MethodGet, path: "/closures/pack/k?bytes=4000000&pace=3s", epoch: 1,
+	result := r.sendAsync(testRequest{method: http.MethodGet, path: "/closures/pack/k?bytes=4000000&pace=3s", epoch: 1,
 		header: map[string]string{wire.HeaderRequestID: id, wire.HeaderClass: classBulk}})
-	r.running(id)
-	r.leader.refuses.Store(true)
+	r.waitRunning(id)
+	r.controller.unresponsive.Store(true)
 	got := <-result
-	assert.Assert(t, got.err != nil, "the reader must see that the answer is not whole")
+	assert.Assert(t, got.err != nil, "the reader must see that the answer is incomplete")
 	assert.Assert(t, len(got.body) < 4000000)
 }
 
-// TestEpochThatTheBackEndRefusesIsNotServed: a later owner's grant of a higher
-// epoch reached the back end first.
+// TestEpochThatTheBackEndRefusesIsNotServed: the back end has already seen a
+// higher epoch, of a later owner.
 func TestEpochThatTheBackEndRefusesIsNotServed(t *testing.T) {
-	r := startRig(t, backend.Config{}, shortClockBound)
+	r := startHarness(t, backend.Config{}, shortClockBound)
 	seen, err := http.NewRequest(http.MethodGet, "http://"+r.backend.Address()+"/closures/route/k", nil)
 	assert.NilError(t, err)
 	seen.Header.Set(wire.HeaderShard, shard.String())
 	seen.Header.Set(wire.HeaderEpoch, "5")
 	assert.Equal(t, exchange(seen).status, http.StatusPreconditionFailed)
 
-	r.give(1, topology.Shard{Phase: topology.ShardOwned, Owner: self, Epoch: 4})
-	got := r.do(call{method: http.MethodGet, path: "/closures/route/k", epoch: 4})
+	r.applyShard(1, topology.Shard{Phase: topology.ShardOwned, Owner: self, Epoch: 4})
+	got := r.send(testRequest{method: http.MethodGet, path: "/closures/route/k", epoch: 4})
 	assert.Equal(t, got.outcome, wire.OutcomeNotRun)
 	assert.Equal(t, got.reason, wire.ReasonNoLease)
-	r.own(2, 6)
-	assert.Equal(t, r.do(call{method: http.MethodGet, path: "/closures/route/k", epoch: 6}).outcome, wire.OutcomeAnswered)
+	r.ownShard(2, 6)
+	assert.Equal(t, r.send(testRequest{method: http.MethodGet, path: "/closures/route/k", epoch: 6}).outcome, wire.OutcomeAnswered)
 }
 
-// TestRestartedBackEndIsGrantedAnew: it forgot its grants and its clock.
-func TestRestartedBackEndIsGrantedAnew(t *testing.T) {
-	r := startRig(t, backend.Config{}, shortClockBound)
-	r.own(1, 1)
+// TestRestartedBackEndReceivesGrantsAgain: a restarted back end has lost its
+// grants, and its clock has another origin.
+func TestRestartedBackEndReceivesGrantsAgain(t *testing.T) {
+	r := startHarness(t, backend.Config{}, shortClockBound)
+	r.ownShard(1, 1)
 	address := r.backend.Address()
 	stopNow(t, r.backend)
 	r.backend, r.ledger = startBackend(t, backend.Config{Listen: address})
-	r.waitFor("grants", func() bool { return r.status()["grants"] == 1.0 })
+	r.waitFor("grants", func() bool { return r.backendStatus()["grants"] == 1.0 })
 	r.waitFor("answer", func() bool {
-		return r.do(call{method: http.MethodGet, path: "/closures/route/k", epoch: 1}).outcome == wire.OutcomeAnswered
+		return r.send(testRequest{method: http.MethodGet, path: "/closures/route/k", epoch: 1}).outcome == wire.OutcomeAnswered
 	})
 }
--- a/internal/agent/fitness.go
+++ b/internal/agent/fitness.go
@@ -9,120 +9,123 @@
 
 // Defaults of FitnessConfig.
 const (
-	DefaultFailuresInARow = 10
-	DefaultFailureSpan    = 250 * time.Millisecond
-	DefaultStalledAtLeast = 3
-	DefaultStallFactor    = 8
-	DefaultStallMinimum   = time.Second
-	DefaultStallMaximum   = 10 * time.Second
-	DefaultRestFirst      = 2 * time.Second
-	DefaultRestLimit      = time.Minute
-	// sameSourceFactor multiplies FailuresInARow where all failures were on one
-	// shard or of one caller: the fault may be in these requests, and would
-	// follow them to the next owner.
+	DefaultConsecutiveFailures = 10
+	DefaultFailureSpan         = 250 * time.Millisecond
+	DefaultStalledRequests     = 3
+	DefaultStallFactor         = 8
+	DefaultStallMinimum        = time.Second
+	DefaultStallMaximum        = 10 * time.Second
+	DefaultBackoffInitial      = 2 * time.Second
+	DefaultBackoffMaximum      = time.Minute
+	// sameSourceFactor multiplies ConsecutiveFailures if all failures were on
+	// one shard or of one caller: the fault may be in these requests, and would
+	// move with them to the next owner.
 	sameSourceFactor = 10
-	// patienceFactor times the average answer time, and patienceMinimum, must
-	// have been waited for a missed deadline to count as a failure.
-	patienceFactor  = 2
-	patienceMinimum = 50 * time.Millisecond
-	// averageWeight is the weight of a new sample in the moving average of
-	// answer times.
+	// A missed deadline counts as a failure only after a wait of timeoutFactor
+	// times the average answer time and of at least timeoutMinimum.
+	timeoutFactor  = 2
+	timeoutMinimum = 50 * time.Millisecond
+	// averageWeight is the weight of a new sample in the exponential moving
+	// average of answer times.
 	averageWeight = 0.1
 )
 
-// FitnessConfig says when a back end counts as failed by what its real
-// requests do. Zero fields take the defaults.
+// FitnessConfig configures when a back end counts as failed by the results of
+// its requests. Zero fields take the defaults.
 type FitnessConfig struct {
-	// FailuresInARow and FailureSpan: so many failures without a success
-	// between them, over at least the span.
-	FailuresInARow int
-	FailureSpan    time.Duration
-	// StalledAtLeast look-ups wait and none was answered for StallFactor times
-	// the average answer time, kept between StallMinimum and StallMaximum.
-	StalledAtLeast int
-	StallFactor    int
-	StallMinimum   time.Duration
-	StallMaximum   time.Duration
-	// RestFirst is how long the agent stays away after the first failure; it
-	// doubles with each relapse up to RestLimit, and starts anew after RestLimit
-	// without one.
-	RestFirst time.Duration
-	RestLimit time.Duration
+	// A back end has failed after ConsecutiveFailures failures without a
+	// success between them, over at least FailureSpan.
+	ConsecutiveFailures int
+	FailureSpan         time.Duration
+	// It has also failed if at least StalledRequests look-ups wait and none was
+	// answered for StallFactor times the average answer time, kept between
+	// StallMinimum and StallMaximum.
+	StalledRequests int
+	StallFactor     int
+	StallMinimum    time.Duration
+	StallMaximum    time.Duration
+	// BackoffInitial is how long the agent goes without a lease after the first
+	// failure. It doubles with each further failure up to BackoffMaximum, and
+	// is reset after twice BackoffMaximum without one.
+	BackoffInitial time.Duration
+	BackoffMaximum time.Duration
 }
 
 func (config FitnessConfig) withDefaults() FitnessConfig {
-	setDefault(&config.FailuresInARow, DefaultFailuresInARow)
+	setDefault(&config.ConsecutiveFailures, DefaultConsecutiveFailures)
 	setDefault(&config.FailureSpan, DefaultFailureSpan)
-	setDefault(&config.StalledAtLeast, DefaultStalledAtLeast)
+	setDefault(&config.StalledRequests, DefaultStalledRequests)
 	setDefault(&config.StallFactor, DefaultStallFactor)
 	setDefault(&config.StallMinimum, DefaultStallMinimum)
 	setDefault(&config.StallMaximum, DefaultStallMaximum)
-	setDefault(&config.RestFirst, DefaultRestFirst)
-	setDefault(&config.RestLimit, DefaultRestLimit)
+	setDefault(&config.BackoffInitial, DefaultBackoffInitial)
+	setDefault(&config.BackoffMaximum, DefaultBackoffMaximum)
 	return config
 }
 
-// fitness judges the back end. Requests report to it from any goroutine.
+// fitness decides from the results of requests whether the back end has failed.
+// Its methods are safe for concurrent use.
 type fitness struct {
 	config FitnessConfig
 
 	mutex        sync.Mutex
 	failures     int
 	firstFailure time.Duration
-	// first had the first failure; otherShard and otherCaller say that another
-	// shard and another caller had one too.
+	// first is the source of the first failure. otherShard and otherCaller are
+	// set once there were failures on another shard and of another caller.
 	first                   failureSource
 	otherShard, otherCaller bool
-	// waiting look-ups, and since when none of them was answered.
-	waiting       int
-	quietSince    time.Duration
-	averageAnswer time.Duration
-	counts        fitnessCounts
+	// waiting is the number of look-ups that wait for an answer,
+	// unansweredSince the time from which none was answered.
+	waiting         int
+	unansweredSince time.Duration
+	averageAnswer   time.Duration
+	counts          fitnessCounts
 }
 
-// failureSource is whose request failed.
+// failureSource identifies whose request failed.
 type failureSource struct {
 	shard  topology.ShardID
 	caller string
 }
 
-// fitnessCounts are totals since the last report.
+// fitnessCounts counts results since the last report.
 type fitnessCounts struct{ completed, failed uint32 }
 
 func newFitness(config FitnessConfig) *fitness {
 	return &fitness{config: config}
 }
 
-// sent notes that a look-up waits for its answer.
-func (fitness *fitness) sent(now time.Duration) {
+// lookupSent records that a look-up waits for its answer.
+func (fitness *fitness) lookupSent(now time.Duration) {
 	fitness.mutex.Lock()
 	defer fitness.mutex.Unlock()
 	if fitness.waiting == 0 {
-		fitness.quietSince = now
+		fitness.unansweredSince = now
 	}
 	fitness.waiting++
 }
 
-// settled notes that a look-up waits no more, for whatever reason.
-func (fitness *fitness) settled() {
+// lookupDone records that a look-up no longer waits, for whatever reason.
+func (fitness *fitness) lookupDone() {
 	fitness.mutex.Lock()
 	defer fitness.mutex.Unlock()
 	fitness.waiting--
 }
 
-// succeeded notes a whole answer that is no server error.
+// succeeded records a complete answer that is not a server error.
 func (fitness *fitness) succeeded(now, took time.Duration) {
 	fitness.mutex.Lock()
 	defer fitness.mutex.Unlock()
 	fitness.failures = 0
-	fitness.quietSince = now
+	fitness.unansweredSince = now
 	fitness.counts.completed++
 	change := averageWeight * float64(took-fitness.averageAnswer)
 	fitness.averageAnswer += time.Duration(change)
 }
 
-// failed notes a server error, a broken or missing answer, or that the back end
-// shed a request although it was asked for no more than its slots.
+// failed records a server error, a truncated or missing answer, or that
+// the back end shed a request although no more than its slots were in use.
 func (fitness *fitness) failed(now time.Duration, source failureSource) {
 	fitness.mutex.Lock()
 	defer fitness.mutex.Unlock()
@@ -137,23 +140,23 @@
 	fitness.counts.failed++
 }
 
-// timedOut notes an answer that did not come before the deadline. Deadlines
-// that ordinary answers would not have met either are no failure.
+// timedOut records that an answer did not arrive before the deadline. It
+// is no failure if an ordinary answer would have missed the deadline too.
 func (fitness *fitness) timedOut(now, waited time.Duration, source failureSource) {
 	fitness.mutex.Lock()
-	patient := waited >= max(patienceFactor*fitness.averageAnswer, patienceMinimum)
+	countsAsFailure := waited >= max(timeoutFactor*fitness.averageAnswer, timeoutMinimum)
 	fitness.mutex.Unlock()
-	if patient {
+	if countsAsFailure {
 		fitness.failed(now, source)
 	}
 }
 
-// reset forgets failures when the agent returns after a rest.
+// reset forgets failures when the agent returns after a backoff.
 func (fitness *fitness) reset(now time.Duration) {
 	fitness.mutex.Lock()
 	defer fitness.mutex.Unlock()
 	fitness.failures = 0
-	fitness.quietSince = now
+	fitness.unansweredSince = now
 }
 
 // hasFailures reports whether requests failed since the last takeCounts.
@@ -163,7 +166,7 @@
 	return fitness.counts.failed > 0
 }
 
-// takeCounts returns and resets the totals.
+// takeCounts returns the counts and resets them.
 func (fitness *fitness) takeCounts() fitnessCounts {
 	fitness.mutex.Lock()
 	defer fitness.mutex.Unlock()
@@ -172,11 +175,12 @@
 	return counts
 }
 
-// verdict returns why the back end counts as failed, or "".
-func (fitness *fitness) verdict(now time.Duration) string {
+// failureReason returns why the back end counts as failed, or "" if it does
+// not.
+func (fitness *fitness) failureReason(now time.Duration) string {
 	fitness.mutex.Lock()
 	defer fitness.mutex.Unlock()
-	needed := fitness.config.FailuresInARow
+	needed := fitness.config.ConsecutiveFailures
 	if !fitness.otherShard || !fitness.otherCaller {
 		needed *= sameSourceFactor
 	}
@@ -191,16 +195,17 @@
 	return ""
 }
 
-// stalled says that look-ups wait and none is answered. The caller holds the
-// mutex.
+// stalled reports whether look-ups wait and none has been answered for the
+// stall limit. The caller holds the mutex.
 func (fitness *fitness) stalled(now time.Duration) bool {
-	return fitness.waiting >= fitness.config.StalledAtLeast &&
-		now-fitness.quietSince >= fitness.stallLimit()
+	return fitness.waiting >= fitness.config.StalledRequests &&
+		now-fitness.unansweredSince >= fitness.stallLimit()
 }
 
-// giveUp counts the look-ups that still wait as failed: a back end that
-// swallows requests must not look idle to the controller.
-func (fitness *fitness) giveUp() {
+// countWaitingAsFailed counts the look-ups that still wait as failed: a back
+// end that accepts requests and never answers must not look idle to the
+// controller.
+func (fitness *fitness) countWaitingAsFailed() {
 	fitness.mutex.Lock()
 	defer fitness.mutex.Unlock()
 	fitness.counts.failed += uint32(fitness.waiting)
@@ -211,20 +216,21 @@
 	return min(max(limit, fitness.config.StallMinimum), fitness.config.StallMaximum)
 }
 
-// rest is how long the agent stays away, growing with each relapse.
-type rest struct {
-	config   FitnessConfig
-	next     time.Duration
-	lastFail time.Duration
-	until    time.Duration
+// backoff computes how long the agent goes without a lease after the back end
+// failed.
+type backoff struct {
+	config      FitnessConfig
+	nextDelay   time.Duration
+	lastFailure time.Duration
+	until       time.Duration
 }
 
-// begin starts a rest.
-func (rest *rest) begin(now time.Duration) {
-	if rest.next == 0 || now-rest.lastFail > 2*rest.config.RestLimit {
-		rest.next = rest.config.RestFirst
+// start begins a backoff and doubles the next one.
+func (b *backoff) start(now time.Duration) {
+	if b.nextDelay == 0 || now-b.lastFailure > 2*b.config.BackoffMaximum {
+		b.nextDelay = b.config.BackoffInitial
 	}
-	rest.lastFail = now
-	rest.until = now + rest.next
-	rest.next = min(2*rest.next, rest.config.RestLimit)
+	b.lastFailure = now
+	b.until = now + b.nextDelay
+	b.nextDelay = min(2*b.nextDelay, b.config.BackoffMaximum)
 }
--- a/internal/agent/fitness_test.go
+++ b/internal/agent/fitness_test.go
@@ -17,53 +17,53 @@
 	"github.com/quartzdock/quartzdock/lab/backend"
 )
 
-// quickFitness judges and returns sooner than the defaults.
+// quickFitness shortens failure detection and backoff.
 func quickFitness(config *Config) {
 	shortClockBound(config)
 	config.LoadInterval = 20 * time.Millisecond
 	config.Fitness = FitnessConfig{
-		FailuresInARow: 5,
-		FailureSpan:    20 * time.Millisecond,
-		StallMinimum:   100 * time.Millisecond,
-		RestFirst:      200 * time.Millisecond,
+		ConsecutiveFailures: 5,
+		FailureSpan:         20 * time.Millisecond,
+		StallMinimum:        100 * time.Millisecond,
+		BackoffInitial:      200 * time.Millisecond,
 	}
 }
 
-// TestBackEndThatFailsIsFoundByItsRequests: health and load say that all is
-// well, and idle.
-func TestBackEndThatFailsIsFoundByItsRequests(t *testing.T) {
+// TestFailingBackEndIsDetectedByRequests: the health and load endpoints report
+// a healthy, idle back end while its requests fail.
+func TestFailingBackEndIsDetectedByRequests(t *testing.T) {
 	for name, misbehaviour := range map[string]string{
 		"fails":    `"fail_requests":true`,
 		"swallows": `"swallow_requests":true`,
 		"sheds":    `"shed_requests":true`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := startRig(t, backend.Config{}, quickFitness)
-			r.own(1, 1)
-			r.behave(`{"claim_busy":0,` + misbehaviour + `}`)
+			r := startHarness(t, backend.Config{}, quickFitness)
+			r.ownShard(1, 1)
+			r.setBehaviour(`{"claim_busy":0,` + misbehaviour + `}`)
 			stop := r.keepSending(4)
-			r.waitFor("release", r.leader.hasReleased)
+			r.waitFor("release", r.controller.hasReleased)
 			assert.Assert(t, !r.agent.holder.Valid(r.agent.now()))
-			assert.Assert(t, r.leader.failures() > 0, "the controller is told of the failures")
+			assert.Assert(t, r.controller.failures() > 0, "the failures must be reported to the controller")
 			stop()
 
-			r.behave(`{}`)
+			r.setBehaviour(`{}`)
 			r.waitFor("return", func() bool { return r.agent.holder.Valid(r.agent.now()) })
 			r.waitFor("answer", func() bool {
-				return r.do(call{method: http.MethodGet, path: "/closures/route/k", epoch: 1}).outcome == wire.OutcomeAnswered
+				return r.send(testRequest{method: http.MethodGet, path: "/closures/route/k", epoch: 1}).outcome == wire.OutcomeAnswered
 			})
 		})
 	}
 }
 
-// keepSending sends look-ups from several callers, each without waiting for
-// long, until the returned function is called.
-func (r *rig) keepSending(callers int) (stop func()) {
+// keepSending sends look-ups with short deadlines from several callers until
+// the returned function is called.
+func (r *harness) keepSending(callers int) (stop func()) {
 	var stopped atomic.Bool
 	for range callers {
 		go func() {
 			for !stopped.Load() {
-				request := r.newRequest(call{method: http.MethodGet, path: "/closures/route/k", epoch: 1,
+				request := r.newRequest(testRequest{method: http.MethodGet, path: "/closures/route/k", epoch: 1,
 					header: map[string]string{wire.HeaderDeadline: "400"}})
 				exchange(request)
 				time.Sleep(time.Millisecond)
@@ -73,71 +73,73 @@
 	return func() { stopped.Store(true) }
 }
 
-func (leader *leader) failures() uint32 {
-	leader.mutex.Lock()
-	defer leader.mutex.Unlock()
-	return leader.failed
+func (controller *fakeController) failures() uint32 {
+	controller.mutex.Lock()
+	defer controller.mutex.Unlock()
+	return controller.failed
 }
 
-// TestOneSourcesFailuresAreNotTheBackEnds: requests of a single shard or caller
-// may be at fault themselves, and would take one owner after another down.
-func TestOneSourcesFailuresAreNotTheBackEnds(t *testing.T) {
+// TestFailuresFromOneSourceNeedMoreEvidence: the requests of a single shard or
+// caller may themselves be at fault, and would make one owner after another
+// fail.
+func TestFailuresFromOneSourceNeedMoreEvidence(t *testing.T) {
 	one, two := topology.ShardID{Service: 1, Shard: 1}, topology.ShardID{Service: 1, Shard: 2}
 	for name, others := range map[string]failureSource{
 		"one shard":  {shard: one, caller: "b"},
 		"one caller": {shard: two, caller: "a"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			judge := newFitness(FitnessConfig{}.withDefaults())
-			judge.failed(0, failureSource{shard: one, caller: "a"})
-			for i := range DefaultFailuresInARow {
-				judge.failed(time.Duration(i)*time.Second, others)
+			tracker := newFitness(FitnessConfig{}.withDefaults())
+			tracker.failed(0, failureSource{shard: one, caller: "a"})
+			for i := range DefaultConsecutiveFailures {
+				tracker.failed(time.Duration(i)*time.Second, others)
 			}
-			assert.Equal(t, judge.verdict(time.Minute), "")
-			judge.failed(time.Minute, failureSource{shard: two, caller: "b"})
-			assert.Equal(t, judge.verdict(time.Minute), "requests fail")
-			judge.succeeded(time.Minute, time.Millisecond)
-			assert.Equal(t, judge.verdict(time.Minute), "")
-			for range sameSourceFactor * DefaultFailuresInARow {
-				judge.failed(time.Minute, failureSource{shard: one, caller: "a"})
+			assert.Equal(t, tracker.failureReason(time.Minute), "")
+			tracker.failed(time.Minute, failureSource{shard: two, caller: "b"})
+			assert.Equal(t, tracker.failureReason(time.Minute), "requests fail")
+			tracker.succeeded(time.Minute, time.Millisecond)
+			assert.Equal(t, tracker.failureReason(time.Minute), "")
+			for range sameSourceFactor * DefaultConsecutiveFailures {
+				tracker.failed(time.Minute, failureSource{shard: one, caller: "a"})
 			}
-			assert.Equal(t, judge.verdict(2*time.Minute), "requests fail", "so many are not one request's fault")
+			assert.Equal(t, tracker.failureReason(2*time.Minute), "requests fail", "after that many failures the requests can't be at fault")
 		})
 	}
 }
 
-func TestHastyDeadlinesAreNoFailures(t *testing.T) {
-	judge := newFitness(FitnessConfig{}.withDefaults())
+func TestMissedShortDeadlinesAreNoFailures(t *testing.T) {
+	tracker := newFitness(FitnessConfig{}.withDefaults())
 	for range 100 {
-		judge.succeeded(0, 300*time.Millisecond)
+		tracker.succeeded(0, 300*time.Millisecond)
 	}
 	for i := range 200 {
-		judge.timedOut(time.Duration(i)*time.Second, 100*time.Millisecond, failureSource{shard: topology.ShardID{Shard: topology.ShardNumber(i)}, caller: strconv.Itoa(i)})
+		tracker.timedOut(time.Duration(i)*time.Second, 100*time.Millisecond, failureSource{shard: topology.ShardID{Shard: topology.ShardNumber(i)}, caller: strconv.Itoa(i)})
 	}
-	assert.Equal(t, judge.verdict(time.Hour), "")
+	assert.Equal(t, tracker.failureReason(time.Hour), "")
 }
 
-func TestRestGrowsWithEachRelapse(t *testing.T) {
-	staying := rest{config: FitnessConfig{}.withDefaults()}
+func TestBackoffDoublesWithEachFailure(t *testing.T) {
+	delay := backoff{config: FitnessConfig{}.withDefaults()}
 	now := time.Duration(0)
 	for _, expected := range []time.Duration{2, 4, 8, 16, 32, 60, 60} {
-		staying.begin(now)
-		assert.Equal(t, staying.until-now, expected*time.Second)
-		now = staying.until
+		delay.start(now)
+		assert.Equal(t, delay.until-now, expected*time.Second)
+		now = delay.until
 	}
-	now += 3 * DefaultRestLimit
-	staying.begin(now)
-	assert.Equal(t, staying.until-now, DefaultRestFirst)
+	now += 3 * DefaultBackoffMaximum
+	delay.start(now)
+	assert.Equal(t, delay.until-now, DefaultBackoffInitial)
 }
 
-// fakeBackend answers the agent's protocol and gives the rest to a handler.
+// fakeBackend implements the agent's protocol and passes all other requests to
+// a handler.
 type fakeBackend struct {
 	*httptest.Server
-	// health and load count probes; probing those that are in progress.
-	health, load, probing, mostProbing atomic.Int64
+	// health and load count probes, concurrentProbes those in progress.
+	health, load, concurrentProbes, maxConcurrentProbes atomic.Int64
 }
 
-func startFake(t testing.TB, handle http.HandlerFunc) *fakeBackend {
+func startFakeBackend(t testing.TB, handle http.HandlerFunc) *fakeBackend {
 	t.Helper()
 	fake := &fakeBackend{}
 	begun := time.Now()
@@ -145,8 +147,8 @@
 	routes.HandleFunc("PUT /_quartzdock/grants", func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = fmt.Fprintf(w, `{"boot":"b","clock_ms":%d}`, time.Since(begun).Milliseconds())
 	})
-	routes.HandleFunc("GET /_quartzdock/health", fake.probed(&fake.health, `{}`))
-	routes.HandleFunc("GET /_quartzdock/load", fake.probed(&fake.load, `{"busy":0,"slots":4}`))
+	routes.HandleFunc("GET /_quartzdock/health", fake.countProbe(&fake.health, `{}`))
+	routes.HandleFunc("GET /_quartzdock/load", fake.countProbe(&fake.load, `{"busy":0,"slots":4}`))
 	routes.HandleFunc("/", handle)
 	fake.Server = httptest.NewServer(routes)
 	t.Cleanup(func() {
@@ -156,46 +158,46 @@
 	return fake
 }
 
-func (fake *fakeBackend) probed(count *atomic.Int64, answer string) http.HandlerFunc {
+func (fake *fakeBackend) countProbe(count *atomic.Int64, answer string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		count.Add(1)
-		if now := fake.probing.Add(1); now > fake.mostProbing.Load() {
-			fake.mostProbing.Store(now)
+		if now := fake.concurrentProbes.Add(1); now > fake.maxConcurrentProbes.Load() {
+			fake.maxConcurrentProbes.Store(now)
 		}
-		defer fake.probing.Add(-1)
-		time.Sleep(6 * time.Millisecond) // what a probe costs
+		defer fake.concurrentProbes.Add(-1)
+		time.Sleep(6 * time.Millisecond) // the duration of a probe
 		_, _ = w.Write([]byte(answer))
 	}
 }
 
-// startFakeRig is startRig with a fake back end.
-func startFakeRig(t testing.TB, handle http.HandlerFunc, edit func(*Config)) (*rig, *fakeBackend) {
+// startFakeHarness is startHarness with a fakeBackend.
+func startFakeHarness(t testing.TB, handle http.HandlerFunc, edit func(*Config)) (*harness, *fakeBackend) {
 	t.Helper()
-	fake := startFake(t, handle)
+	fake := startFakeBackend(t, handle)
 	r := startAgent(t, self, strings.TrimPrefix(fake.URL, "http://"), t.TempDir(), edit)
-	r.own(1, 1)
+	r.ownShard(1, 1)
 	return r, fake
 }
 
 func TestOneProberPerBackEnd(t *testing.T) {
-	r, fake := startFakeRig(t, func(http.ResponseWriter, *http.Request) {}, func(config *Config) {
+	r, fake := startFakeHarness(t, func(http.ResponseWriter, *http.Request) {}, func(config *Config) {
 		quickFitness(config)
-		config.LoadInterval = time.Millisecond // less than a probe takes
+		config.LoadInterval = time.Millisecond // shorter than a probe
 	})
 	r.waitFor("probes", func() bool { return fake.load.Load() >= 20 })
-	assert.Equal(t, fake.mostProbing.Load(), int64(1))
-	assert.Assert(t, fake.health.Load() <= 2, "a fit back end is not asked for its health")
+	assert.Equal(t, fake.maxConcurrentProbes.Load(), int64(1))
+	assert.Assert(t, fake.health.Load() <= 2, "the health of a fit back end must not be queried")
 }
 
-func TestWarmingIsToldAndRepeated(t *testing.T) {
-	r := startRig(t, backend.Config{ColdStart: 50 * time.Millisecond}, shortClockBound)
-	r.give(1, topology.Shard{Phase: topology.ShardWarming, Owner: other, Target: self, Epoch: 1})
-	r.waitFor("warmed", func() bool { return r.leader.warmed(shard) })
-	seen := r.leader.sent()
-	r.waitFor("repeated until the table shows it", func() bool { return r.leader.sent() > seen+1 })
-	r.give(2, topology.Shard{Phase: topology.ShardOwned, Owner: self, Epoch: 2})
-	r.serves(2)
-	seen = r.leader.sent()
+func TestWarmedIsSentUntilTheTableShowsIt(t *testing.T) {
+	r := startHarness(t, backend.Config{ColdStart: 50 * time.Millisecond}, shortClockBound)
+	r.applyShard(1, topology.Shard{Phase: topology.ShardWarming, Owner: other, Target: self, Epoch: 1})
+	r.waitFor("warmed", func() bool { return r.controller.warmed(shard) })
+	seen := r.controller.sent()
+	r.waitFor("repeated until the table shows it", func() bool { return r.controller.sent() > seen+1 })
+	r.applyShard(2, topology.Shard{Phase: topology.ShardOwned, Owner: self, Epoch: 2})
+	r.waitServed(2)
+	seen = r.controller.sent()
 	time.Sleep(3 * tickInterval)
-	assert.Equal(t, r.leader.sent(), seen, "nothing more to tell")
+	assert.Equal(t, r.controller.sent(), seen, "a message was sent after the table showed the result")
 }
--- a/internal/agent/forward.go
+++ b/internal/agent/forward.go
@@ -15,9 +15,9 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// hopHeaders are about one connection and not passed on (RFC 9110, section
-// 7.6.1).
-var hopHeaders = map[string]bool{
+// hopByHopHeaders concern a single connection and are not forwarded (RFC 9110,
+// section 7.6.1).
+var hopByHopHeaders = map[string]bool{
 	"Connection":          true,
 	"Expect":              true,
 	"Keep-Alive":          true,
@@ -28,7 +28,8 @@
 	"Trailer":             true,
 	"Transfer-Encoding":   true,
 	"Upgrade":             true,
-	// The body's length and digest are each hop's own.
+	// Each hop sets the body's length and digest, and the project's own
+	// headers, itself.
 	"Content-Length":    true,
 	wire.TrailerDigest:  true,
 	wire.HeaderOutcome:  true,
@@ -37,18 +38,18 @@
 	wire.HeaderRevision: true,
 }
 
-// copyHeader adds the end-to-end headers of one message to another.
+// copyHeader copies the end-to-end headers of one message to another.
 func copyHeader(to, from http.Header) {
 	named := from["Connection"]
 	for name, values := range from {
-		if !hopHeaders[name] && !isNamed(named, name) {
+		if !hopByHopHeaders[name] && !listsOption(named, name) {
 			to[name] = values
 		}
 	}
 }
 
-// isNamed says that a Connection header lists the name.
-func isNamed(connection []string, name string) bool {
+// listsOption reports whether a Connection header lists the name.
+func listsOption(connection []string, name string) bool {
 	for _, list := range connection {
 		for option := range strings.SplitSeq(list, ",") {
 			if strings.EqualFold(strings.TrimSpace(option), name) {
@@ -59,20 +60,20 @@
 	return false
 }
 
-// run waits for a slot, sends the request once and releases its answer.
-func (agent *Agent) run(ctx context.Context, w http.ResponseWriter, r *http.Request, parsed request, shard *served, body *requestBody) result {
+// forward waits for a slot, sends the request once and releases the answer.
+func (agent *Agent) forward(ctx context.Context, w http.ResponseWriter, r *http.Request, parsed request, shard *servedShard, body *requestBody) result {
 	slot, err := agent.gate.Acquire(ctx, agent.slotRequest(ctx, parsed))
 	if err != nil {
-		return refusedResult(gateRefusal(err))
+		return refusedResult(slotRefusal(err))
 	}
-	if err := agent.stillOwns(parsed); err != nil {
+	if err := agent.checkOwned(parsed); err != nil {
 		slot.Release()
-		return refusedResult(fenceRefusal(err))
+		return refusedResult(ownershipRefusal(err))
 	}
 	started := agent.now()
 	defer func() {
 		took := agent.now() - started
-		shard.used(took)
+		shard.addSlotTime(took)
 		agent.counts.slotTime.WithLabelValues(className(parsed.class)).Observe(took.Seconds())
 	}()
 	return agent.exchange(ctx, w, r, parsed, body, slot.Release)
@@ -97,17 +98,17 @@
 	return wanted
 }
 
-// exchange sends the request and deals with its answer. Ended is called once,
-// when the back end has ended with the request.
-func (agent *Agent) exchange(ctx context.Context, w http.ResponseWriter, r *http.Request, parsed request, body *requestBody, ended func()) result {
-	watched := parsed.class == topology.ClassLookup
+// exchange sends the request and handles the answer. It calls onEnd once, when
+// the back end has finished with the request.
+func (agent *Agent) exchange(ctx context.Context, w http.ResponseWriter, r *http.Request, parsed request, body *requestBody, onEnd func()) result {
+	isLookup := parsed.class == topology.ClassLookup
 	started := agent.now()
-	if watched {
-		agent.fitness.sent(started)
+	if isLookup {
+		agent.fitness.lookupSent(started)
 	}
-	response, err := agent.requests.DoNotify(ctx, outgoing(ctx, r, body, parsed.served), ended)
-	if watched {
-		agent.fitness.settled()
+	response, err := agent.requests.DoNotify(ctx, backendRequest(ctx, r, body, parsed.admittedTo), onEnd)
+	if isLookup {
+		agent.fitness.lookupDone()
 	}
 	if err != nil {
 		return refusedResult(agent.exchangeRefusal(ctx, parsed, err, agent.now()-started))
@@ -117,24 +118,26 @@
 		return refusedResult(agent.backendRefusal(parsed, response))
 	}
 	relayed := agent.relay(w, r, parsed, response)
-	agent.judge(parsed, response.StatusCode, relayed, agent.now()-started)
+	agent.recordExchange(parsed, response.StatusCode, relayed, agent.now()-started)
 	return relayed
 }
 
-// judge tells what the exchange says of the back end's fitness.
-func (agent *Agent) judge(parsed request, status int, ended result, took time.Duration) {
+// recordExchange records what the result of an exchange says about the back
+// end's fitness.
+func (agent *Agent) recordExchange(parsed request, status int, ended result, took time.Duration) {
 	now := agent.now()
 	switch {
-	case ended.broken || status >= http.StatusInternalServerError:
+	case ended.answerBroken || status >= http.StatusInternalServerError:
 		agent.fitness.failed(now, parsed.source())
 	case ended.ran:
 		agent.fitness.succeeded(now, took)
 	}
 }
 
-// outgoing is the request as the back end gets it: the same, with what is left
-// of the deadline and the epoch that the back end knows its shard by.
-func outgoing(ctx context.Context, r *http.Request, body *requestBody, shard *served) *http.Request {
+// backendRequest returns the request to send to the back end: the router's,
+// with the remaining time until the deadline and the epoch at which the back
+// end was granted the shard.
+func backendRequest(ctx context.Context, r *http.Request, body *requestBody, shard *servedShard) *http.Request {
 	sent := &http.Request{
 		Method: r.Method,
 		URL:    &url.URL{Scheme: "http", Host: r.Host, Path: r.URL.Path, RawPath: r.URL.RawPath, RawQuery: r.URL.RawQuery},
@@ -143,10 +146,10 @@
 	}
 	copyHeader(sent.Header, r.Header)
 	if r.Header.Get(wire.HeaderShard) != "" {
-		sent.Header.Set(wire.HeaderEpoch, strconv.FormatUint(shard.granted.Load(), decimal))
+		sent.Header.Set(wire.HeaderEpoch, strconv.FormatUint(shard.grantedEpoch.Load(), decimal))
 	}
 	if _, set := sent.Header["User-Agent"]; !set {
-		sent.Header["User-Agent"] = []string{""} // none, instead of Go's own
+		sent.Header["User-Agent"] = []string{""} // suppresses Go's default
 	}
 	if deadline, ok := ctx.Deadline(); ok {
 		left := max(time.Until(deadline).Milliseconds(), 1)
@@ -159,7 +162,8 @@
 	return sent
 }
 
-// exchangeRefusal answers a request that got no answer.
+// exchangeRefusal returns the response to a request that the back end did not
+// answer.
 func (agent *Agent) exchangeRefusal(ctx context.Context, parsed request, err error, took time.Duration) *refusal {
 	expired := errors.Is(ctx.Err(), context.DeadlineExceeded)
 	notSent := errors.Is(err, upstream.ErrNotSent)
@@ -174,7 +178,7 @@
 		answer.retryAfter = time.Second
 		return answer
 	}
-	agent.unanswered.note(parsed.served)
+	agent.unanswered.add(parsed.admittedTo)
 	switch {
 	case expired:
 		agent.fitness.timedOut(agent.now(), took, parsed.source())
@@ -185,7 +189,8 @@
 	return unknown(http.StatusBadGateway, wire.ReasonInterrupted, err.Error())
 }
 
-// backendRefusal passes on that the back end did not run the request.
+// backendRefusal returns the response to a request that the back end refused to
+// run.
 func (agent *Agent) backendRefusal(parsed request, response *http.Response) *refusal {
 	switch response.StatusCode {
 	case http.StatusPreconditionFailed:
--- a/internal/agent/grants.go
+++ b/internal/agent/grants.go
@@ -10,17 +10,17 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// grantTimeout bounds one message of grants.
+// grantTimeout bounds the exchange of one grant message with the back end.
 const grantTimeout = 250 * time.Millisecond
 
-// syncGrants sends the back end what has changed and the end of the lease, one
-// message at a time.
+// syncGrants sends the back end changes of its grants and of the lease's end,
+// one message at a time.
 func (control *controlLoop) syncGrants() {
 	next := control.grants.Next(grants.Wanted{
-		Backend:    control.mine.self,
-		Owned:      control.mine.owned,
+		Backend:    control.assigned.self,
+		Owned:      control.assigned.owned,
 		Closing:    control.closing,
-		Lingers:    control.lingers,
+		Lingers:    control.hasSupersededRequests,
 		LeaseUntil: control.holder.ValidUntil(),
 		Repeat:     control.state == stateUnreachable,
 	}, control.now())
@@ -31,7 +31,8 @@
 	control.background.Go(func() { control.sendGrants(next) })
 }
 
-// closing says how a shard that is being released is given up.
+// closing returns how the grant of a shard that is being released is to be
+// ended.
 func (control *controlLoop) closing(id topology.ShardID) (grants.Closing, bool) {
 	releasing, found := control.releases[id]
 	if !found {
@@ -52,7 +53,7 @@
 	outcome := control.grants.Answered(sent, reading, received, err)
 	switch {
 	case outcome.Taken:
-		control.begin(outcome.Granted)
+		control.beginServing(outcome.Granted)
 		if control.state == stateUnreachable {
 			control.fire(eventAnswered)
 		}
@@ -70,8 +71,8 @@
 	control.syncGrants()
 }
 
-// signalRelease renews at once, with Release set, when a lease was given up
-// and the back end can't act on its grants any more.
+// signalRelease sends a renewal with Release set at once, after the lease was
+// given up and the back end can no longer act on its grants.
 func (control *controlLoop) signalRelease(now time.Duration) {
 	until := control.grants.AllEndBy()
 	control.grantsPossibleUntil.Store(int64(until))
--- a/internal/agent/grants_test.go
+++ b/internal/agent/grants_test.go
@@ -17,25 +17,25 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// mutedBackend takes grants and, while muted, answers none of the messages
-// that carry some.
+// mutedBackend accepts grant messages. While muted, it does not answer those
+// that contain grants.
 type mutedBackend struct {
 	begun time.Time
 	mutex sync.Mutex
-	// held is what a back end would serve.
+	// held lists the shards that the back end would serve.
 	held []string
-	// epochs are the last that were granted of each shard.
+	// epochs maps each shard to the last epoch at which it was granted.
 	epochs   map[string]topology.Epoch
 	sequence uint64
 	muted    bool
-	// lost messages, of those that follow the first reading, are not taken.
+	// lost is how many messages after the first reading are to be dropped.
 	lost int
 }
 
 func (muted *mutedBackend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if strings.Contains(r.URL.Path, "/edit/") {
 		_, _ = io.Copy(io.Discard, r.Body)
-		<-r.Context().Done() // no answer, and the work goes on
+		<-r.Context().Done() // never answers; the request counts as running
 		return
 	}
 	if !strings.HasSuffix(r.URL.Path, "/grants") {
@@ -46,15 +46,15 @@
 	if json.NewDecoder(r.Body).Decode(&message) != nil {
 		return
 	}
-	if muted.take(message) {
+	if muted.apply(message) {
 		<-r.Context().Done()
 		return
 	}
 	_ = json.NewEncoder(w).Encode(muted.reading())
 }
 
-// take reports whether the message stays unanswered.
-func (muted *mutedBackend) take(message backendapi.Grants) bool {
+// apply applies a grant message and reports whether it stays unanswered.
+func (muted *mutedBackend) apply(message backendapi.Grants) bool {
 	muted.mutex.Lock()
 	defer muted.mutex.Unlock()
 	if message.Boot == "" {
@@ -94,31 +94,32 @@
 	return slices.Contains(muted.held, shard)
 }
 
-// TestGrantWithoutAnswerIsRevokedBeforeTheRelease: the back end took a grant
-// and its answer was lost. The shard must not be released before the back end
-// has given it up.
+// TestGrantWithoutAnswerIsRevokedBeforeTheRelease: the back end accepted a
+// grant and its answer was lost. The shard must not be released before the back
+// end has ended the grant.
 func TestGrantWithoutAnswerIsRevokedBeforeTheRelease(t *testing.T) {
 	muted := &mutedBackend{begun: time.Now(), muted: true}
 	server := httptest.NewServer(muted)
 	t.Cleanup(server.Close)
 	t.Cleanup(server.CloseClientConnections)
 	r := startAgent(t, self, strings.TrimPrefix(server.URL, "http://"), t.TempDir(), shortClockBound)
-	r.give(1, topology.Shard{Phase: topology.ShardOwned, Owner: self, Epoch: 1})
+	r.applyShard(1, topology.Shard{Phase: topology.ShardOwned, Owner: self, Epoch: 1})
 	r.waitFor("the grant taken", func() bool { return muted.holds(shard.String()) })
-	r.give(2, topology.Shard{Phase: topology.ShardReleasing, Owner: self, Target: other, Epoch: 1})
-	r.waitFor("the release", func() bool { return r.leader.releasedShard(shard) != nil })
+	r.applyShard(2, topology.Shard{Phase: topology.ShardReleasing, Owner: self, Target: other, Epoch: 1})
+	r.waitFor("the release", func() bool { return r.controller.releasedShard(shard) != nil })
 	assert.Assert(t, !muted.holds(shard.String()), "released while the back end holds the grant")
 }
 
 // TestEarlierGrantsAreReplacedBeforeTheRelease: an agent starts while its shard
-// moves away, and its predecessor's grant is still at the back end.
+// is being moved away, and the back end still holds a grant of the previous
+// agent process.
 func TestEarlierGrantsAreReplacedBeforeTheRelease(t *testing.T) {
 	muted := &mutedBackend{begun: time.Now(), held: []string{shard.String()}, lost: 1}
 	server := httptest.NewServer(muted)
 	t.Cleanup(server.Close)
 	t.Cleanup(server.CloseClientConnections)
 	r := startAgent(t, self, strings.TrimPrefix(server.URL, "http://"), t.TempDir(), shortClockBound)
-	r.give(1, topology.Shard{Phase: topology.ShardReleasing, Owner: self, Target: other, Epoch: 1})
-	r.waitFor("the release", func() bool { return r.leader.releasedShard(shard) != nil })
+	r.applyShard(1, topology.Shard{Phase: topology.ShardReleasing, Owner: self, Target: other, Epoch: 1})
+	r.waitFor("the release", func() bool { return r.controller.releasedShard(shard) != nil })
 	assert.Assert(t, !muted.holds(shard.String()), "released while the back end holds an earlier process's grant")
 }
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -16,20 +16,21 @@
 )
 
 const (
-	// idleTimeout of connections from routers; longer than upstream's, so that
-	// a router never writes to a connection that is being closed here.
+	// idleTimeout closes idle connections from routers. It is longer than the
+	// idle timeout in package upstream, so that a router does not write to a
+	// connection that is being closed here.
 	idleTimeout = 3 * time.Minute
-	// grantWait bounds how long a request waits for the back end to be granted
-	// a shard that this agent owns already.
+	// grantWait bounds how long a request waits until the back end is granted a
+	// shard that this agent already owns.
 	grantWait = time.Second
 )
 
 func (agent *Agent) newServer() *http.Server {
 	routes := chi.NewRouter()
-	routes.Post(recordPath, agent.takeRecord)
+	routes.Post(recordPath, agent.receiveRecord)
 	routes.HandleFunc("/*", agent.serveRequest)
 	protocols := new(http.Protocols)
-	protocols.SetHTTP1(true) // what internal/upstream speaks
+	protocols.SetHTTP1(true) // the only version that package upstream supports
 	return &http.Server{
 		Handler:           routes,
 		TLSConfig:         agent.config.ServerTLS,
@@ -41,19 +42,20 @@
 	}
 }
 
-// result is the end of a request.
+// result is how the handling of a request ended.
 type result struct {
-	// refused is nil for an answer of the back end that was released.
+	// refused is the refusal to send, or nil if an answer of the back end was
+	// released.
 	refused *refusal
-	// ran says that the back end answered it whole; notRun that it is proved
-	// not to have run it. Otherwise whether it ran is not known.
+	// ran is set if the back end answered completely, notRun if it certainly
+	// did not run the request. If neither is set, it is unknown whether it ran.
 	ran, notRun bool
-	// answer is the back end's answer where it is short enough to keep.
+	// answer is the back end's answer if it is short enough to keep.
 	answer *requestrecord.Answer
-	// cut: the answer's header was sent but its rest can't be.
-	cut bool
-	// broken: the back end's answer broke off.
-	broken bool
+	// aborted is set if the answer's header was sent but its rest can't be.
+	aborted bool
+	// answerBroken is set if the back end's answer ended early.
+	answerBroken bool
 }
 
 func refusedResult(refused *refusal) result {
@@ -75,9 +77,9 @@
 	agent.finish(w, agent.serve(ctx, w, r, parsed))
 }
 
-// requestContext carries the deadline and, for repeatable requests, the
-// router's cancellation. A non-repeatable request runs on when its router goes
-// away, so that a resend finds its answer.
+// requestContext returns a context with the deadline and, for repeatable
+// requests, the router's cancellation. A non-repeatable request continues when
+// its router disconnects, so that a resend finds its answer.
 func requestContext(r *http.Request, parsed request) (context.Context, context.CancelFunc) {
 	ctx := r.Context()
 	if parsed.nonRepeatable {
@@ -86,11 +88,11 @@
 	return context.WithDeadline(ctx, parsed.deadline)
 }
 
-// finish sends the agent's own answer, or breaks the connection where the
-// reader must see that the answer is not whole.
+// finish counts the outcome. It sends a refusal, if there is one, or aborts the
+// connection if the router must see that the answer is incomplete.
 func (agent *Agent) finish(w http.ResponseWriter, ended result) {
 	switch {
-	case ended.cut:
+	case ended.aborted:
 		agent.countOutcome(wire.OutcomeUnknown, wire.ReasonTruncated)
 		panic(http.ErrAbortHandler)
 	case ended.refused != nil:
@@ -102,17 +104,17 @@
 }
 
 func (agent *Agent) serve(ctx context.Context, w http.ResponseWriter, r *http.Request, parsed request) result {
-	entered, refused := agent.admit(ctx, parsed)
+	inFlight, refused := agent.admit(ctx, parsed)
 	if refused != nil {
 		return refusedResult(refused)
 	}
-	defer entered.leave()
-	shard := entered.shard
-	parsed.served = shard
+	defer inFlight.end()
+	shard := inFlight.shard
+	parsed.admittedTo = shard
 	if parsed.hasKey {
-		shard.saw(parsed.key)
+		shard.countKey(parsed.key)
 	}
-	body, refused := agent.takeBody(w, r)
+	body, refused := agent.readBody(w, r)
 	if refused != nil {
 		return refusedResult(refused)
 	}
@@ -120,11 +122,11 @@
 	if parsed.nonRepeatable {
 		return agent.runOnce(ctx, w, r, parsed, shard, body)
 	}
-	return agent.run(ctx, w, r, parsed, shard, body)
+	return agent.forward(ctx, w, r, parsed, shard, body)
 }
 
-// fence says why a request may not be admitted now, or nil.
-func (agent *Agent) fence(parsed request) error {
+// checkAdmission returns why a request may not be admitted now, or nil.
+func (agent *Agent) checkAdmission(parsed request) error {
 	if agent.stopping.Load() {
 		return errStopping
 	}
@@ -137,31 +139,31 @@
 	if parsed.bound {
 		return agent.holder.Admits(parsed.shard, parsed.epoch, agent.now())
 	}
-	return agent.leased()
+	return agent.checkLease()
 }
 
-// stillOwns says why an admitted request may not go on, or nil.
-func (agent *Agent) stillOwns(parsed request) error {
+// checkOwned returns why an admitted request may not continue, or nil.
+func (agent *Agent) checkOwned(parsed request) error {
 	if !parsed.bound {
-		return agent.leased()
+		return agent.checkLease()
 	}
 	err := agent.holder.Owns(parsed.shard, parsed.epoch, agent.now())
-	if err != nil && agent.continues(parsed.served) {
+	if err != nil && agent.mayContinue(parsed.admittedTo) {
 		return nil
 	}
 	return err
 }
 
-func (agent *Agent) leased() error {
+func (agent *Agent) checkLease() error {
 	if !agent.holder.Valid(agent.now()) {
 		return ownership.ErrNoLease
 	}
 	return nil
 }
 
-// find returns where the request is counted, or nil while the back end has not
-// been granted its shard.
-func (current *view) find(parsed request) *served {
+// lookup returns the shard with which a request registers, or nil while the
+// back end has not been granted it at the request's epoch.
+func (current *view) lookup(parsed request) *servedShard {
 	if !parsed.bound {
 		return current.unbound
 	}
@@ -172,23 +174,23 @@
 	return shard
 }
 
-// admit checks the fence and counts the request in. It waits while the back
-// end is being granted the shard.
-func (agent *Agent) admit(ctx context.Context, parsed request) (visit, *refusal) {
+// admit checks that the request may be admitted and registers it with its
+// shard. It waits while the back end is being granted the shard.
+func (agent *Agent) admit(ctx context.Context, parsed request) (inFlightRequest, *refusal) {
 	var timeout <-chan time.Time
 	for {
 		current := agent.view.Load()
-		if err := agent.fence(parsed); err != nil {
-			return visit{}, fenceRefusal(err)
+		if err := agent.checkAdmission(parsed); err != nil {
+			return inFlightRequest{}, ownershipRefusal(err)
 		}
-		if found := current.find(parsed); found != nil {
-			if entered, open := found.enter(); open {
-				return entered, nil
+		if found := current.lookup(parsed); found != nil {
+			if inFlight, open := found.beginRequest(); open {
+				return inFlight, nil
 			}
-			return visit{}, notRun(http.StatusMisdirectedRequest, wire.ReasonDraining, "the shard is being moved")
+			return inFlightRequest{}, notRun(http.StatusMisdirectedRequest, wire.ReasonDraining, "the shard is being moved")
 		}
 		if !parsed.bound {
-			return visit{}, notRun(http.StatusMisdirectedRequest, wire.ReasonDraining, "the back end is leaving")
+			return inFlightRequest{}, notRun(http.StatusMisdirectedRequest, wire.ReasonDraining, "the back end is leaving")
 		}
 		if timeout == nil {
 			timer := time.NewTimer(grantWait)
@@ -196,7 +198,7 @@
 			timeout = timer.C
 		}
 		if refused := current.awaitChange(ctx, timeout); refused != nil {
-			return visit{}, refused
+			return inFlightRequest{}, refused
 		}
 	}
 }
@@ -212,11 +214,12 @@
 	}
 }
 
-// runOnce passes the record of request ids around run.
-func (agent *Agent) runOnce(ctx context.Context, w http.ResponseWriter, r *http.Request, parsed request, shard *served, body *requestBody) result {
+// runOnce forwards a non-repeatable request unless the record of request ids
+// has seen it, and records the outcome.
+func (agent *Agent) runOnce(ctx context.Context, w http.ResponseWriter, r *http.Request, parsed request, shard *servedShard, body *requestBody) result {
 	verdict, err := agent.record.Admit(ctx, parsed.shard, parsed.epoch, parsed.id, fingerprint(r, body))
 	if err != nil {
-		return refusedResult(admitRefusal(err))
+		return refusedResult(recordRefusal(err))
 	}
 	switch verdict.Decision {
 	case requestrecord.Fresh:
@@ -224,17 +227,17 @@
 		writeAnswer(w, verdict.Answer)
 		return result{ran: true}
 	default:
-		return refusedResult(repeatRefusal(verdict.Decision))
+		return refusedResult(duplicateRefusal(verdict.Decision))
 	}
-	ended := agent.run(ctx, w, r, parsed, shard, body)
-	agent.recordEnd(parsed.shard, parsed.id, ended)
-	for _, heir := range agent.heirs(shard) {
-		agent.recordEnd(heir, parsed.id, ended)
+	ended := agent.forward(ctx, w, r, parsed, shard, body)
+	agent.recordOutcome(parsed.shard, parsed.id, ended)
+	for _, successor := range agent.successorShards(shard) {
+		agent.recordOutcome(successor, parsed.id, ended)
 	}
 	return ended
 }
 
-func (agent *Agent) recordEnd(shard topology.ShardID, id requestid.ID, ended result) {
+func (agent *Agent) recordOutcome(shard topology.ShardID, id requestid.ID, ended result) {
 	switch {
 	case ended.ran:
 		agent.record.Finish(shard, id, ended.answer)
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -29,83 +29,85 @@
 )
 
 const (
-	self          = topology.BackendID(1)
-	other         = topology.BackendID(2)
-	testLease     = 500 * time.Millisecond
-	testRenewEach = 25 * time.Millisecond
+	self              = topology.BackendID(1)
+	other             = topology.BackendID(2)
+	testLease         = 500 * time.Millisecond
+	testRenewInterval = 25 * time.Millisecond
 )
 
 var shard = topology.ShardID{Service: 1, Shard: 1}
 
-// leader stands for the controller that grants an agent its lease.
-type leader struct {
+// fakeController stands in for the subscription to the controller that grants
+// the agent its lease.
+type fakeController struct {
 	agent *Agent
-	// refuses: renewals are not answered, as when the agent is cut off.
-	refuses atomic.Bool
-	// renewEach is the time between renewals.
-	renewEach atomic.Int64
-	reporting sync.Mutex
-
-	mutex    sync.Mutex
-	messages []wire.ToController
-	failed   uint32
-	released bool
-	left     bool
-}
-
-func (leader *leader) Send(message wire.ToController) error {
-	leader.mutex.Lock()
-	defer leader.mutex.Unlock()
-	leader.messages = append(leader.messages, message)
+	// unresponsive is set while renewals are not answered, as if the agent were
+	// disconnected.
+	unresponsive atomic.Bool
+	// renewInterval is the time between renewals.
+	renewInterval atomic.Int64
+	reporting     sync.Mutex
+
+	mutex            sync.Mutex
+	messages         []wire.ToController
+	failed           uint32
+	released         bool
+	announcedLeaving bool
+}
+
+func (controller *fakeController) Send(message wire.ToController) error {
+	controller.mutex.Lock()
+	defer controller.mutex.Unlock()
+	controller.messages = append(controller.messages, message)
 	return nil
 }
 
-// RenewNow answers one renewal as the leader would.
-func (leader *leader) RenewNow() {
-	sentAt := leader.agent.now()
-	renew := leader.report()
-	leader.mutex.Lock()
-	leader.released = renew.Release
-	leader.failed += renew.Backend.Failed
-	leader.left = leader.left || renew.Leaving
-	leader.mutex.Unlock()
-	if !renew.Release && !leader.refuses.Load() {
+// RenewNow performs one renewal and answers it as a controller would.
+func (controller *fakeController) RenewNow() {
+	sentAt := controller.agent.now()
+	renew := controller.report()
+	controller.mutex.Lock()
+	controller.released = renew.Release
+	controller.failed += renew.Backend.Failed
+	controller.announcedLeaving = controller.announcedLeaving || renew.Leaving
+	controller.mutex.Unlock()
+	if !renew.Release && !controller.unresponsive.Load() {
 		// Granted tells the control goroutine, which may be the caller.
-		go leader.agent.lease.Granted(sentAt, testLease)
+		go controller.agent.lease.Granted(sentAt, testLease)
 	}
 }
 
-// report asks for one report at a time, as the subscription's sending goroutine
+// report requests one report at a time, as the subscription's sending goroutine
 // does.
-func (leader *leader) report() wire.Renew {
-	leader.reporting.Lock()
-	defer leader.reporting.Unlock()
-	return leader.agent.report()
+func (controller *fakeController) report() wire.Renew {
+	controller.reporting.Lock()
+	defer controller.reporting.Unlock()
+	return controller.agent.report()
 }
 
-func (leader *leader) Stop() {}
+func (controller *fakeController) Stop() {}
 
-func (leader *leader) hasReleased() bool {
-	leader.mutex.Lock()
-	defer leader.mutex.Unlock()
-	return leader.released
+func (controller *fakeController) hasReleased() bool {
+	controller.mutex.Lock()
+	defer controller.mutex.Unlock()
+	return controller.released
 }
 
-func (leader *leader) warmed(id topology.ShardID) bool {
-	return leader.find(func(m wire.ToController) bool { return m.Warmed != nil && m.Warmed.Shard == id })
+func (controller *fakeController) warmed(id topology.ShardID) bool {
+	return controller.find(func(m wire.ToController) bool { return m.Warmed != nil && m.Warmed.Shard == id })
 }
 
-// sent counts the messages.
-func (leader *leader) sent() int {
-	leader.mutex.Lock()
-	defer leader.mutex.Unlock()
-	return len(leader.messages)
+// sent returns the number of messages.
+func (controller *fakeController) sent() int {
+	controller.mutex.Lock()
+	defer controller.mutex.Unlock()
+	return len(controller.messages)
 }
 
 // releasedShard returns the first Released of the shard, or nil.
-func (leader *leader) releasedShard(id topology.ShardID) *wire.Released {
+func (controller *fakeController) releasedShard(id topology.ShardID) *wire.Released {
 	var found *wire.Released
-	leader.find(func(m wire.ToController) bool {
+	controller.find(func(m wire.ToController) bool {
 		if m.Released != nil && m.Released.Shard == id {
 			found = m.Released
 		}
@@ -114,10 +116,10 @@
 	return found
 }
 
-func (leader *leader) find(match func(wire.ToController) bool) bool {
-	leader.mutex.Lock()
-	defer leader.mutex.Unlock()
-	for _, message := range leader.messages {
+func (controller *fakeController) find(match func(wire.ToController) bool) bool {
+	controller.mutex.Lock()
+	defer controller.mutex.Unlock()
+	for _, message := range controller.messages {
 		if match(message) {
 			return true
 		}
@@ -125,17 +127,17 @@
 	return false
 }
 
-// rig is an agent with a leader and a stand-in back end.
-type rig struct {
-	t       testing.TB
-	self    topology.BackendID
-	agent   *Agent
-	leader  *leader
-	backend *backend.Backend
-	ledger  string
-	folder  string
-	stop    context.CancelFunc
-	ended   chan error
+// harness runs an agent with a fake controller and a lab back end.
+type harness struct {
+	t          testing.TB
+	self       topology.BackendID
+	agent      *Agent
+	controller *fakeController
+	backend    *backend.Backend
+	ledger     string
+	folder     string
+	stop       context.CancelFunc
+	ended      chan error
 }
 
 func startBackend(t testing.TB, config backend.Config) (*backend.Backend, string) {
@@ -154,14 +156,14 @@
 	return started, config.Ledger
 }
 
-// startRig starts everything and returns once the lease is valid.
-func startRig(t testing.TB, backendConfig backend.Config, edit func(*Config)) *rig {
+// startHarness starts all of them and returns once the lease is valid.
+func startHarness(t testing.TB, backendConfig backend.Config, edit func(*Config)) *harness {
 	t.Helper()
-	return startRigAs(t, self, backendConfig, edit)
+	return startHarnessAs(t, self, backendConfig, edit)
 }
 
-// startRigAs is startRig for a back end of any identity.
-func startRigAs(t testing.TB, id topology.BackendID, backendConfig backend.Config, edit func(*Config)) *rig {
+// startHarnessAs is startHarness for a back end of any identity.
+func startHarnessAs(t testing.TB, id topology.BackendID, backendConfig backend.Config, edit func(*Config)) *harness {
 	t.Helper()
 	started, path := startBackend(t, backendConfig)
 	r := startAgent(t, id, started.Address(), t.TempDir(), edit)
@@ -169,8 +171,9 @@
 	return r
 }
 
-// startAgent starts an agent and a leader for the back end at the address.
-func startAgent(t testing.TB, id topology.BackendID, address, folder string, edit func(*Config)) *rig {
+// startAgent starts an agent and a fake controller for the back end at the
+// address.
+func startAgent(t testing.TB, id topology.BackendID, address, folder string, edit func(*Config)) *harness {
 	t.Helper()
 	config := Config{
 		Name:           "one",
@@ -187,13 +190,13 @@
 	agent, err := New(config)
 	assert.NilError(t, err)
 	ctx, stop := context.WithCancel(context.Background())
-	r := &rig{t: t, self: id, agent: agent, leader: &leader{agent: agent},
+	r := &harness{t: t, self: id, agent: agent, controller: &fakeController{agent: agent},
 		folder: folder, stop: stop, ended: make(chan error, 1)}
-	r.leader.renewEach.Store(int64(testRenewEach))
+	r.controller.renewInterval.Store(int64(testRenewInterval))
 	renewals, endRenewals := context.WithCancel(context.Background())
 	go func() {
 		defer endRenewals()
-		r.ended <- agent.runWith(ctx, r.leader)
+		r.ended <- agent.runWith(ctx, r.controller)
 	}()
 	go r.renew(renewals)
 	agent.onWelcome(wire.Welcome{Backend: id, Service: shard.Service})
@@ -202,16 +205,16 @@
 	return r
 }
 
-// renew stands for the subscription's regular renewals, which go on while a
-// planned stop drains.
-func (r *rig) renew(ctx context.Context) {
+// renew sends renewals regularly, as the subscription does. They continue while
+// a planned stop drains.
+func (r *harness) renew(ctx context.Context) {
 	for ctx.Err() == nil {
-		r.leader.RenewNow()
-		time.Sleep(time.Duration(r.leader.renewEach.Load()))
+		r.controller.RenewNow()
+		time.Sleep(time.Duration(r.controller.renewInterval.Load()))
 	}
 }
 
-// testWriter sends the agent's log to the test's until the test has ended.
+// testWriter writes the agent's log to the test's until the test has ended.
 type testWriter struct {
 	mutex sync.Mutex
 	t     testing.TB
@@ -236,7 +239,7 @@
 	return len(line), nil
 }
 
-func (r *rig) waitFor(what string, condition func() bool) {
+func (r *harness) waitFor(what string, condition func() bool) {
 	r.t.Helper()
 	poll.WaitOn(r.t, func(poll.LogT) poll.Result {
 		if condition() {
@@ -246,21 +249,21 @@
 	}, poll.WithDelay(2*time.Millisecond), poll.WithTimeout(10*time.Second))
 }
 
-// give puts a table in force that has the one shard in the given state.
-func (r *rig) give(revision topology.Revision, state topology.Shard, others ...topology.Backend) {
+// applyShard applies a routing table with one shard in the given state.
+func (r *harness) applyShard(revision topology.Revision, state topology.Shard, others ...topology.Backend) {
 	r.t.Helper()
-	r.giveAs(revision, topology.BackendActive, state, others...)
+	r.applyShardAs(revision, topology.BackendActive, state, others...)
 }
 
-// giveAs is give with the back end in any state.
-func (r *rig) giveAs(revision topology.Revision, as topology.BackendState, state topology.Shard, others ...topology.Backend) {
+// applyShardAs is applyShard with a given state of the back end.
+func (r *harness) applyShardAs(revision topology.Revision, as topology.BackendState, state topology.Shard, others ...topology.Backend) {
 	r.t.Helper()
 	state.ID = shard
-	r.giveShards(revision, as, []topology.Shard{state}, others...)
+	r.applyShards(revision, as, []topology.Shard{state}, others...)
 }
 
-// giveShards puts a table in force with shards in the order of their ranges.
-func (r *rig) giveShards(revision topology.Revision, as topology.BackendState, shards []topology.Shard, others ...topology.Backend) {
+// applyShards applies a routing table with shards in the order of their ranges.
+func (r *harness) applyShards(revision topology.Revision, as topology.BackendState, shards []topology.Shard, others ...topology.Backend) {
 	r.t.Helper()
 	table, err := routing.FromSnapshot(wire.RoutingSnapshot{
 		Revision: revision,
@@ -274,21 +277,21 @@
 	r.agent.onTable(table)
 }
 
-// asBackend is how the table lists the rig's back end.
-func (r *rig) asBackend(state topology.BackendState) topology.Backend {
+// asBackend returns the entry of the harness's back end in the routing table.
+func (r *harness) asBackend(state topology.BackendState) topology.Backend {
 	return topology.Backend{ID: r.self, Service: shard.Service, Name: "one",
 		AgentAddress: r.agent.Address(), Slots: 4, Connections: 20, State: state}
 }
 
-// own gives the shard to the agent and waits until it serves.
-func (r *rig) own(revision topology.Revision, epoch topology.Epoch) {
+// ownShard assigns the shard to the agent and waits until it is served.
+func (r *harness) ownShard(revision topology.Revision, epoch topology.Epoch) {
 	r.t.Helper()
-	r.give(revision, topology.Shard{Phase: topology.ShardOwned, Owner: r.self, Epoch: epoch})
-	r.serves(epoch)
+	r.applyShard(revision, topology.Shard{Phase: topology.ShardOwned, Owner: r.self, Epoch: epoch})
+	r.waitServed(epoch)
 }
 
-// serves waits until the shard is served at the epoch.
-func (r *rig) serves(epoch topology.Epoch) {
+// waitServed waits until the shard is served at the epoch.
+func (r *harness) waitServed(epoch topology.Epoch) {
 	r.t.Helper()
 	r.waitFor("shard served", func() bool {
 		held, ok := r.agent.view.Load().shards[shard]
@@ -296,8 +299,8 @@
 	})
 }
 
-// reply is what a router got.
-type reply struct {
+// testResponse is what a router receives.
+type testResponse struct {
 	status  int
 	outcome wire.Outcome
 	reason  wire.Reason
@@ -306,15 +309,15 @@
 	err     error
 }
 
-// call is a request as a router sends it.
-type call struct {
+// testRequest is a request as a router sends it.
+type testRequest struct {
 	method, path, body string
 	epoch              topology.Epoch
 	id                 string
 	header             map[string]string
 }
 
-func (r *rig) newRequest(sent call) *http.Request {
+func (r *harness) newRequest(sent testRequest) *http.Request {
 	request, err := http.NewRequest(sent.method, "http://"+r.agent.Address()+sent.path, strings.NewReader(sent.body))
 	assert.NilError(r.t, err)
 	request.Header.Set(wire.HeaderShard, shard.String())
@@ -329,20 +332,20 @@
 	return request
 }
 
-func (r *rig) do(sent call) reply {
+func (r *harness) send(sent testRequest) testResponse {
 	r.t.Helper()
 	return exchange(r.newRequest(sent))
 }
 
-func exchange(request *http.Request) reply {
+func exchange(request *http.Request) testResponse {
 	transport := &http.Transport{DisableKeepAlives: true}
 	response, err := transport.RoundTrip(request)
 	if err != nil {
-		return reply{err: err}
+		return testResponse{err: err}
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	return reply{
+	return testResponse{
 		status:  response.StatusCode,
 		outcome: wire.Outcome(response.Header.Get(wire.HeaderOutcome)),
 		reason:  wire.Reason(response.Header.Get(wire.HeaderReason)),
@@ -352,16 +355,16 @@
 	}
 }
 
-// background sends a call and returns where its reply will be.
-func (r *rig) background(sent call) <-chan reply {
+// sendAsync sends a request and returns the channel that receives the response.
+func (r *harness) sendAsync(sent testRequest) <-chan testResponse {
 	request := r.newRequest(sent)
-	result := make(chan reply, 1)
+	result := make(chan testResponse, 1)
 	go func() { result <- exchange(request) }()
 	return result
 }
 
-// behave sets the stand-in's behaviour.
-func (r *rig) behave(behaviour string) {
+// setBehaviour sets the behaviour of the lab back end.
+func (r *harness) setBehaviour(behaviour string) {
 	r.t.Helper()
 	request, err := http.NewRequest(http.MethodPut, "http://"+r.backend.Address()+"/_lab/behaviour", bytes.NewBufferString(behaviour))
 	assert.NilError(r.t, err)
@@ -370,8 +373,8 @@
 	assert.Equal(r.t, got.status, http.StatusOK)
 }
 
-// kinds counts what the stand-in did with a request id.
-func (r *rig) count(id string, kind ledger.Kind) int {
+// countEntries counts the ledger entries of one kind for a request id.
+func (r *harness) countEntries(id string, kind ledger.Kind) int {
 	r.t.Helper()
 	entries, err := ledger.ReadBackends(r.ledger)
 	assert.NilError(r.t, err)
@@ -384,32 +387,33 @@
 	return found
 }
 
-// running waits until the stand-in runs the request.
-func (r *rig) running(id string) {
+// waitRunning waits until the back end runs the request.
+func (r *harness) waitRunning(id string) {
 	r.t.Helper()
-	r.waitFor("request runs", func() bool { return r.count(id, ledger.KindRun) > 0 })
+	r.waitFor("request runs", func() bool { return r.countEntries(id, ledger.KindRun) > 0 })
 }
 
 var idCount atomic.Uint64
 
-// newID makes an id that is stamped with the time.
+// newID returns an id with the given time.
 func newID(at time.Time) string { return newIDOf(at, idCount.Add(1)) }
 
-// newIDOf makes an id from a time and a number.
+// newIDOf returns an id with the given time and number.
 func newIDOf(at time.Time, number uint64) string {
 	var random [10]byte
 	binary.BigEndian.PutUint64(random[2:], number)
 	return requestid.New(at, random).String()
 }
 
-// freshID makes an id stamped after every floor that the agent raised by now.
-func (r *rig) freshID() string {
+// freshID returns an id whose time is above the floor of every record that the
+// agent has begun.
+func (r *harness) freshID() string {
 	time.Sleep(time.Millisecond)
 	bound := r.agent.config.Record.ClockBound
 	return newID(time.Now().Add(bound))
 }
 
-func (r *rig) status() map[string]any {
+func (r *harness) backendStatus() map[string]any {
 	request, err := http.NewRequest(http.MethodGet, "http://"+r.backend.Address()+"/_lab/status", nil)
 	assert.NilError(r.t, err)
 	got := exchange(request)
@@ -418,7 +422,7 @@
 	return status
 }
 
-// stopNow ends a stand-in without waiting for its requests.
+// stopNow stops a lab back end without waiting for its requests.
 func stopNow(t testing.TB, started *backend.Backend) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -426,12 +430,12 @@
 	_ = started.Stop(ctx)
 }
 
-// cancellable sends a call that the returned function cancels, as a router does
-// whose caller went away.
-func (r *rig) cancellable(sent call) (cancel func(), done <-chan reply) {
+// sendCancellable sends a request that the returned function cancels, as a
+// router does whose caller disconnected.
+func (r *harness) sendCancellable(sent testRequest) (cancel func(), done <-chan testResponse) {
 	ctx, cancel := context.WithCancel(context.Background())
 	request := r.newRequest(sent).WithContext(ctx)
-	result := make(chan reply, 1)
+	result := make(chan testResponse, 1)
 	go func() { result <- exchange(request) }()
 	return cancel, result
 }
--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -7,45 +7,46 @@
 	"github.com/quartzdock/quartzdock/internal/ownership"
 )
 
-// lease guards the holder's lease against answers that were on their way when
-// it was given up.
+// lease wraps the holder so that the answer to a renewal sent before the lease
+// was given up does not restore it.
 type lease struct {
-	holder   *ownership.Holder
-	extended func()
+	holder     *ownership.Holder
+	onExtended func()
 
 	mutex sync.Mutex
-	// withheld: no lease is taken until resume.
-	withheld bool
-	// notBefore: renewals sent earlier than this were answered too late.
+	// suspended is set while no lease is accepted; see resume.
+	suspended bool
+	// notBefore is the earliest sending time of a renewal whose answer is
+	// accepted.
 	notBefore time.Duration
 }
 
 // Granted implements subscription.LeaseHolder.
 func (lease *lease) Granted(sentAt, granted time.Duration) {
 	lease.mutex.Lock()
-	taken := !lease.withheld && sentAt >= lease.notBefore
+	taken := !lease.suspended && sentAt >= lease.notBefore
 	if taken {
 		lease.holder.Granted(sentAt, granted)
 	}
 	lease.mutex.Unlock()
 	if taken {
-		lease.extended()
+		lease.onExtended()
 	}
 }
 
-// withhold ends the lease in this process at once. The controller learns of it
-// by a later Renew with Release set.
-func (lease *lease) withhold() {
+// suspend ends the lease in this process at once. The controller is told later,
+// by a Renew with Release set.
+func (lease *lease) suspend() {
 	lease.mutex.Lock()
 	defer lease.mutex.Unlock()
-	lease.withheld = true
+	lease.suspended = true
 	lease.holder.Release()
 }
 
-// resume takes leases again, of renewals sent from now on.
+// resume accepts leases again, for renewals that are sent from now on.
 func (lease *lease) resume(now time.Duration) {
 	lease.mutex.Lock()
 	defer lease.mutex.Unlock()
-	lease.withheld = false
+	lease.suspended = false
 	lease.notBefore = now
 }
--- a/internal/agent/leaving.go
+++ b/internal/agent/leaving.go
@@ -8,28 +8,30 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// followState notes since when the back end leaves: it is drained, or this
-// process stops as planned. Requests that are not bound to a shard are refused
-// from then on, those that are once LeavingGrace has passed.
-func (control *controlLoop) followState(backend *topology.Backend) {
+// updateLeaving records since when the back end has been leaving, because it is
+// drained or because this process performs a planned stop. From then on
+// requests without a shard are refused; requests for shards are refused once
+// LeavingGrace has passed.
+func (control *controlLoop) updateLeaving(backend *topology.Backend) {
 	now := control.now()
-	takes := backend.State == topology.BackendActive && !control.leaving.Load()
+	accepts := backend.State == topology.BackendActive && !control.leaving.Load()
 	switch {
-	case takes && control.unbound == nil:
-		control.unbound = newServed(topology.ShardID{}, 0, requestrecord.Range{})
+	case accepts && control.unbound == nil:
+		control.unbound = newServedShard(topology.ShardID{}, 0, requestrecord.Range{})
 		control.leavingSince = 0
 		control.publish()
-	case !takes && control.leavingSince == 0:
-		control.leavingSince = control.leavingFrom(now)
+	case !accepts && control.leavingSince == 0:
+		control.leavingSince = control.leavingStart(now)
 		control.closeUnbound()
 	}
-	control.closeLeaving(now)
+	control.updateClosedToNew(now)
 }
 
-// leavingFrom is since when a back end leaves whose agent learns of it now. An
-// agent without a lease was cut off or has just started: the back end may have
-// been leaving for long, and gets no grace.
-func (control *controlLoop) leavingFrom(now time.Duration) time.Duration {
+// leavingStart returns since when the back end counts as leaving if the agent
+// learns of it now. An agent without a lease was disconnected or has just
+// started: the back end may have been leaving for a long time, and gets no
+// grace.
+func (control *controlLoop) leavingStart(now time.Duration) time.Duration {
 	if control.holder.Valid(now) {
 		return now
 	}
@@ -45,22 +47,24 @@
 	control.publish()
 }
 
-// closeLeaving closes a back end to new work that has been leaving for long.
-func (control *controlLoop) closeLeaving(now time.Duration) {
+// updateClosedToNew refuses all new requests once the back end has been leaving
+// for LeavingGrace.
+func (control *controlLoop) updateClosedToNew(now time.Duration) {
 	leaves := control.leavingSince != 0
 	control.closedToNew.Store(leaves && now-control.leavingSince >= control.config.LeavingGrace)
 }
 
-// followMoves notes what a planned stop waits for.
-func (control *controlLoop) followMoves(mine *share) {
+// updateMoves counts the shards that are being moved and records whether the
+// others wait for the restart. A planned stop waits by both; see awaitMoves.
+func (control *controlLoop) updateMoves(assigned *assignment) {
 	moving := int32(0)
-	for _, shard := range mine.owned {
+	for _, shard := range assigned.owned {
 		if shard.Target != 0 {
 			moving++
 		}
 	}
-	control.moving.Store(moving)
-	waits := mine.service != nil && mine.backend.State == topology.BackendActive &&
-		placement.WaitsForRestart(mine.service.Placement)
+	control.movingShards.Store(moving)
+	waits := assigned.service != nil && assigned.backend.State == topology.BackendActive &&
+		placement.WaitsForRestart(assigned.service.Placement)
 	control.waitsForRestart.Store(waits)
 }
--- a/internal/agent/limits_test.go
+++ b/internal/agent/limits_test.go
@@ -19,24 +19,24 @@
 	"github.com/quartzdock/quartzdock/lab/ledger"
 )
 
-// TestSlotsAndConnectionsAreNeverExceeded: far more callers than slots, of which
-// some give up or go away while their request runs.
+// TestSlotsAndConnectionsAreNeverExceeded: there are far more callers than
+// slots, and some of them time out or disconnect while their request runs.
 func TestSlotsAndConnectionsAreNeverExceeded(t *testing.T) {
 	const callers, each = 40, 12
-	r := startRig(t, backend.Config{Slots: 4, Connections: 20, ConnectCost: time.Millisecond}, shortClockBound)
-	r.own(1, 1)
+	r := startHarness(t, backend.Config{Slots: 4, Connections: 20, ConnectCost: time.Millisecond}, shortClockBound)
+	r.ownShard(1, 1)
 	var group sync.WaitGroup
 	var answered atomic.Int64
 	for caller := range callers {
 		group.Go(func() {
 			for i := range each {
-				sent := call{method: http.MethodGet, path: "/closures/route/k?work=5ms", epoch: 1}
+				sent := testRequest{method: http.MethodGet, path: "/closures/route/k?work=5ms", epoch: 1}
 				switch (caller + i) % 4 {
 				case 0:
 					sent.path = "/closures/route/k?work=60ms"
 					sent.header = map[string]string{wire.HeaderDeadline: "30"}
 				case 1:
-					cancel, done := r.cancellable(call{method: http.MethodGet, path: "/closures/route/k?work=60ms", epoch: 1})
+					cancel, done := r.sendCancellable(testRequest{method: http.MethodGet, path: "/closures/route/k?work=60ms", epoch: 1})
 					time.Sleep(time.Duration(i) * time.Millisecond)
 					cancel()
 					<-done
@@ -50,13 +50,13 @@
 	}
 	group.Wait()
 	assert.Assert(t, answered.Load() > 0)
-	assert.Equal(t, r.countKind(ledger.KindOverSlots), 0)
-	assert.Equal(t, r.countKind(ledger.KindOverConnections), 0)
+	assert.Equal(t, r.countAllEntries(ledger.KindOverSlots), 0)
+	assert.Equal(t, r.countAllEntries(ledger.KindOverConnections), 0)
 	r.waitFor("slots free", func() bool { return r.agent.gate.Running() == 0 })
 }
 
-// countKind counts what the stand-in did, over all requests.
-func (r *rig) countKind(kind ledger.Kind) int {
+// countAllEntries counts the ledger entries of one kind over all requests.
+func (r *harness) countAllEntries(kind ledger.Kind) int {
 	r.t.Helper()
 	entries, err := ledger.ReadBackends(r.ledger)
 	assert.NilError(r.t, err)
@@ -70,25 +70,25 @@
 }
 
 func TestCancellationReachesTheBackEnd(t *testing.T) {
-	r := startRig(t, backend.Config{}, shortClockBound)
-	r.own(1, 1)
+	r := startHarness(t, backend.Config{}, shortClockBound)
+	r.ownShard(1, 1)
 	id := r.freshID()
-	cancel, done := r.cancellable(call{method: http.MethodGet, path: "/closures/route/k?work=1h", epoch: 1,
+	cancel, done := r.sendCancellable(testRequest{method: http.MethodGet, path: "/closures/route/k?work=1h", epoch: 1,
 		header: map[string]string{wire.HeaderRequestID: id}})
-	r.running(id)
+	r.waitRunning(id)
 	cancel()
 	<-done
-	r.waitFor("end of the run", func() bool { return r.count(id, ledger.KindAbandoned) == 1 })
+	r.waitFor("the request to be abandoned", func() bool { return r.countEntries(id, ledger.KindAbandoned) == 1 })
 }
 
 func TestDeadlineReachesTheBackEnd(t *testing.T) {
 	var given atomic.Int64
-	r, _ := startFakeRig(t, func(_ http.ResponseWriter, request *http.Request) {
+	r, _ := startFakeHarness(t, func(_ http.ResponseWriter, request *http.Request) {
 		left, _ := strconv.ParseInt(request.Header.Get(wire.HeaderDeadline), 10, 64)
 		given.Store(left)
-		<-request.Context().Done() // ends when the agent gives up
+		<-request.Context().Done() // ends when the agent cancels the request
 	}, shortClockBound)
-	got := r.do(call{method: http.MethodGet, path: "/closures/route/k", epoch: 1,
+	got := r.send(testRequest{method: http.MethodGet, path: "/closures/route/k", epoch: 1,
 		header: map[string]string{wire.HeaderDeadline: "200"}})
 	assert.Equal(t, got.status, http.StatusGatewayTimeout)
 	assert.Equal(t, got.outcome, wire.OutcomeUnknown)
@@ -96,7 +96,8 @@
 	assert.Assert(t, given.Load() > 0 && given.Load() <= 200, "%d", given.Load())
 }
 
-// hijack takes the connection over to send what no server would.
+// hijack sends text that no correct server would send on the raw connection,
+// and closes it.
 func hijack(t *testing.T, w http.ResponseWriter, text string) {
 	connection, _, err := http.NewResponseController(w).Hijack()
 	assert.Check(t, err)
@@ -118,8 +119,8 @@
 		"nothing":            {"", wire.OutcomeUnknown, wire.ReasonInterrupted},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, _ := startFakeRig(t, func(w http.ResponseWriter, _ *http.Request) { hijack(t, w, test.answer) }, shortClockBound)
-			got := r.do(call{method: http.MethodGet, path: "/closures/route/k", epoch: 1})
+			r, _ := startFakeHarness(t, func(w http.ResponseWriter, _ *http.Request) { hijack(t, w, test.answer) }, shortClockBound)
+			got := r.send(testRequest{method: http.MethodGet, path: "/closures/route/k", epoch: 1})
 			assert.Equal(t, got.outcome, test.outcome, "%+v", got)
 			assert.Equal(t, got.reason, test.reason)
 		})
@@ -129,21 +130,22 @@
 		"long, in chunks":   "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n40000\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			sent := header + string(bytes.Repeat([]byte("x"), 3*bufferedBytes))
-			r, _ := startFakeRig(t, func(w http.ResponseWriter, _ *http.Request) { hijack(t, w, sent) }, shortClockBound)
-			got := r.do(call{method: http.MethodGet, path: "/closures/route/k", epoch: 1})
+			sent := header + string(bytes.Repeat([]byte("x"), 3*maxBufferedBytes))
+			r, _ := startFakeHarness(t, func(w http.ResponseWriter, _ *http.Request) { hijack(t, w, sent) }, shortClockBound)
+			got := r.send(testRequest{method: http.MethodGet, path: "/closures/route/k", epoch: 1})
 			assert.ErrorIs(t, got.err, io.ErrUnexpectedEOF)
 		})
 	}
 }
 
 // TestLargeAnswersStreamWithBoundedMemory: the back end can be ahead of a slow
-// reader by the buffers of two connections and no more, however long the answer.
+// reader by no more than the buffers of two connections, however long the
+// answer is.
 func TestLargeAnswersStreamWithBoundedMemory(t *testing.T) {
 	const part, parts = 1 << 20, 256
 	const bound = 32 << 20
 	var sent atomic.Int64
-	r, _ := startFakeRig(t, func(w http.ResponseWriter, _ *http.Request) {
+	r, _ := startFakeHarness(t, func(w http.ResponseWriter, _ *http.Request) {
 		for range parts {
 			if _, err := w.Write(make([]byte, part)); err != nil {
 				return
@@ -151,7 +153,7 @@
 			sent.Add(part)
 		}
 	}, shortClockBound)
-	response, err := (&http.Transport{}).RoundTrip(r.newRequest(call{method: http.MethodGet, path: "/closures/pack/k", epoch: 1,
+	response, err := (&http.Transport{}).RoundTrip(r.newRequest(testRequest{method: http.MethodGet, path: "/closures/pack/k", epoch: 1,
 		header: map[string]string{wire.HeaderClass: classBulk}}))
 	assert.NilError(t, err)
 	defer response.Body.Close()
@@ -163,29 +165,29 @@
 		received += int64(count)
 		most = max(most, sent.Load()-received)
 		if received < part {
-			time.Sleep(10 * time.Millisecond) // lets the back end get ahead
+			time.Sleep(10 * time.Millisecond) // lets the back end send ahead
 		}
 	}
 	assert.Equal(t, err, io.EOF)
 	assert.Equal(t, received, int64(part*parts))
 	assert.Assert(t, most < bound, "%d bytes ahead", most)
-	assert.Assert(t, response.Trailer.Get(wire.TrailerDigest) != "", "the digest follows a body without length")
+	assert.Assert(t, response.Trailer.Get(wire.TrailerDigest) != "", "a body of unknown length must be followed by its digest")
 }
 
-// TestLateAnswersReachNobodyElse: every other caller goes away in mid-answer;
-// the others must get their own.
-func TestLateAnswersReachNobodyElse(t *testing.T) {
-	r := startRig(t, backend.Config{}, shortClockBound)
-	r.own(1, 1)
+// TestLateAnswersReachNoOtherCaller: every second caller disconnects while its
+// request runs. The others must receive the answers to their own requests.
+func TestLateAnswersReachNoOtherCaller(t *testing.T) {
+	r := startHarness(t, backend.Config{}, shortClockBound)
+	r.ownShard(1, 1)
 	var group sync.WaitGroup
 	for caller := range 8 {
 		group.Go(func() {
 			for i := range 20 {
 				id := newID(time.Now())
-				sent := call{method: http.MethodGet, path: "/closures/route/k?work=3ms&bytes=2000", epoch: 1,
+				sent := testRequest{method: http.MethodGet, path: "/closures/route/k?work=3ms&bytes=2000", epoch: 1,
 					header: map[string]string{wire.HeaderRequestID: id}}
 				if (caller+i)%2 == 0 {
-					cancel, done := r.cancellable(sent)
+					cancel, done := r.sendCancellable(sent)
 					time.Sleep(time.Duration(i%5) * time.Millisecond)
 					cancel()
 					<-done
@@ -203,11 +205,12 @@
 }
 
 // TestBrokenReusedConnectionNeverResends: the back end reads a request on a
-// connection that it has answered on before, and closes it without an answer.
-// http.Transport would send the request again, for its Idempotency-Key.
+// connection on which it has answered before, and closes it without an answer.
+// http.Transport would send such a request again because of its Idempotency-Key
+// header.
 func TestBrokenReusedConnectionNeverResends(t *testing.T) {
 	var requests, broken atomic.Int64
-	r, _ := startFakeRig(t, func(w http.ResponseWriter, request *http.Request) {
+	r, _ := startFakeHarness(t, func(w http.ResponseWriter, request *http.Request) {
 		_, _ = io.Copy(io.Discard, request.Body)
 		requests.Add(1)
 		if broken.Load() > 0 {
@@ -217,8 +220,8 @@
 		shortClockBound(config)
 		config.WarmConnections = -1
 	})
-	send := func(id string) reply {
-		return r.do(call{method: http.MethodPost, path: "/closures/edit/k", body: "closed", epoch: 1, id: id,
+	send := func(id string) testResponse {
+		return r.send(testRequest{method: http.MethodPost, path: "/closures/edit/k", body: "closed", epoch: 1, id: id,
 			header: map[string]string{"Idempotency-Key": id}})
 	}
 	assert.Equal(t, send(r.freshID()).outcome, wire.OutcomeAnswered)
@@ -234,18 +237,18 @@
 	assert.Equal(t, requests.Load(), int64(2))
 }
 
-// TestWaitersForAnUnreachableBackEndAreToldNotRun: no connection is made, so
-// nothing ran.
-func TestUnreachableBackEndIsToldAsNotRun(t *testing.T) {
-	r := startRig(t, backend.Config{}, func(config *Config) {
+// TestUnreachableBackEndMeansNotRun: no connection can be opened, so the
+// request was certainly not run.
+func TestUnreachableBackEndMeansNotRun(t *testing.T) {
+	r := startHarness(t, backend.Config{}, func(config *Config) {
 		shortClockBound(config)
 		config.WarmConnections = -1
 	})
-	r.own(1, 1)
+	r.ownShard(1, 1)
 	stopNow(t, r.backend)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	got := exchange(r.newRequest(call{method: http.MethodPost, path: "/closures/edit/k", epoch: 1, id: r.freshID()}).WithContext(ctx))
+	got := exchange(r.newRequest(testRequest{method: http.MethodPost, path: "/closures/edit/k", epoch: 1, id: r.freshID()}).WithContext(ctx))
 	assert.Equal(t, got.outcome, wire.OutcomeNotRun, "%+v", got)
 	assert.Equal(t, got.reason, wire.ReasonUnreachable)
 }
--- a/internal/agent/nonrepeatable_test.go
+++ b/internal/agent/nonrepeatable_test.go
@@ -15,13 +15,13 @@
 	"github.com/quartzdock/quartzdock/lab/ledger"
 )
 
-// killed stands for a kill of the rig's agent: it copies the data folder as it
-// is, ends the renewals, and starts another agent on the copy.
-func (r *rig) killed(edit func(*Config)) *rig {
+// restartAfterKill simulates a kill of the agent: it copies the data folder as
+// it is, ends the renewals, and starts another agent on the copy.
+func (r *harness) restartAfterKill(edit func(*Config)) *harness {
 	r.t.Helper()
 	folder := r.t.TempDir()
 	assert.NilError(r.t, os.CopyFS(folder, os.DirFS(r.folder)))
-	r.leader.refuses.Store(true)
+	r.controller.unresponsive.Store(true)
 	r.waitFor("lease over", func() bool { return !r.agent.holder.Valid(r.agent.now()) })
 	r.stop()
 	restarted := startAgent(r.t, r.self, r.backend.Address(), folder, edit)
@@ -30,37 +30,37 @@
 }
 
 func TestRestartInMidRequestNeverRunsItAgain(t *testing.T) {
-	r := startRig(t, backend.Config{}, shortClockBound)
-	r.own(1, 1)
+	r := startHarness(t, backend.Config{}, shortClockBound)
+	r.ownShard(1, 1)
 	begun, answered := r.freshID(), r.freshID()
-	short := call{method: http.MethodPost, path: "/closures/edit/k", body: "closed", epoch: 1, id: answered}
-	assert.Equal(t, r.do(short).outcome, wire.OutcomeAnswered)
-	long := call{method: http.MethodPost, path: "/closures/edit/k?work=800ms", body: "closed", epoch: 1, id: begun}
-	first := r.background(long)
-	r.running(begun)
+	short := testRequest{method: http.MethodPost, path: "/closures/edit/k", body: "closed", epoch: 1, id: answered}
+	assert.Equal(t, r.send(short).outcome, wire.OutcomeAnswered)
+	long := testRequest{method: http.MethodPost, path: "/closures/edit/k?work=800ms", body: "closed", epoch: 1, id: begun}
+	first := r.sendAsync(long)
+	r.waitRunning(begun)
 
-	restarted := r.killed(shortClockBound)
+	restarted := r.restartAfterKill(shortClockBound)
 	<-first
-	restarted.own(1, 1)
-	again := restarted.do(long)
+	restarted.ownShard(1, 1)
+	again := restarted.send(long)
 	assert.Equal(t, again.outcome, wire.OutcomeUnknown)
 	assert.Equal(t, again.reason, wire.ReasonInterrupted)
-	assert.Equal(t, r.count(begun, ledger.KindRun), 1)
-	assert.Equal(t, restarted.do(short).outcome, wire.OutcomeAnswered, "the kept answer")
-	assert.Equal(t, r.count(answered, ledger.KindRun), 1)
+	assert.Equal(t, r.countEntries(begun, ledger.KindRun), 1)
+	assert.Equal(t, restarted.send(short).outcome, wire.OutcomeAnswered, "the kept answer must be repeated")
+	assert.Equal(t, r.countEntries(answered, ledger.KindRun), 1)
 	fresh := restarted.freshID()
-	assert.Equal(t, restarted.do(call{method: http.MethodPost, path: "/closures/edit/k", epoch: 1, id: fresh}).outcome,
-		wire.OutcomeAnswered, "the record is whole, so new work goes on")
+	assert.Equal(t, restarted.send(testRequest{method: http.MethodPost, path: "/closures/edit/k", epoch: 1, id: fresh}).outcome,
+		wire.OutcomeAnswered, "the record is undamaged, so new requests must be accepted")
 }
 
-// TestDamagedRecordRefusesWhatMayHaveRun: the end of the journal is gone, with
-// the entry of a request that ran.
-func TestDamagedRecordRefusesWhatMayHaveRun(t *testing.T) {
-	r := startRig(t, backend.Config{}, shortClockBound)
-	r.own(1, 1)
+// TestDamagedRecordRefusesRequestsThatMayHaveRun: the end of the journal is
+// lost, with the entry of a request that ran.
+func TestDamagedRecordRefusesRequestsThatMayHaveRun(t *testing.T) {
+	r := startHarness(t, backend.Config{}, shortClockBound)
+	r.ownShard(1, 1)
 	ran := r.freshID()
-	posted := call{method: http.MethodPost, path: "/closures/edit/k", body: "closed", epoch: 1, id: ran}
-	assert.Equal(t, r.do(posted).outcome, wire.OutcomeAnswered)
+	posted := testRequest{method: http.MethodPost, path: "/closures/edit/k", body: "closed", epoch: 1, id: ran}
+	assert.Equal(t, r.send(posted).outcome, wire.OutcomeAnswered)
 	journals, err := filepath.Glob(filepath.Join(r.folder, recordFolder, "*.journal"))
 	assert.NilError(t, err)
 	assert.Equal(t, len(journals), 1)
@@ -72,87 +72,88 @@
 	r.waitFor("whole journal", func() bool { return r.agent.record.Stats().Fresh == 1 && size() > 0 })
 	assert.NilError(t, os.Truncate(journals[0], size()/2))
 
-	restarted := r.killed(shortClockBound)
-	restarted.own(1, 1)
-	again := restarted.do(posted)
+	restarted := r.restartAfterKill(shortClockBound)
+	restarted.ownShard(1, 1)
+	again := restarted.send(posted)
 	assert.Equal(t, again.outcome, wire.OutcomeUnknown)
 	assert.Equal(t, again.reason, wire.ReasonRecordLost)
-	assert.Equal(t, r.count(ran, ledger.KindRun), 1)
+	assert.Equal(t, r.countEntries(ran, ledger.KindRun), 1)
 }
 
-func TestPlannedMoveTakesTheRecordAlong(t *testing.T) {
-	from := startRig(t, backend.Config{}, shortClockBound)
-	to := startRigAs(t, other, backend.Config{}, shortClockBound)
-	from.own(1, 1)
+func TestPlannedMoveTransfersTheRecord(t *testing.T) {
+	from := startHarness(t, backend.Config{}, shortClockBound)
+	to := startHarnessAs(t, other, backend.Config{}, shortClockBound)
+	from.ownShard(1, 1)
 	ran, running := from.freshID(), from.freshID()
-	posted := call{method: http.MethodPost, path: "/closures/edit/k", body: "closed", epoch: 1, id: ran}
-	original := from.do(posted)
+	posted := testRequest{method: http.MethodPost, path: "/closures/edit/k", body: "closed", epoch: 1, id: ran}
+	original := from.send(posted)
 	assert.Equal(t, original.outcome, wire.OutcomeAnswered)
-	slow := from.background(call{method: http.MethodPost, path: "/closures/edit/k?work=500ms", epoch: 1, id: running})
-	from.running(running)
+	slow := from.sendAsync(testRequest{method: http.MethodPost, path: "/closures/edit/k?work=500ms", epoch: 1, id: running})
+	from.waitRunning(running)
 
-	from.give(2, topology.Shard{Phase: topology.ShardReleasing, Owner: self, Target: other, Epoch: 1},
+	from.applyShard(2, topology.Shard{Phase: topology.ShardReleasing, Owner: self, Target: other, Epoch: 1},
 		to.asBackend(topology.BackendActive))
-	refused := from.do(call{method: http.MethodPost, path: "/closures/edit/k", epoch: 1, id: from.freshID()})
+	refused := from.send(testRequest{method: http.MethodPost, path: "/closures/edit/k", epoch: 1, id: from.freshID()})
 	assert.Equal(t, refused.reason, wire.ReasonDraining)
-	assert.Assert(t, from.leader.releasedShard(shard) == nil, "the running request ends first")
+	assert.Assert(t, from.controller.releasedShard(shard) == nil, "the running request must end before the release")
 	assert.Equal(t, (<-slow).outcome, wire.OutcomeAnswered)
-	from.waitFor("release", func() bool { return from.leader.releasedShard(shard) != nil })
-	assert.Assert(t, from.leader.releasedShard(shard).RecordMoved)
-	from.waitFor("grant revoked", func() bool { return from.status()["grants"] == 0.0 })
+	from.waitFor("release", func() bool { return from.controller.releasedShard(shard) != nil })
+	assert.Assert(t, from.controller.releasedShard(shard).RecordMoved)
+	from.waitFor("grant revoked", func() bool { return from.backendStatus()["grants"] == 0.0 })
 
-	to.own(3, 2)
+	to.ownShard(3, 2)
 	posted.epoch = 2
-	again := to.do(posted)
+	again := to.send(posted)
 	assert.Equal(t, again.outcome, wire.OutcomeAnswered)
 	assert.Equal(t, again.body, original.body)
-	assert.Equal(t, to.count(ran, ledger.KindRun), 0)
-	fresh := to.do(call{method: http.MethodPost, path: "/closures/edit/k", epoch: 2, id: newID(time.Now())})
-	assert.Equal(t, fresh.outcome, wire.OutcomeAnswered, "no floor was raised")
+	assert.Equal(t, to.countEntries(ran, ledger.KindRun), 0)
+	fresh := to.send(testRequest{method: http.MethodPost, path: "/closures/edit/k", epoch: 2, id: newID(time.Now())})
+	assert.Equal(t, fresh.outcome, wire.OutcomeAnswered, "the transferred record's floor must not be raised")
 }
 
-func TestLostRecordIsTold(t *testing.T) {
-	r := startRig(t, backend.Config{}, shortClockBound)
+func TestLostRecordIsReported(t *testing.T) {
+	r := startHarness(t, backend.Config{}, shortClockBound)
 	before := newID(time.Now().Add(-time.Second))
-	r.own(1, 7)
-	got := r.do(call{method: http.MethodPost, path: "/closures/edit/k", epoch: 7, id: before})
+	r.ownShard(1, 7)
+	got := r.send(testRequest{method: http.MethodPost, path: "/closures/edit/k", epoch: 7, id: before})
 	assert.Equal(t, got.status, http.StatusConflict)
 	assert.Equal(t, got.outcome, wire.OutcomeUnknown)
 	assert.Equal(t, got.reason, wire.ReasonRecordLost)
-	assert.Equal(t, r.count(before, ledger.KindRun), 0)
+	assert.Equal(t, r.countEntries(before, ledger.KindRun), 0)
 	assert.Equal(t, r.agent.counts.recordsLost.Load(), uint64(1))
 }
 
-// TestRunOfARouterThatWentAwayIsKept: a resend finds its answer.
-func TestRunOfARouterThatWentAwayIsKept(t *testing.T) {
-	r := startRig(t, backend.Config{}, shortClockBound)
-	r.own(1, 1)
+// TestAnswerIsKeptWhenTheRouterDisconnects: the request runs to its end, and a
+// resend gets the answer.
+func TestAnswerIsKeptWhenTheRouterDisconnects(t *testing.T) {
+	r := startHarness(t, backend.Config{}, shortClockBound)
+	r.ownShard(1, 1)
 	id := r.freshID()
-	posted := call{method: http.MethodPost, path: "/closures/edit/k?work=300ms", body: "closed", epoch: 1, id: id}
-	cancel, done := r.cancellable(posted)
-	r.running(id)
+	posted := testRequest{method: http.MethodPost, path: "/closures/edit/k?work=300ms", body: "closed", epoch: 1, id: id}
+	cancel, done := r.sendCancellable(posted)
+	r.waitRunning(id)
 	cancel()
 	<-done
-	r.waitFor("run to end", func() bool { return r.count(id, ledger.KindWrite) == 1 })
-	r.waitFor("kept answer", func() bool { return r.do(posted).outcome == wire.OutcomeAnswered })
-	assert.Equal(t, r.count(id, ledger.KindRun), 1)
+	r.waitFor("run to end", func() bool { return r.countEntries(id, ledger.KindWrite) == 1 })
+	r.waitFor("kept answer", func() bool { return r.send(posted).outcome == wire.OutcomeAnswered })
+	assert.Equal(t, r.countEntries(id, ledger.KindRun), 1)
 }
 
 // TestUnsentRequestFreesItsID: nothing left for the back end, so it may be sent
 // again.
 func TestUnsentRequestFreesItsID(t *testing.T) {
-	r := startRig(t, backend.Config{Slots: 1}, shortClockBound)
-	r.own(1, 1)
+	r := startHarness(t, backend.Config{Slots: 1}, shortClockBound)
+	r.ownShard(1, 1)
 	r.agent.gate.SetSlots(1)
-	blocker := r.background(call{method: http.MethodGet, path: "/closures/route/k?work=400ms", epoch: 1})
+	blocker := r.sendAsync(testRequest{method: http.MethodGet, path: "/closures/route/k?work=400ms", epoch: 1})
 	r.waitFor("slot taken", func() bool { return r.agent.gate.Running() == 1 })
 	id := r.freshID()
-	posted := call{method: http.MethodPost, path: "/closures/edit/k", epoch: 1, id: id,
+	posted := testRequest{method: http.MethodPost, path: "/closures/edit/k", epoch: 1, id: id,
 		header: map[string]string{wire.HeaderDeadline: "50"}}
-	got := r.do(posted)
+	got := r.send(posted)
 	assert.Equal(t, got.outcome, wire.OutcomeNotRun, "%+v", got)
 	assert.Equal(t, (<-blocker).outcome, wire.OutcomeAnswered)
 	posted.header = nil
-	assert.Equal(t, r.do(posted).outcome, wire.OutcomeAnswered)
-	assert.Equal(t, r.count(id, ledger.KindRun), 1)
+	assert.Equal(t, r.send(posted).outcome, wire.OutcomeAnswered)
+	assert.Equal(t, r.countEntries(id, ledger.KindRun), 1)
 }
--- a/internal/agent/records.go
+++ b/internal/agent/records.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	// recordPath takes a record from another agent: the body is one
-	// wire.BetweenAgents in gob, the answer another.
+	// recordPath accepts a request record from another agent. The body and the
+	// response are each one wire.BetweenAgents in gob encoding.
 	recordPath = "/_quartzdock/record"
-	// maxRecordBytes bounds a record. At the default retention it is far above
-	// what one shard can hold.
+	// maxRecordBytes bounds an encoded record. It is far above what one shard
+	// can hold at the default retention.
 	maxRecordBytes = 64 << 20
-	// transferAttempts within transferTimeout.
+	// transferAttempts is how often a transfer is tried within transferTimeout.
 	transferAttempts = 3
 )
 
-// sendRecord sends a record to another agent and waits until it is kept there.
-// Sending it again does no harm.
+// sendRecord sends a request record to another agent and waits for its
+// acknowledgement. Sending a record more than once is harmless.
 func (agent *Agent) sendRecord(ctx context.Context, address string, transfer wire.RecordTransfer) error {
 	if address == "" {
 		return errors.New("the next owner's address is not known")
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// takeRecord keeps a record that another agent sends.
-func (agent *Agent) takeRecord(w http.ResponseWriter, r *http.Request) {
+// receiveRecord imports a request record that another agent sends.
+func (agent *Agent) receiveRecord(w http.ResponseWriter, r *http.Request) {
 	transfer, err := readRecord(w, r)
 	ack := &wire.RecordTransferAck{}
 	if err == nil {
@@ -95,7 +95,7 @@
 		ack.Error = err.Error()
 		w.WriteHeader(http.StatusBadRequest)
 	} else {
-		agent.counts.recordsTaken.Add(1)
+		agent.counts.recordsReceived.Add(1)
 	}
 	_ = gob.NewEncoder(w).Encode(wire.BetweenAgents{RecordTransferAck: ack})
 }
@@ -118,7 +118,7 @@
 	return message.RecordTransfer, nil
 }
 
-// digestText is the form of a digest in headers and trailers.
+// digestText formats a digest for headers and trailers.
 func digestText(sum uint64) string {
 	const hexadecimal = 16
 	return strconv.FormatUint(sum, hexadecimal)
--- a/internal/agent/refusal.go
+++ b/internal/agent/refusal.go
@@ -13,18 +13,20 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// stopRetryAfter is for how long a router should stay away from an agent that
-// stops: until then the agent's place is taken, or it has returned.
+// stopRetryAfter tells a router how long not to retry at an agent that stops.
+// After it the shards have another owner, or the agent has returned.
 const stopRetryAfter = time.Second
 
-// errStopping refuses requests while the agent stops as planned.
+// errStopping is returned for all requests during the last part of a planned
+// stop.
 var errStopping = errors.New("the agent is stopping")
 
-// errOutlastsStop refuses what may still run when a planned stop ends.
+// errOutlastsStop is returned for requests that may still run when a planned
+// stop ends.
 var errOutlastsStop = fmt.Errorf("%w before the request's deadline", errStopping)
 
-// refusal is an answer of the agent's own: the request was not run, or whether
-// it ran is not known.
+// refusal is a response that the agent itself generates: the request was not
+// run, or it is unknown whether it ran.
 type refusal struct {
 	status     int
 	outcome    wire.Outcome
@@ -41,7 +43,7 @@
 	return &refusal{status: status, outcome: wire.OutcomeUnknown, reason: reason, detail: detail}
 }
 
-// write sends the refusal as text.
+// write sends the refusal as plain text.
 func (refused *refusal) write(w http.ResponseWriter) {
 	body := fmt.Sprintf("%s: %s\n%s\n", refused.outcome, refused.reason, refused.detail)
 	header := w.Header()
@@ -56,13 +58,14 @@
 	_, _ = w.Write([]byte(body))
 }
 
-// wholeSeconds rounds up, as Retry-After takes no fractions.
+// wholeSeconds rounds up to seconds, because Retry-After allows no fractions.
 func wholeSeconds(duration time.Duration) int {
 	return int((duration + time.Second - 1) / time.Second)
 }
 
-// fenceRefusal answers a request that may not be admitted here.
-func fenceRefusal(err error) *refusal {
+// ownershipRefusal returns the response to a request that fails the checks of
+// lease and ownership.
+func ownershipRefusal(err error) *refusal {
 	reason := wire.ReasonWrongEpoch
 	retryAfter := time.Duration(0)
 	switch {
@@ -79,8 +82,8 @@
 	return answer
 }
 
-// gateRefusal answers a request that got no slot.
-func gateRefusal(err error) *refusal {
+// slotRefusal returns the response to a request that got no slot.
+func slotRefusal(err error) *refusal {
 	var refused *admission.Refusal
 	if !errors.As(err, &refused) {
 		return notRun(http.StatusServiceUnavailable, wire.ReasonShed, "the caller went away while the request waited")
@@ -93,8 +96,9 @@
 	return answer
 }
 
-// admitRefusal answers a request whose id could not be looked up.
-func admitRefusal(err error) *refusal {
+// recordRefusal returns the response to a request whose id could not be looked
+// up in the request record.
+func recordRefusal(err error) *refusal {
 	switch {
 	case errors.Is(err, requestrecord.ErrFuture):
 		return notRun(http.StatusBadRequest, wire.ReasonInvalid, err.Error())
@@ -108,9 +112,9 @@
 	return notRun(http.StatusGatewayTimeout, wire.ReasonExpired, err.Error())
 }
 
-// repeatRefusal answers a request whose id was seen before, other than with
-// the kept answer.
-func repeatRefusal(decision requestrecord.Decision) *refusal {
+// duplicateRefusal returns the response to a request whose id was seen before,
+// if there is no kept answer to repeat.
+func duplicateRefusal(decision requestrecord.Decision) *refusal {
 	switch decision {
 	case requestrecord.InProgress:
 		answer := unknown(http.StatusConflict, wire.ReasonDuplicate, "a request with this id is running")
--- a/internal/agent/relay.go
+++ b/internal/agent/relay.go
@@ -13,24 +13,26 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// relay passes the back end's answer on. A short answer is read whole before
-// any of it is released, so that a break or the loss of the lease is told in
-// its place. A long one is released in parts while the shard is owned; what
-// goes wrong after its header breaks the connection to the router.
+// relay forwards the back end's answer to the router. A short answer is read
+// completely before any of it is released, so that a truncated answer or the
+// loss of the lease can still be reported instead. A long answer is released in
+// parts while the shard is owned; a failure after its header aborts the
+// connection to the router.
 func (agent *Agent) relay(w http.ResponseWriter, r *http.Request, parsed request, response *http.Response) result {
-	buffer := buffers.Get().(*[bufferedBytes]byte)
-	defer buffers.Put(buffer)
+	buffer := bufferPool.Get().(*[maxBufferedBytes]byte)
+	defer bufferPool.Put(buffer)
 	first, err := readUpTo(response.Body, buffer[:])
 	switch {
 	case err == io.EOF:
 		return agent.relayWhole(w, r, parsed, response, first)
 	case err != nil:
-		return result{refused: unknown(http.StatusBadGateway, wire.ReasonTruncated, err.Error()), broken: true}
+		return result{refused: unknown(http.StatusBadGateway, wire.ReasonTruncated, err.Error()), answerBroken: true}
 	}
 	return agent.relayStream(w, parsed, response, buffer[:], first)
 }
 
-// readUpTo fills the buffer, or returns io.EOF with all of a shorter body.
+// readUpTo fills the buffer. If the body is shorter, it returns all of it with
+// io.EOF.
 func readUpTo(body io.Reader, buffer []byte) ([]byte, error) {
 	count := 0
 	for count < len(buffer) {
@@ -43,9 +45,10 @@
 	return buffer, nil
 }
 
-// owns says why an answer may not be released any more, or nil.
-func (agent *Agent) owns(parsed request) *refusal {
-	err := agent.stillOwns(parsed)
+// checkReleasable returns the refusal to send if the answer may no longer be
+// released, or nil.
+func (agent *Agent) checkReleasable(parsed request) *refusal {
+	err := agent.checkOwned(parsed)
 	if err == nil {
 		return nil
 	}
@@ -59,7 +62,7 @@
 		answer.Body = slices.Clone(body)
 	}
 	ended := result{ran: true, answer: answer}
-	if ended.refused = agent.owns(parsed); ended.refused != nil {
+	if ended.refused = agent.checkReleasable(parsed); ended.refused != nil {
 		return ended
 	}
 	length := int64(len(body))
@@ -71,8 +74,8 @@
 	return ended
 }
 
-// writeHeader sends the header of a back end's answer. A negative length is
-// not known.
+// writeHeader sends the header of a back end's answer. A negative length means
+// that it is unknown.
 func writeHeader(w http.ResponseWriter, status int, from http.Header, length int64) {
 	header := w.Header()
 	copyHeader(header, from)
@@ -87,16 +90,16 @@
 	return status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// writeAnswer repeats a kept answer.
+// writeAnswer sends a kept answer again.
 func writeAnswer(w http.ResponseWriter, answer *requestrecord.Answer) {
 	writeHeader(w, answer.Status, answer.Header, int64(len(answer.Body)))
 	_, _ = w.Write(answer.Body)
 }
 
-// relayStream passes a long answer on as it comes. Of one without a known
-// length the digest follows as a trailer.
+// relayStream forwards a long answer as it arrives. If its length is unknown,
+// its digest follows in a trailer.
 func (agent *Agent) relayStream(w http.ResponseWriter, parsed request, response *http.Response, buffer, first []byte) result {
-	if refused := agent.owns(parsed); refused != nil {
+	if refused := agent.checkReleasable(parsed); refused != nil {
 		return result{refused: refused}
 	}
 	if response.ContentLength < 0 {
@@ -109,16 +112,16 @@
 	for {
 		_ = controller.SetWriteDeadline(time.Now().Add(agent.config.ProgressTimeout))
 		if _, err := w.Write(part); err != nil {
-			return result{cut: true}
+			return result{aborted: true}
 		}
 		_, _ = digest.Write(part)
 		count, err := response.Body.Read(buffer)
 		part = buffer[:count]
 		if err != nil && err != io.EOF {
-			return result{cut: true, broken: true}
+			return result{aborted: true, answerBroken: true}
 		}
-		if agent.owns(parsed) != nil {
-			return result{cut: true, ran: err == io.EOF}
+		if agent.checkReleasable(parsed) != nil {
+			return result{aborted: true, ran: err == io.EOF}
 		}
 		if err == io.EOF {
 			return endStream(w, response, digest, part)
@@ -128,7 +131,7 @@
 
 func endStream(w http.ResponseWriter, response *http.Response, digest *xxhash.Digest, last []byte) result {
 	if _, err := w.Write(last); err != nil {
-		return result{cut: true, ran: true}
+		return result{aborted: true, ran: true}
 	}
 	_, _ = digest.Write(last)
 	if response.ContentLength < 0 {
--- a/internal/agent/release.go
+++ b/internal/agent/release.go
@@ -10,64 +10,66 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// transferTimeout bounds the sending of a record to the next owner. While it
-// lasts, routers hold the shard's requests.
+// transferTimeout bounds the transfer of a record to the next owner, during
+// which routers hold the shard's requests back.
 const transferTimeout = time.Second
 
-// releaseStage is how far the release of a shard has come.
+// releaseStage is the progress of a shard's release.
 type releaseStage uint8
 
 const (
-	// stageDraining: nothing is admitted, running requests go on.
+	// stageDraining: new requests are refused, requests in progress continue.
 	stageDraining releaseStage = iota + 1
-	// stageTransferring: the record is on its way to the next owner; the back
-	// end's grant is being revoked.
+	// stageTransferring: the record is being sent to the next owner and the
+	// back end's grant is being revoked.
 	stageTransferring
-	// stageReleased: the controller is told, again and again until its table
-	// shows it.
+	// stageReleased: the controller is told repeatedly until its routing table
+	// reflects the release.
 	stageReleased
 )
 
-// release is a shard that moves away in order.
-type release struct {
-	shard  topology.ShardID
-	epoch  topology.Epoch
-	target topology.BackendID
-	covers requestrecord.Range
-	stage  releaseStage
-	// drainUntil ends the wait for running requests.
+// shardRelease is the planned move of a shard to another owner, at the side of
+// the present owner.
+type shardRelease struct {
+	shard    topology.ShardID
+	epoch    topology.Epoch
+	target   topology.BackendID
+	keyRange requestrecord.Range
+	stage    releaseStage
+	// drainUntil is when waiting for requests in progress ends.
 	drainUntil time.Duration
-	// transferred: the attempt to send the record is over; moved says how.
-	transferred, moved bool
-	// grantEndsBy: after it the grant can't be in force, even if the
-	// revocation was never answered.
+	// transferDone is set once the transfer of the record has ended;
+	// recordMoved says whether it succeeded.
+	transferDone, recordMoved bool
+	// grantEndsBy is when the grant has expired even if the back end never
+	// answered the revocation.
 	grantEndsBy time.Duration
 }
 
-// followReleases begins a release for each shard that the table says is
-// releasing, and forgets those that the table has gone past.
-func (control *controlLoop) followReleases() {
-	for id, running := range control.releases {
-		owned, ok := control.mine.owned[id]
-		if !ok || owned.Epoch != running.epoch || owned.Phase != topology.ShardReleasing {
+// updateReleases begins a release for each shard that is releasing in the
+// routing table, and forgets releases that are over or outdated by the table.
+func (control *controlLoop) updateReleases() {
+	for id, current := range control.releases {
+		owned, ok := control.assigned.owned[id]
+		if !ok || owned.Epoch != current.epoch || owned.Phase != topology.ShardReleasing {
 			delete(control.releases, id)
 		}
 	}
 	now := control.now()
-	for id, shard := range control.mine.owned {
+	for id, shard := range control.assigned.owned {
 		if _, begun := control.releases[id]; !begun && shard.Phase == topology.ShardReleasing {
 			control.beginRelease(shard, now)
 		}
 	}
-	control.stepReleases(now)
+	control.advanceReleases(now)
 }
 
 func (control *controlLoop) beginRelease(shard topology.Shard, now time.Duration) {
-	begun := &release{
+	begun := &shardRelease{
 		shard:      shard.ID,
 		epoch:      shard.Epoch,
 		target:     shard.Target,
-		covers:     control.mine.covers[shard.ID],
+		keyRange:   control.assigned.keyRange[shard.ID],
 		stage:      stageDraining,
 		drainUntil: now + control.drainLimit(),
 	}
@@ -80,79 +82,83 @@
 	control.background.Go(func() {
 		select {
 		case <-held.idle:
-			control.post(func(control *controlLoop) { control.stepReleases(control.now()) })
+			control.post(func(control *controlLoop) { control.advanceReleases(control.now()) })
 		case <-control.stopped:
 		}
 	})
 }
 
-// drainLimit is the service's own bound for running requests.
+// drainLimit returns the service's limit for requests in progress during a
+// move.
 func (control *controlLoop) drainLimit() time.Duration {
-	service := control.mine.service
+	service := control.assigned.service
 	if service == nil || service.DrainLimit == 0 {
 		return DefaultDrainLimit
 	}
 	return service.DrainLimit
 }
 
-// stepReleases takes each release as far as it can go now.
-func (control *controlLoop) stepReleases(now time.Duration) {
-	for _, running := range control.releases {
-		if running.stage == stageDraining && control.drained(running, now) {
-			control.beginTransfer(running)
+// advanceReleases moves each release to the furthest stage that it can reach
+// now.
+func (control *controlLoop) advanceReleases(now time.Duration) {
+	for _, current := range control.releases {
+		if current.stage == stageDraining && control.drained(current, now) {
+			control.beginTransfer(current)
 		}
-		if running.stage == stageTransferring && running.transferred && control.grantGone(running, now) {
-			running.stage = stageReleased
+		if current.stage == stageTransferring && current.transferDone && control.grantEnded(current, now) {
+			current.stage = stageReleased
 		}
-		if running.stage == stageReleased {
+		if current.stage == stageReleased {
 			control.send(wire.ToController{Released: &wire.Released{
-				Shard: running.shard, Epoch: running.epoch, RecordMoved: running.moved,
+				Shard: current.shard, Epoch: current.epoch, RecordMoved: current.recordMoved,
 			}})
 		}
 	}
 }
 
-func (control *controlLoop) drained(running *release, now time.Duration) bool {
-	if now >= running.drainUntil {
+func (control *controlLoop) drained(current *shardRelease, now time.Duration) bool {
+	if now >= current.drainUntil {
 		return true
 	}
-	held, serving := control.shards[running.shard]
-	return (!serving || held.isIdle()) && len(control.lingeringIn(running.covers)) == 0
+	held, serving := control.shards[current.shard]
+	return (!serving || held.isIdle()) && len(control.supersededIn(current.keyRange)) == 0
 }
 
-// grantGone says that the back end can't act on the shard's grant any more.
-func (control *controlLoop) grantGone(running *release, now time.Duration) bool {
-	gone := !control.grants.MayHold(running.shard) || now >= running.grantEndsBy
+// grantEnded reports whether the back end can no longer act on the shard's
+// grant.
+func (control *controlLoop) grantEnded(current *shardRelease, now time.Duration) bool {
+	gone := !control.grants.MayHold(current.shard) || now >= current.grantEndsBy
 	return gone && !control.grants.Ending()
 }
 
-func (control *controlLoop) beginTransfer(running *release) {
-	running.stage = stageTransferring
-	control.endAll(running)
-	running.grantEndsBy = control.grants.AllEndBy()
+func (control *controlLoop) beginTransfer(current *shardRelease) {
+	current.stage = stageTransferring
+	control.revokeInFlight(current)
+	current.grantEndsBy = control.grants.AllEndBy()
 	if !control.grants.Replaced() {
-		control.config.Log.Info("release waits until the back end has replaced an earlier process's grants or they have ended",
-			slog.String("shard", running.shard.String()), slog.Duration("at_most", running.grantEndsBy-control.now()))
+		control.config.Log.Info("shard release waits until an earlier process's grants are replaced at the back end or expire",
+			slog.String("shard", current.shard.String()), slog.Duration("at_most", current.grantEndsBy-control.now()))
 	}
 	control.syncGrants()
-	target, known := control.mine.table.Backend(running.target)
+	target, known := control.assigned.table.Backend(current.target)
 	address := ""
 	if known {
 		address = target.AgentAddress
 	}
 	control.background.Go(func() {
-		moved := control.moveRecord(running.shard, running.epoch, address)
+		moved := control.transferRecord(current.shard, current.epoch, address)
 		control.post(func(control *controlLoop) {
-			running.transferred = true
-			running.moved = moved
-			control.stepReleases(control.now())
+			current.transferDone = true
+			current.recordMoved = moved
+			control.advanceReleases(control.now())
 		})
 	})
 }
 
-// moveRecord promises never to serve the epoch again and sends the record on.
-// It returns whether the target has it.
-func (agent *Agent) moveRecord(shard topology.ShardID, epoch topology.Epoch, address string) bool {
+// transferRecord exports the record, after which the agent never serves the
+// epoch again, and sends it to the target. It reports whether the target has
+// it.
+func (agent *Agent) transferRecord(shard topology.ShardID, epoch topology.Epoch, address string) bool {
 	transfer, err := agent.record.Export(shard, epoch)
 	if err == nil {
 		ctx, cancel := context.WithTimeout(context.Background(), transferTimeout)
@@ -161,7 +167,7 @@
 	}
 	if err != nil {
 		agent.counts.transfersFailed.Add(1)
-		agent.config.Log.Warn("record not moved", slog.String("shard", shard.String()), slog.Any("error", err))
+		agent.config.Log.Warn("request record not transferred", slog.String("shard", shard.String()), slog.Any("error", err))
 		return false
 	}
 	return true
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -6,31 +6,32 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// loadInterval is how often an agent reports load. Failures are reported with the
-// next renewal, and all load with each one while shards move from here, because a
-// move waits until no long request is reported. Renewals are more frequent:
-// with a report in each, the reports alone would be more than a node may spend.
+// loadInterval is how often an agent reports load. Two cases are reported with
+// the next renewal instead: failures, and all load while shards move away,
+// because a move waits until no long-running request is reported. Renewals are
+// more frequent: reporting load with each would alone exceed the resource
+// budget of a node.
 const loadInterval = 500 * time.Millisecond
 
-// report fills the next renewal. It is called on the subscription's sending
-// goroutine.
+// report fills in the next renewal. The subscription's sending goroutine calls
+// it.
 func (agent *Agent) report() wire.Renew {
-	release := agent.mustRelease()
-	if release && agent.releasing.Load() {
+	release := agent.leaseReleasable()
+	if release && agent.releasingLease.Load() {
 		agent.releaseReports.Add(1)
 	}
 	renew := wire.Renew{Release: release, Leaving: agent.leaving.Load()}
 	now := agent.now()
-	if now < agent.loadDue && !agent.fitness.hasFailures() && agent.moving.Load() == 0 {
+	if now < agent.nextLoadReport && !agent.fitness.hasFailures() && agent.movingShards.Load() == 0 {
 		renew.LoadOmitted = true
 		return renew
 	}
-	agent.loadDue = now + loadInterval
+	agent.nextLoadReport = now + loadInterval
 	agent.reportLoad(&renew)
 	return renew
 }
 
-// reportLoad adds what was observed since the last report.
+// reportLoad adds the load since the last report.
 func (agent *Agent) reportLoad(renew *wire.Renew) {
 	counts := agent.fitness.takeCounts()
 	renew.Backend = wire.BackendLoad{
@@ -38,7 +39,7 @@
 		Queued:    uint32(agent.gate.Waiting()),
 		Failed:    counts.failed,
 		Completed: counts.completed,
-		Claimed:   agent.claimed.Load(),
+		Claimed:   agent.reportedBusy.Load(),
 	}
 	for _, shard := range agent.view.Load().shards {
 		if load := shard.takeLoad(); load.Requests > 0 || load.LongRunning > 0 {
@@ -47,9 +48,9 @@
 	}
 }
 
-// mustRelease says that the agent wants no lease and its back end can't act on
-// grants of the last one any more.
-func (agent *Agent) mustRelease() bool {
+// leaseReleasable reports whether the agent wants no lease and its back end can
+// no longer act on the grants made under the last one.
+func (agent *Agent) leaseReleasable() bool {
 	ended := agent.now() >= time.Duration(agent.grantsPossibleUntil.Load())
-	return ended && (agent.releasing.Load() || !agent.wantLease.Load())
+	return ended && (agent.releasingLease.Load() || !agent.wantLease.Load())
 }
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -15,7 +15,7 @@
 
 const (
 	classBulk     = "bulk"
-	markTrue      = "true"
+	headerTrue    = "true"
 	decimal       = 10
 	hexadecimal   = 16
 	keyBits       = 64
@@ -25,17 +25,18 @@
 	maxDeadlineMs = int64(24 * time.Hour / time.Millisecond)
 )
 
-// errUnboundRecord: the record of request ids belongs to a shard.
-var errUnboundRecord = errors.New("a non-repeatable request must name its shard")
+// errShardRequired is returned because each record of request ids belongs to a
+// shard.
+var errShardRequired = errors.New("a non-repeatable request must name its shard")
 
-// request is what a router says of a request in its headers.
+// request holds what the router states about a request in its headers.
 type request struct {
-	// bound requests belong to a shard; others may run at any back end of the
-	// service.
+	// bound is set if the request belongs to a shard. Other requests may run at
+	// any back end of the service.
 	bound bool
 	shard topology.ShardID
 	epoch topology.Epoch
-	// key is the position of the key, if hasKey.
+	// key is the key's hash, valid if hasKey is set.
 	key           topology.KeyHash
 	hasKey        bool
 	class         topology.RequestClass
@@ -43,31 +44,32 @@
 	nonRepeatable bool
 	// id is set for non-repeatable requests.
 	id requestid.ID
-	// served counts the request from its admission on.
-	served *served
-	// timeout is the time left on arrival, and deadline when it ends.
+	// admittedTo is the shard with which the request is registered, once
+	// admitted.
+	admittedTo *servedShard
+	// timeout is the time left on arrival, deadline the time at which it ends.
 	timeout  time.Duration
 	deadline time.Time
 }
 
-// source says whose request it is.
+// source returns the shard and caller to which a failure is attributed.
 func (parsed *request) source() failureSource {
 	return failureSource{shard: parsed.shard, caller: parsed.caller}
 }
 
-// parseRequest reads the headers. All findings are joined.
+// parseRequest reads the headers. It returns all errors joined.
 func parseRequest(r *http.Request, defaultTimeout time.Duration) (request, error) {
 	header := r.Header
-	var findings []error
-	note := func(name string, err error) {
+	var problems []error
+	addProblem := func(name string, err error) {
 		if err != nil {
-			findings = append(findings, fmt.Errorf("header %s: %w", name, err))
+			problems = append(problems, fmt.Errorf("header %s: %w", name, err))
 		}
 	}
 	parsed := request{
 		class:         topology.ClassLookup,
 		caller:        header.Get(wire.HeaderCaller),
-		nonRepeatable: header.Get(wire.HeaderNonRepeatable) == markTrue,
+		nonRepeatable: header.Get(wire.HeaderNonRepeatable) == headerTrue,
 		timeout:       defaultTimeout,
 	}
 	if header.Get(wire.HeaderClass) == classBulk {
@@ -77,31 +79,31 @@
 	var err error
 	if parsed.bound {
 		parsed.shard, err = parseShard(header.Get(wire.HeaderShard))
-		note(wire.HeaderShard, err)
+		addProblem(wire.HeaderShard, err)
 		epoch, err := strconv.ParseUint(header.Get(wire.HeaderEpoch), decimal, epochBits)
 		parsed.epoch = topology.Epoch(epoch)
-		note(wire.HeaderEpoch, err)
+		addProblem(wire.HeaderEpoch, err)
 	}
 	if text := header.Get(wire.HeaderKey); text != "" {
-		position, err := strconv.ParseUint(text, hexadecimal, keyBits)
-		parsed.key, parsed.hasKey = topology.KeyHash(position), err == nil
-		note(wire.HeaderKey, err)
+		hash, err := strconv.ParseUint(text, hexadecimal, keyBits)
+		parsed.key, parsed.hasKey = topology.KeyHash(hash), err == nil
+		addProblem(wire.HeaderKey, err)
 	}
 	if text := header.Get(wire.HeaderDeadline); text != "" {
 		parsed.timeout, err = parseDeadline(text)
-		note(wire.HeaderDeadline, err)
+		addProblem(wire.HeaderDeadline, err)
 	}
 	if parsed.nonRepeatable && !parsed.bound {
-		note(wire.HeaderShard, errUnboundRecord)
+		addProblem(wire.HeaderShard, errShardRequired)
 	}
 	if parsed.nonRepeatable {
 		parsed.id, err = requestid.Parse(header.Get(wire.HeaderRequestID))
-		note(wire.HeaderRequestID, err)
+		addProblem(wire.HeaderRequestID, err)
 	}
-	return parsed, errors.Join(findings...)
+	return parsed, errors.Join(problems...)
 }
 
-// parseShard reads topology.ShardID.String.
+// parseShard parses the format of topology.ShardID.String.
 func parseShard(text string) (topology.ShardID, error) {
 	service, shard, found := strings.Cut(text, "/")
 	if !found {
--- a/internal/agent/served_shard.go
+++ b/internal/agent/served_shard.go
@@ -11,105 +11,109 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// served is a shard that this agent owns at one epoch. The control goroutine
-// makes it; requests enter and leave it.
-type served struct {
-	id     topology.ShardID
-	epoch  topology.Epoch
-	covers requestrecord.Range
-	// granted is the epoch that the back end knows the shard by.
-	granted atomic.Uint64
-	// ended: answers of what still runs are not released as done any more.
-	ended atomic.Bool
-
-	// completed requests and the slot time they used since the last report.
+// servedShard is the state of a shard that this agent owns at one epoch. The
+// control goroutine creates it; the goroutines of requests register with it.
+type servedShard struct {
+	id       topology.ShardID
+	epoch    topology.Epoch
+	keyRange requestrecord.Range
+	// grantedEpoch is the epoch at which the back end was granted the shard. It
+	// may be lower than epoch; see superseded.go.
+	grantedEpoch atomic.Uint64
+	// revoked is set when answers of requests still in progress may no longer
+	// be released.
+	revoked atomic.Bool
+
+	// completed counts requests that finished since the last report, and
+	// busyMicros the slot time that they used.
 	completed  atomic.Uint32
 	busyMicros atomic.Uint32
 
 	mutex   sync.Mutex
 	running int
-	// reports counts calls of takeLong; long counts the running requests that
-	// had entered before the last one.
-	reports uint64
-	long    int
-	hotKeys *hotkeys.Reporter
-	closed  bool
-	// idle is closed once the shard is closed and nothing runs.
+	// reports counts calls of takeLongRunning. longRunning is the number of
+	// requests in progress that began before the last of these calls.
+	reports     uint64
+	longRunning int
+	hotKeys     *hotkeys.Reporter
+	closed      bool
+	// idle is closed once the shard is closed and no request is in progress.
 	idle chan struct{}
 }
 
-func newServed(id topology.ShardID, epoch topology.Epoch, covers requestrecord.Range) *served {
-	return &served{id: id, epoch: epoch, covers: covers, hotKeys: hotkeys.NewReporter(), idle: make(chan struct{})}
+func newServedShard(id topology.ShardID, epoch topology.Epoch, keyRange requestrecord.Range) *servedShard {
+	return &servedShard{id: id, epoch: epoch, keyRange: keyRange, hotKeys: hotkeys.NewReporter(), idle: make(chan struct{})}
 }
 
-// visit is one request's stay in a shard.
-type visit struct {
-	shard *served
-	// entered is the number of reports before the request entered.
-	entered uint64
+// inFlightRequest is the registration of a request in progress with its shard.
+type inFlightRequest struct {
+	shard *servedShard
+	// reportsAtStart is the number of reports made before the request began.
+	reportsAtStart uint64
 }
 
-// enter counts a request in; false means that the shard takes none any more.
-func (shard *served) enter() (visit, bool) {
+// beginRequest registers a request. It returns false if the shard is closed.
+func (shard *servedShard) beginRequest() (inFlightRequest, bool) {
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
 	if shard.closed {
-		return visit{}, false
+		return inFlightRequest{}, false
 	}
 	shard.running++
-	return visit{shard: shard, entered: shard.reports}, true
+	return inFlightRequest{shard: shard, reportsAtStart: shard.reports}, true
 }
 
-// leave ends what enter began.
-func (v visit) leave() {
+// end removes the request's registration.
+func (v inFlightRequest) end() {
 	shard := v.shard
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
 	shard.running--
-	if v.entered < shard.reports {
-		shard.long--
+	if v.reportsAtStart < shard.reports {
+		shard.longRunning--
 	}
-	shard.signalIdle()
+	shard.closeIfIdle()
 }
 
-// takeLong returns how many requests have been running since before the last
-// call.
-func (shard *served) takeLong() uint32 {
+// takeLongRunning returns how many requests have been running since before the
+// previous call.
+func (shard *servedShard) takeLongRunning() uint32 {
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
-	long := shard.long
+	long := shard.longRunning
 	shard.reports++
-	shard.long = shard.running
+	shard.longRunning = shard.running
 	return uint32(long)
 }
 
-// runsLong says whether a request has been running since before the last report.
-func (shard *served) runsLong() bool {
+// hasLongRunning reports whether a request has been running since before the
+// last report.
+func (shard *servedShard) hasLongRunning() bool {
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
-	return shard.long > 0
+	return shard.longRunning > 0
 }
 
-// close lets no request in any more; those that run go on.
-func (shard *served) close() {
+// close makes the shard refuse new requests. Those in progress continue.
+func (shard *servedShard) close() {
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
 	if shard.closed {
 		return
 	}
 	shard.closed = true
-	shard.signalIdle()
+	shard.closeIfIdle()
 }
 
-// isClosed says whether the shard takes no more requests.
-func (shard *served) isClosed() bool {
+// isClosed reports whether the shard refuses new requests.
+func (shard *servedShard) isClosed() bool {
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
 	return shard.closed
 }
 
-// isIdle says whether the shard is closed and nothing of it runs.
-func (shard *served) isIdle() bool {
+// isIdle reports whether the shard is closed and has no request in progress.
+func (shard *servedShard) isIdle() bool {
 	select {
 	case <-shard.idle:
 		return true
@@ -118,59 +122,60 @@
 	}
 }
 
-func (shard *served) signalIdle() {
+func (shard *servedShard) closeIfIdle() {
 	if shard.closed && shard.running == 0 {
 		close(shard.idle)
 	}
 }
 
-// used adds a finished request's slot time.
-func (shard *served) used(slotTime time.Duration) {
+// addSlotTime counts a finished request and the time for which it held a slot.
+func (shard *servedShard) addSlotTime(slotTime time.Duration) {
 	shard.completed.Add(1)
 	shard.busyMicros.Add(uint32(slotTime.Microseconds()))
 }
 
-// takeLoad returns and resets what was used since the last call.
-func (shard *served) takeLoad() wire.ShardLoad {
+// takeLoad returns the load since the last call and resets it.
+func (shard *servedShard) takeLoad() wire.ShardLoad {
 	return wire.ShardLoad{
 		Shard:       shard.id.Shard,
 		Requests:    shard.completed.Swap(0),
 		BusyMicros:  shard.busyMicros.Swap(0),
-		LongRunning: shard.takeLong(),
+		LongRunning: shard.takeLongRunning(),
 		HotKeys:     shard.takeHotKeys(),
 	}
 }
 
-// saw counts a request for a key.
-func (shard *served) saw(key topology.KeyHash) {
+// countKey counts a request for a key in the statistics of hot keys.
+func (shard *servedShard) countKey(key topology.KeyHash) {
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
 	shard.hotKeys.Add(key)
 }
 
-// takeHotKeys returns the keys to name in this report.
-func (shard *served) takeHotKeys() []wire.KeyLoad {
+// takeHotKeys returns the hot keys for the current report.
+func (shard *servedShard) takeHotKeys() []wire.KeyLoad {
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
-	var named []wire.KeyLoad
+	var hot []wire.KeyLoad
 	for _, frequent := range shard.hotKeys.Report(wire.MaximumHotKeys) {
-		named = append(named, wire.KeyLoad{Key: frequent.Key, Share: float32(frequent.Share)})
+		hot = append(hot, wire.KeyLoad{Key: frequent.Key, Share: float32(frequent.Share)})
 	}
-	return named
+	return hot
 }
 
-// view is what requests see of the control goroutine's decisions. It is
-// immutable.
+// view is the immutable snapshot of the control goroutine's decisions that
+// request goroutines read.
 type view struct {
-	// shards that the back end is granted and whose record has begun.
-	shards map[topology.ShardID]*served
-	// unbound counts requests that are not bound to a shard; nil while the back
-	// end takes none.
-	unbound *served
+	// shards holds those that the back end was granted and whose request record
+	// is open.
+	shards map[topology.ShardID]*servedShard
+	// unbound counts requests that belong to no shard. It is nil while the back
+	// end accepts none.
+	unbound *servedShard
 	// changed is closed when a newer view is published.
 	changed chan struct{}
 }
 
-func newView(shards map[topology.ShardID]*served, unbound *served) *view {
+func newView(shards map[topology.ShardID]*servedShard, unbound *servedShard) *view {
 	return &view{shards: shards, unbound: unbound, changed: make(chan struct{})}
 }
--- a/internal/agent/served_shard_test.go
+++ b/internal/agent/served_shard_test.go
@@ -9,29 +9,29 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-func TestRequestsThatOutliveAReportAreReportedAsLong(t *testing.T) {
-	shard := newServed(topology.ShardID{}, 1, requestrecord.Range{})
-	export, open := shard.enter()
+func TestRequestsRunningAcrossReportsAreLongRunning(t *testing.T) {
+	shard := newServedShard(topology.ShardID{}, 1, requestrecord.Range{})
+	export, open := shard.beginRequest()
 	assert.Assert(t, open)
-	assert.Equal(t, shard.takeLoad().LongRunning, uint32(0), "it began since the last report")
-	lookup, _ := shard.enter()
-	assert.Equal(t, shard.takeLoad().LongRunning, uint32(1), "only the export")
-	assert.Equal(t, shard.takeLoad().LongRunning, uint32(2), "the look-up takes long by now")
-	export.leave()
+	assert.Equal(t, shard.takeLoad().LongRunning, uint32(0), "the request began after the last report")
+	lookup, _ := shard.beginRequest()
+	assert.Equal(t, shard.takeLoad().LongRunning, uint32(1), "only the export is long-running")
+	assert.Equal(t, shard.takeLoad().LongRunning, uint32(2), "the look-up is long-running, too")
+	export.end()
 	assert.Equal(t, shard.takeLoad().LongRunning, uint32(1))
-	lookup.leave()
+	lookup.end()
 	assert.Equal(t, shard.takeLoad().LongRunning, uint32(0))
 }
 
-func TestHotKeyIsReportedByItsPosition(t *testing.T) {
-	shard := newServed(topology.ShardID{}, 1, requestrecord.Range{})
+func TestHotKeyIsReportedByItsHash(t *testing.T) {
+	shard := newServedShard(topology.ShardID{}, 1, requestrecord.Range{})
 	found := 0
 	for range 100 {
-		shard.saw(topology.KeyHash(0xabc))
+		shard.countKey(topology.KeyHash(0xabc))
 		for _, hot := range shard.takeLoad().HotKeys {
 			assert.Equal(t, hot.Key, topology.KeyHash(0xabc))
 			found++
 		}
 	}
-	assert.Assert(t, found > 0, "the hot key was never named")
+	assert.Assert(t, found > 0, "the hot key was never reported")
 }
--- a/internal/agent/stop.go
+++ b/internal/agent/stop.go
@@ -7,48 +7,51 @@
 	"time"
 )
 
-// ErrStopTimeout says that requests were still in progress when a planned stop
-// ran out of time.
+// ErrStopTimeout is returned if requests were still in progress when a planned
+// stop ran out of time.
 var ErrStopTimeout = errors.New("planned stop ran out of time")
 
 const (
-	// stopPoll is how often a planned stop looks whether it may go on.
-	stopPoll = 10 * time.Millisecond
-	// closeNotice is for how long requests are refused before idle connections
-	// are closed. Each refusal closes its connection in order, so that a router
-	// does not write to one that is just being closed, which would leave the
-	// outcome of a request that never ran unknown.
-	closeNotice = 200 * time.Millisecond
-	// moveGap is the longest time between two moves of one plan.
-	moveGap = 500 * time.Millisecond
-	// releaseWait bounds the wait for the controller to be told of the release;
-	// without it the lease runs out by itself.
-	releaseWait = time.Second
-	// closeWait is kept of a planned stop, after the release, for the end of the
-	// session and the record's files. An assumption: they take milliseconds.
-	closeWait = 500 * time.Millisecond
-	// leastDrainShare is the part of a short planned stop that the drain has in
-	// any case; the release gets the rest, as 1 of leastDrainShare+1.
-	leastDrainShare = 3
+	// stopPollInterval is how often a planned stop checks whether it may
+	// continue.
+	stopPollInterval = 10 * time.Millisecond
+	// idleCloseDelay is how long requests are refused before idle connections
+	// are closed. Each refusal closes its connection after the response, so
+	// that a router does not write to a connection that is just being closed,
+	// which would leave the outcome of a request that never ran unknown.
+	idleCloseDelay = 200 * time.Millisecond
+	// maxMoveGap is the longest time between two moves of one placement plan.
+	maxMoveGap = 500 * time.Millisecond
+	// leaseReleaseTimeout bounds the wait until the controller is told that the
+	// lease is released. If it is not told, the lease expires by itself.
+	leaseReleaseTimeout = time.Second
+	// closeReserve is the part of a planned stop reserved, after the release,
+	// for closing the session and the record's files. They are expected to take
+	// milliseconds.
+	closeReserve = 500 * time.Millisecond
+	// minDrainShare is the minimum share of the drain in a short planned stop,
+	// relative to a share of 1 for the release.
+	minDrainShare = 3
 )
 
-// drainTime is how much of a planned stop's time the drain may take, so that
-// there is time left to release the lease and to close.
-func drainTime(stopTimeout time.Duration) time.Duration {
-	return max(stopTimeout-releaseWait-closeWait, stopTimeout*leastDrainShare/(leastDrainShare+1))
+// drainBudget returns how much of a planned stop's time the drain may take, so
+// that time is left to release the lease and to close.
+func drainBudget(stopTimeout time.Duration) time.Duration {
+	return max(stopTimeout-leaseReleaseTimeout-closeReserve, stopTimeout*minDrainShare/(minDrainShare+1))
 }
 
-// stop is a planned stop. It announces that the back end leaves and serves on
-// while its shards move, for LeavingGrace; then it takes no new requests. What
-// may outlast the drain it refuses from the begin on. It waits for moves in
-// progress for at most half of StopTimeout, and for running requests for
-// drainTime. Then it ends the grants and releases the lease.
+// stop performs a planned stop. It announces that the back end is leaving and
+// continues to serve for LeavingGrace while its shards move; then it refuses
+// new requests. Requests that may outlast the drain are refused from the
+// beginning. It waits for moves in progress for at most half of StopTimeout,
+// and for requests in progress for drainBudget. Then it ends the grants and
+// releases the lease.
 func (agent *Agent) stop() error {
 	begun := agent.now()
-	deadline := begun + drainTime(agent.config.StopTimeout)
+	deadline := begun + drainBudget(agent.config.StopTimeout)
 	agent.admission.Begin(agent.start.Add(deadline))
 	agent.leaving.Store(true)
-	agent.post(func(control *controlLoop) { control.refollow() })
+	agent.post(func(control *controlLoop) { control.reapplyTable() })
 	agent.subscription.RenewNow()
 	agent.awaitMoves()
 	drained := agent.drain(deadline)
@@ -60,42 +63,44 @@
 	return nil
 }
 
-// awaitMoves returns once nothing is owned, or nothing has been moving for
-// moveGap and either the shards wait for the restart and no long request runs,
-// or the grace has passed. It does so before new work is refused, so that
-// callers are told when to come back.
+// awaitMoves waits for shards to move away. It returns once nothing is owned,
+// or no shard has been moving for maxMoveGap and either LeavingGrace has
+// passed, or the shards wait for the restart and no long request is running.
+// All this happens before new requests are refused, so that callers are told
+// when to retry.
 func (agent *Agent) awaitMoves() {
 	begun := agent.now()
 	lastMove := begun
 	agent.waitUntil(begun+agent.config.StopTimeout/2, func() bool {
 		now := agent.now()
-		if agent.moving.Load() > 0 {
+		if agent.movingShards.Load() > 0 {
 			lastMove = now
 		}
-		planned := now-lastMove >= min(moveGap, agent.config.LeavingGrace/2)
-		idle := !agent.runsLong() || now-begun >= agent.config.LeavingGrace*9/10
-		stays := agent.waitsForRestart.Load() && planned && idle
-		stuck := now-begun >= agent.config.LeavingGrace && now-lastMove >= moveGap
-		return stays || stuck || agent.ownsNothing()
+		movesOver := now-lastMove >= min(maxMoveGap, agent.config.LeavingGrace/2)
+		noLongRequest := !agent.hasLongRunning() || now-begun >= agent.config.LeavingGrace*9/10
+		waitsForRestart := agent.waitsForRestart.Load() && movesOver && noLongRequest
+		graceOver := now-begun >= agent.config.LeavingGrace && now-lastMove >= maxMoveGap
+		return waitsForRestart || graceOver || agent.ownsNoShards()
 	})
 }
 
-// runsLong says whether a request runs for which the restart would have to wait
-// noticeably, while nobody is served.
-func (agent *Agent) runsLong() bool {
+// hasLongRunning reports whether a request is running that would delay the
+// restart noticeably, while no requests are served.
+func (agent *Agent) hasLongRunning() bool {
 	for _, shard := range agent.view.Load().shards {
-		if shard.runsLong() {
+		if shard.hasLongRunning() {
 			return true
 		}
 	}
 	return false
 }
 
-func (agent *Agent) ownsNothing() bool { return len(agent.view.Load().shards) == 0 }
+func (agent *Agent) ownsNoShards() bool { return len(agent.view.Load().shards) == 0 }
 
-// waitUntil returns whether the condition came true in time.
+// waitUntil polls the condition and returns whether it became true before the
+// deadline.
 func (agent *Agent) waitUntil(deadline time.Duration, condition func() bool) bool {
-	ticker := time.NewTicker(stopPoll)
+	ticker := time.NewTicker(stopPollInterval)
 	defer ticker.Stop()
 	for !condition() {
 		if agent.now() >= deadline {
@@ -106,8 +111,8 @@
 	return true
 }
 
-// drain closes all shards to new requests and lets the server finish. It
-// returns false where requests were cut off.
+// drain closes all shards to new requests and stops the server once it has
+// finished those in progress. It returns false if requests were cut off.
 func (agent *Agent) drain(deadline time.Duration) bool {
 	agent.stopping.Store(true)
 	agent.post(func(control *controlLoop) {
@@ -115,28 +120,29 @@
 			shard.close()
 		}
 	})
-	time.Sleep(min(closeNotice, max(deadline-agent.now(), 0)))
+	time.Sleep(min(idleCloseDelay, max(deadline-agent.now(), 0)))
 	ctx, cancel := context.WithTimeout(context.Background(), deadline-agent.now())
 	defer cancel()
 	return agent.server.Stop(ctx) == nil
 }
 
-// releaseLease ends the lease in this process and at the back end, and tells
-// the controller once the back end can't act on its grants any more. The end is
-// that of the stop.
+// releaseLease ends the lease in this process and the grants at the back end,
+// and tells the controller once the back end can no longer act on its grants.
+// It waits until the end of the stop at the latest.
 func (agent *Agent) releaseLease(end time.Duration) {
 	agent.post(func(control *controlLoop) {
-		control.lease.withhold()
-		control.releasing.Store(true)
+		control.lease.suspend()
+		control.releasingLease.Store(true)
 		control.wantLease.Store(false)
 		control.releaseSignalled = false
 		control.syncGrants()
 	})
-	agent.waitUntil(min(agent.now()+releaseWait, end), agent.releaseSent)
+	agent.waitUntil(min(agent.now()+leaseReleaseTimeout, end), agent.releaseSent)
 }
 
-// releaseSent asks for one more renewal once the release was reported: when
-// that one is made, the message before it has been sent.
+// releaseSent reports whether the release has been sent. Once a renewal has
+// reported it, one more renewal is requested: when that one is built, the
+// previous message has been sent.
 func (agent *Agent) releaseSent() bool {
 	reports := agent.releaseReports.Load()
 	if reports == 1 {
--- a/internal/agent/superseded.go
+++ b/internal/agent/superseded.go
@@ -10,124 +10,133 @@
 )
 
 // A split, a merge or a cancelled move gives a shard a new epoch while its owner
-// stays. What was admitted before goes on: no other owner can have been in
-// between, since the lease was never without a successor and this agent has
-// promised no release. Four things follow.
+// stays the same. The requests admitted at the old, superseded epoch continue:
+// no other owner can have served the shard in between, since the lease was
+// renewed without a gap and the agent has not released the shard.
+// Four rules follow.
 //
 //   - The back end keeps the grant that it has, at its epoch, as long as the
-//     ownership continues, so that its fence lets running requests finish.
-//   - A shard whose epoch ended stays in lingering until nothing of it runs. Its
-//     answers may be released unless it was ended.
-//   - Requests whose end the agent never learned may still run at the back end,
-//     and after a split its fence, which knows shards by number, would let them
-//     act for keys of a part that has moved. So before a shard moves away, grants
-//     that continue and had such requests are replaced by ones of the present
-//     epoch. What runs under them is then not kept by the back end.
-//   - A shard moves away only when no lingering shard runs requests that may
-//     concern its keys, or the drain limit has passed; then they are ended.
+//     ownership continues, so that its fencing check lets running requests
+//     finish.
+//   - A shard whose epoch was superseded stays in superseded until none of its
+//     requests is in progress. Their answers may be released unless the shard
+//     was revoked.
+//   - Requests whose end the agent never learned may still run at the back end.
+//     After a split its fencing check, which knows shards by number, would let
+//     them act on keys of a part that has moved. So before a shard moves away,
+//     grants that continue from an earlier epoch and had such requests are
+//     replaced by grants of the present epoch. The back end then discards the
+//     results of requests that run under the replaced grants.
+//   - A shard moves away only when no superseded shard runs requests that may
+//     concern its keys, or when the drain limit has passed. Then they are
+//     revoked.
 
 const (
-	// followPoll and followLimit are for the wait until the control goroutine
-	// has followed a table that is in force.
-	followPoll  = time.Millisecond
-	followLimit = time.Second
+	// applyPollInterval and applyTimeout are for the wait until the control
+	// goroutine has applied the newest routing table.
+	applyPollInterval = time.Millisecond
+	applyTimeout      = time.Second
 )
 
-// closeEnded closes the shards whose epoch has ended, and reports whether there
-// were any.
-func (control *controlLoop) closeEnded() bool {
+// closeSuperseded closes the shards whose epoch was superseded or that this
+// agent lost, and reports whether there were any.
+func (control *controlLoop) closeSuperseded() bool {
 	closed := false
 	for id, shard := range control.shards {
-		if owned, ok := control.mine.owned[id]; ok && owned.Epoch == shard.epoch {
+		if owned, ok := control.assigned.owned[id]; ok && owned.Epoch == shard.epoch {
 			continue
 		}
 		shard.close()
 		delete(control.shards, id)
-		control.lingering = append(control.lingering, shard)
+		control.superseded = append(control.superseded, shard)
 		closed = true
 	}
-	control.endInterrupted()
+	control.pruneSuperseded()
 	return closed
 }
 
-// endInterrupted ends what lingers of ranges that this agent does not own
-// altogether any more.
-func (control *controlLoop) endInterrupted() {
-	owned := slices.Collect(maps.Values(control.mine.covers))
-	control.lingering = slices.DeleteFunc(control.lingering, func(shard *served) bool {
-		if !shard.covers.CoveredBy(owned) {
-			shard.ended.Store(true)
+// pruneSuperseded revokes superseded shards whose range this agent no longer
+// owns as a whole, and forgets those that are revoked or idle.
+func (control *controlLoop) pruneSuperseded() {
+	owned := slices.Collect(maps.Values(control.assigned.keyRange))
+	control.superseded = slices.DeleteFunc(control.superseded, func(shard *servedShard) bool {
+		if !shard.keyRange.CoveredBy(owned) {
+			shard.revoked.Store(true)
 		}
-		return shard.ended.Load() || shard.isIdle()
+		return shard.revoked.Load() || shard.isIdle()
 	})
 }
 
-// lingers says whether requests of an ended epoch of the shard still run.
-func (control *controlLoop) lingers(id topology.ShardID) bool {
-	return slices.ContainsFunc(control.lingering, func(shard *served) bool {
+// hasSupersededRequests reports whether requests of a superseded epoch of the
+// shard are in progress.
+func (control *controlLoop) hasSupersededRequests(id topology.ShardID) bool {
+	return slices.ContainsFunc(control.superseded, func(shard *servedShard) bool {
 		return shard.id == id && !shard.isIdle()
 	})
 }
 
-// lingeringIn returns the shards of ended epochs that may still run requests
+// supersededIn returns the superseded shards that may have requests in progress
 // for keys of a range.
-func (control *controlLoop) lingeringIn(covers requestrecord.Range) []*served {
-	var found []*served
-	for _, shard := range control.lingering {
-		if shard.covers.Overlaps(covers) && !shard.isIdle() {
+func (control *controlLoop) supersededIn(keyRange requestrecord.Range) []*servedShard {
+	var found []*servedShard
+	for _, shard := range control.superseded {
+		if shard.keyRange.Overlaps(keyRange) && !shard.isIdle() {
 			found = append(found, shard)
 		}
 	}
 	return found
 }
 
-// endAll lets nothing of a shard that moves away be answered as done any more.
-// Nor may what the back end still runs of before a split act for its keys.
-func (control *controlLoop) endAll(running *release) {
-	if held, serving := control.shards[running.shard]; serving {
-		held.ended.Store(true)
+// revokeInFlight makes the answers of requests in progress for a shard that
+// moves away unreleasable, including those of superseded epochs. It also
+// replaces the grants under which unanswered requests from before a split could
+// still act on the shard's keys.
+func (control *controlLoop) revokeInFlight(current *shardRelease) {
+	if held, serving := control.shards[current.shard]; serving {
+		held.revoked.Store(true)
 	}
-	for _, shard := range control.lingeringIn(running.covers) {
-		shard.ended.Store(true)
-		control.unanswered.note(shard)
+	for _, shard := range control.supersededIn(current.keyRange) {
+		shard.revoked.Store(true)
+		control.unanswered.add(shard)
 	}
-	control.grants.EndContinued(control.unanswered.under)
+	control.grants.EndContinued(control.unanswered.sentUnder)
 }
 
-// continues says whether a request that was admitted at an ended epoch may go
-// on.
-func (agent *Agent) continues(shard *served) bool {
-	return shard != nil && agent.followed() && !shard.ended.Load() && agent.leased() == nil
+// mayContinue reports whether a request that was admitted at a superseded epoch
+// may continue.
+func (agent *Agent) mayContinue(shard *servedShard) bool {
+	return shard != nil && agent.awaitTableApplied() && !shard.revoked.Load() && agent.checkLease() == nil
 }
 
-// heirs returns the other shards whose records took entries of a shard over
-// when its epoch ended.
-func (agent *Agent) heirs(shard *served) []topology.ShardID {
-	if !shard.isClosed() || !agent.followed() {
+// successorShards returns the other shards whose request records took over
+// entries of a shard when its epoch was superseded.
+func (agent *Agent) successorShards(shard *servedShard) []topology.ShardID {
+	if !shard.isClosed() || !agent.awaitTableApplied() {
 		return nil
 	}
 	var found []topology.ShardID
 	for id, other := range agent.view.Load().shards {
-		if id != shard.id && other.covers.Overlaps(shard.covers) {
+		if id != shard.id && other.keyRange.Overlaps(shard.keyRange) {
 			found = append(found, id)
 		}
 	}
 	return found
 }
 
-// followed waits until the control goroutine has followed the table in force,
-// and thereby ended what that table takes away.
-func (agent *Agent) followed() bool {
+// awaitTableApplied waits until the control goroutine has applied the newest
+// routing table, and so has revoked what that table takes away. It returns
+// false if there is no table or on a timeout.
+func (agent *Agent) awaitTableApplied() bool {
 	wanted := agent.table.Load()
 	if wanted == nil {
 		return false
 	}
-	deadline := agent.now() + followLimit
-	for agent.following.Load() < uint64(wanted.Revision()) {
+	deadline := agent.now() + applyTimeout
+	for agent.appliedRevision.Load() < uint64(wanted.Revision()) {
 		if agent.now() >= deadline {
 			return false
 		}
-		time.Sleep(followPoll)
+		time.Sleep(applyPollInterval)
 	}
 	return true
 }
