--- a/internal/agent/unanswered.go
+++ b/internal/agent/unanswered.go
@@ -6,17 +6,19 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// unanswered knows the grants under which requests were sent whose end was
-// never learned: they may run at the back end for as long as it holds the
-// grant. Any goroutine may use it.
-type unanswered struct {
+// unansweredRequests records the grants under which requests were sent whose
+// end the agent never learned. They may run at the back end as long as it holds
+// the grant. It is safe for concurrent use.
+type unansweredRequests struct {
 	mutex sync.Mutex
-	// epochs holds, of each shard, the highest epoch that the back end was told.
+	// epochs maps each shard to the highest epoch at which the back end was
+	// sent such a request.
 	epochs map[topology.ShardID]topology.Epoch
 }
 
-// note must be called before the request leaves its shard.
-func (u *unanswered) note(shard *served) {
+// add records a request of the shard. It must be called before the request's
+// registration with the shard ends.
+func (u *unansweredRequests) add(shard *servedShard) {
 	if shard == nil {
 		return
 	}
@@ -25,11 +27,12 @@
 	if u.epochs == nil {
 		u.epochs = make(map[topology.ShardID]topology.Epoch)
 	}
-	u.epochs[shard.id] = max(u.epochs[shard.id], topology.Epoch(shard.granted.Load()))
+	u.epochs[shard.id] = max(u.epochs[shard.id], topology.Epoch(shard.grantedEpoch.Load()))
 }
 
-// under reports whether there were any under the grant of an epoch.
-func (u *unanswered) under(shard topology.ShardID, epoch topology.Epoch) bool {
+// sentUnder reports whether such a request was sent under the shard's grant of
+// the given epoch.
+func (u *unansweredRequests) sentUnder(shard topology.ShardID, epoch topology.Epoch) bool {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	return epoch != 0 && u.epochs[shard] == epoch
--- a/internal/agent/warming.go
+++ b/internal/agent/warming.go
@@ -9,22 +9,24 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// warmTimeout bounds the warming of one shard.
+// warmTimeout bounds the preparation of one shard.
 const warmTimeout = time.Minute
 
-// warming is a shard that is to move here, whose state the back end prepares.
+// warming is a shard that is to move here and for which the back end prepares
+// its state.
 type warming struct {
 	shard topology.ShardID
-	// epoch of the present owner.
+	// epoch is that of the present owner.
 	epoch  topology.Epoch
 	cancel context.CancelFunc
-	// done: the back end has answered.
+	// done is set once the back end has answered.
 	done bool
 	err  string
 }
 
-// followWarmings begins and ends warmings as the table says.
-func (control *controlLoop) followWarmings(wanted map[topology.ShardID]topology.Epoch) {
+// updateWarmings starts and cancels the preparation of shards as the routing
+// table demands.
+func (control *controlLoop) updateWarmings(wanted map[topology.ShardID]topology.Epoch) {
 	for id, running := range control.warmings {
 		if epoch, ok := wanted[id]; !ok || epoch != running.epoch {
 			running.cancel()
@@ -45,24 +47,24 @@
 	control.background.Go(func() {
 		defer cancel()
 		err := control.backend.Warm(ctx, id)
-		control.post(func(control *controlLoop) { control.warmed(started, err) })
+		control.post(func(control *controlLoop) { control.finishWarming(started, err) })
 	})
 }
 
-func (control *controlLoop) warmed(finished *warming, err error) {
+func (control *controlLoop) finishWarming(finished *warming, err error) {
 	finished.done = true
 	if err != nil {
 		finished.err = err.Error()
-		control.config.Log.Warn("shard not warmed", slog.String("shard", finished.shard.String()), slog.Any("error", err))
+		control.config.Log.Warn("back end did not warm the shard", slog.String("shard", finished.shard.String()), slog.Any("error", err))
 	}
 	if control.warmings[finished.shard] == finished {
 		control.sendWarmed(finished)
 	}
 }
 
-// repeatWarmed tells the controller again, until the table shows that it
-// knows: a message may be lost with its session.
-func (control *controlLoop) repeatWarmed() {
+// resendWarmed tells the controller again until its routing table reflects the
+// result, because a message may be lost with its session.
+func (control *controlLoop) resendWarmed() {
 	for _, finished := range control.warmings {
 		if finished.done {
 			control.sendWarmed(finished)
