--- a/internal/controller/admin_test.go
+++ b/internal/controller/admin_test.go
@@ -36,35 +36,35 @@
 	return &operator{t: g.t, addresses: strings.Join(addresses, ",")}
 }
 
-func (o *operator) try(ctx context.Context, arguments ...string) (string, error) {
+func (o *operator) exec(ctx context.Context, arguments ...string) (string, error) {
 	var out bytes.Buffer
 	flags := []string{"--rpc.controllers", o.addresses, "--author", "ebba"}
 	err := admin.Command(&out).ParseAndRun(ctx, append(flags, arguments...))
 	return out.String(), err
 }
 
-// run expects that a command succeeds.
-func (o *operator) run(arguments ...string) string {
+// mustSucceed runs a command that must succeed and returns its output.
+func (o *operator) mustSucceed(arguments ...string) string {
 	o.t.Helper()
-	out, err := o.try(o.t.Context(), arguments...)
+	out, err := o.exec(o.t.Context(), arguments...)
 	assert.NilError(o.t, err, "%v: %s", arguments, out)
 	return out
 }
 
-// refused expects that a command fails with an explanation.
-func (o *operator) refused(reason string, arguments ...string) {
+// mustFail runs a command that must fail with an error that contains reason.
+func (o *operator) mustFail(reason string, arguments ...string) {
 	o.t.Helper()
-	out, err := o.try(o.t.Context(), arguments...)
+	out, err := o.exec(o.t.Context(), arguments...)
 	assert.ErrorContains(o.t, err, reason, "%v: %s", arguments, out)
 }
 
-// eventually repeats a command until its output matches.
-func (o *operator) eventually(pattern string, arguments ...string) string {
+// runUntilMatch repeats a command until its output matches.
+func (o *operator) runUntilMatch(pattern string, arguments ...string) string {
 	o.t.Helper()
 	var out string
 	poll.WaitOn(o.t, func(poll.LogT) poll.Result {
 		var err error
-		out, err = o.try(o.t.Context(), arguments...)
+		out, err = o.exec(o.t.Context(), arguments...)
 		if err == nil && regexp.MustCompile(pattern).MatchString(out) {
 			return poll.Success()
 		}
@@ -74,38 +74,39 @@
 }
 
 func (o *operator) createBackend(number int) string {
-	return o.run("backend", "create", "wayfinder", backendName(number), "--agent-address", agentAddress(number),
+	return o.mustSucceed("backend", "create", "wayfinder", backendName(number), "--agent-address", agentAddress(number),
 		"--region", "se-west", "--zone", fmt.Sprint("hall-", number), "--slots", "20", "--connections", "100")
 }
 
 const serviceFile = "../../examples/service-wayfinder.yaml"
 
-// smallService is the example with few shards, all of which may move at once.
-func smallService(t *testing.T) string {
+// smallServiceFile writes the example service with 8 shards, all of which may
+// move at once, and returns the path of the file.
+func smallServiceFile(t *testing.T) string {
 	t.Helper()
 	content, err := os.ReadFile(serviceFile)
 	assert.NilError(t, err)
-	small := strings.NewReplacer("initial_shards: 64", "initial_shards: 8", "moves_at_once: 2", "moves_at_once: 8").Replace(string(content))
+	modified := strings.NewReplacer("initial_shards: 64", "initial_shards: 8", "moves_at_once: 2", "moves_at_once: 8").Replace(string(content))
 	file := filepath.Join(t.TempDir(), "service.yaml")
-	assert.NilError(t, os.WriteFile(file, []byte(small), 0o600))
+	assert.NilError(t, os.WriteFile(file, []byte(modified), 0o600))
 	return file
 }
 
-func TestOperatorsCommandsFromFirstServiceToDeletion(t *testing.T) {
+func TestAdminCommandsOverServiceLifecycle(t *testing.T) {
 	g := startGroup(t)
-	g.leader()
+	g.waitForLeader()
 	o := g.operator()
-	file := smallService(t)
-	f := &fixture{t: t, controllers: g.sessions()}
+	file := smallServiceFile(t)
+	f := &fixture{t: t, controllers: g.sessionAddresses()}
 
-	assert.Assert(t, strings.Contains(o.run("service", "create", file, "--dry-run"), "nothing was changed"))
-	assert.Assert(t, !strings.Contains(o.run("service", "list"), "wayfinder"))
-	o.run("service", "create", file, "--request-id", "first", "--expected-revision", "0")
-	again := o.run("service", "create", file, "--request-id", "first", "--expected-revision", "0")
+	assert.Assert(t, strings.Contains(o.mustSucceed("service", "create", file, "--dry-run"), "nothing was changed"))
+	assert.Assert(t, !strings.Contains(o.mustSucceed("service", "list"), "wayfinder"))
+	o.mustSucceed("service", "create", file, "--request-id", "first", "--expected-revision", "0")
+	again := o.mustSucceed("service", "create", file, "--request-id", "first", "--expected-revision", "0")
 	assert.Assert(t, strings.Contains(again, "already accepted"), again)
-	o.refused("ebba made revision", "service", "update", file, "--expected-revision", "0")
-	o.refused("with other content", "service", "update", file, "--request-id", "first", "--expected-revision", "0")
-	listed := strings.ReplaceAll(o.run("service", "list", "--json"), " ", "")
+	o.mustFail("ebba made revision", "service", "update", file, "--expected-revision", "0")
+	o.mustFail("with other content", "service", "update", file, "--request-id", "first", "--expected-revision", "0")
+	listed := strings.ReplaceAll(o.mustSucceed("service", "list", "--json"), " ", "")
 	for _, rule := range []string{`"non_repeatable":true`, `"path_prefix":"/edits/"`, `"POST"`} {
 		assert.Assert(t, strings.Contains(listed, rule), "%s in %s", rule, listed)
 	}
@@ -115,48 +116,48 @@
 		f.startAgent(number)
 	}
 	f.startRouter("router-1", g.addrs[0].Sessions)
-	o.eventually(`backend-1 .* active +yes +4 (.|\n)*backend-2 .* active +yes +4 `, "backend", "list")
-	assert.Equal(t, strings.Count(o.run("shard", "list", "wayfinder", "--owner", "backend-2"), "backend-2"), 4)
+	o.runUntilMatch(`backend-1 .* active +yes +4 (.|\n)*backend-2 .* active +yes +4 `, "backend", "list")
+	assert.Equal(t, strings.Count(o.mustSucceed("shard", "list", "wayfinder", "--owner", "backend-2"), "backend-2"), 4)
 
-	o.refused("drain it and wait", "backend", "remove", "wayfinder", "backend-1")
-	o.run("backend", "drain", "wayfinder", "backend-1", "--wait", "20s")
-	o.eventually(`backend-1 .* draining +yes +0 `, "backend", "list")
-	o.run("backend", "activate", "wayfinder", "backend-1")
-	o.run("backend", "drain", "wayfinder", "backend-1")
-	o.eventually("accepted", "backend", "remove", "wayfinder", "backend-1")
+	o.mustFail("drain it and wait", "backend", "remove", "wayfinder", "backend-1")
+	o.mustSucceed("backend", "drain", "wayfinder", "backend-1", "--wait", "20s")
+	o.runUntilMatch(`backend-1 .* draining +yes +0 `, "backend", "list")
+	o.mustSucceed("backend", "activate", "wayfinder", "backend-1")
+	o.mustSucceed("backend", "drain", "wayfinder", "backend-1")
+	o.runUntilMatch("accepted", "backend", "remove", "wayfinder", "backend-1")
 
-	explained := o.run("explain", "key", "wayfinder", "gate-17")
+	explained := o.mustSucceed("explain", "key", "wayfinder", "gate-17")
 	for _, part := range []string{"Requests go to back end backend-2", "EPOCH", "least utilised"} {
 		assert.Assert(t, strings.Contains(explained, part), "%q in %s", part, explained)
 	}
-	assert.Assert(t, strings.Contains(o.run("explain", "service", "wayfinder"), "backend-2"))
-	o.run("shift", "mark", "wayfinder", "--key", "gate-17", "--expected-slots", "3")
-	assert.Assert(t, strings.Contains(o.run("shift", "list", "--service", "wayfinder"), "ebba"))
-	o.eventually(`router-1 (.|\n)*backend-2|backend-2 (.|\n)*router-1`, "subscribers")
+	assert.Assert(t, strings.Contains(o.mustSucceed("explain", "service", "wayfinder"), "backend-2"))
+	o.mustSucceed("shift", "mark", "wayfinder", "--key", "gate-17", "--expected-slots", "3")
+	assert.Assert(t, strings.Contains(o.mustSucceed("shift", "list", "--service", "wayfinder"), "ebba"))
+	o.runUntilMatch(`router-1 (.|\n)*backend-2|backend-2 (.|\n)*router-1`, "subscribers")
 
-	o.run("backend", "drain", "wayfinder", "backend-2")
-	o.run("service", "delete", "wayfinder")
-	assert.Assert(t, !strings.Contains(o.run("backend", "list"), "backend-2"))
-	revision := regexp.MustCompile(`at revision (\d+)`).FindStringSubmatch(o.run("revision"))
-	o.run("wait", revision[1])
+	o.mustSucceed("backend", "drain", "wayfinder", "backend-2")
+	o.mustSucceed("service", "delete", "wayfinder")
+	assert.Assert(t, !strings.Contains(o.mustSucceed("backend", "list"), "backend-2"))
+	revision := regexp.MustCompile(`at revision (\d+)`).FindStringSubmatch(o.mustSucceed("revision"))
+	o.mustSucceed("wait", revision[1])
 }
 
-// TestWatchShowsEveryChange leaves out the changes of ownership: there is no
-// agent.
-func TestWatchShowsEveryChange(t *testing.T) {
+// TestWatchReportsEveryConfigurationChange starts no agent, so there are no
+// ownership changes.
+func TestWatchReportsEveryConfigurationChange(t *testing.T) {
 	g := startGroup(t)
-	g.leader()
+	g.waitForLeader()
 	o := g.operator()
-	o.run("service", "create", serviceFile)
+	o.mustSucceed("service", "create", serviceFile)
 	ctx, cancel := context.WithCancel(t.Context())
 	lines := make(chan string, 1)
 	go func() {
-		out, _ := o.try(ctx, "watch", "--service", "wayfinder")
+		out, _ := o.exec(ctx, "watch", "--service", "wayfinder")
 		lines <- out
 	}()
 	o.createBackend(1)
 	o.createBackend(2)
-	o.run("backend", "drain", "wayfinder", "backend-2", "--wait", "20s")
+	o.mustSucceed("backend", "drain", "wayfinder", "backend-2", "--wait", "20s")
 	cancel()
 	out := <-lines
 	for _, part := range []string{"service wayfinder", "back end wayfinder/backend-1 active", "back end wayfinder/backend-2 draining"} {
@@ -164,58 +165,59 @@
 	}
 }
 
-func TestEveryViolationIsListedAndNothingChanged(t *testing.T) {
+func TestInvalidServiceListsAllViolationsAndChangesNothing(t *testing.T) {
 	g := startGroup(t)
-	g.leader()
+	g.waitForLeader()
 	o := g.operator()
 	file := filepath.Join(t.TempDir(), "service.yaml")
 	content := "name: Way Finder\ninitial_shards: 0\nrules: [{methods: [get], key: {kind: KEY_SOURCE_KIND_QUERY}}]\n"
 	assert.NilError(t, os.WriteFile(file, []byte(content), 0o600))
-	_, err := o.try(t.Context(), "service", "create", file)
+	_, err := o.exec(t.Context(), "service", "create", file)
 	for _, field := range []string{"service.name", "service.initial_shards", "service.rules[0].methods[0]", "service.rules[0].key.name"} {
 		assert.ErrorContains(t, err, field)
 	}
-	assert.Assert(t, strings.Contains(o.run("revision"), "configuration revision 0"))
+	assert.Assert(t, strings.Contains(o.mustSucceed("revision"), "configuration revision 0"))
 }
 
-// TestControllerIsReplaced adds a fourth controller as a learner, promotes it,
-// removes the first leader and goes on without it.
-func TestControllerIsReplaced(t *testing.T) {
+// TestReplaceController adds a fourth controller as a learner, promotes it,
+// removes and stops the original leader, and checks that the group still
+// accepts changes.
+func TestReplaceController(t *testing.T) {
 	g := startGroup(t)
-	index, _ := g.leader()
+	index, _ := g.waitForLeader()
 	o := g.operator()
-	o.run("service", "create", serviceFile)
+	o.mustSucceed("service", "create", serviceFile)
 
-	joined, incarnation := g.join()
-	added := o.run("controller", "add", incarnation,
-		"--peer-address", g.joinedPeer, "--session-address", joined.Sessions, "--rpc-address", joined.RPC)
+	joined, incarnation := g.startJoiningMember()
+	added := o.mustSucceed("controller", "add", incarnation,
+		"--peer-address", g.joinedPeerAddress, "--session-address", joined.Sessions, "--rpc-address", joined.RPC)
 	assert.Assert(t, strings.Contains(added, "replica 4, a learner"), added)
-	o.eventually("accepted", "controller", "promote", "4")
+	o.runUntilMatch("accepted", "controller", "promote", "4")
 	g.addrs = append(g.addrs, joined)
 	removed := int(g.peers[index].ID)
-	o.run("controller", "remove", strconv.Itoa(removed))
+	o.mustSucceed("controller", "remove", strconv.Itoa(removed))
 	g.stop(index)
 	o = g.operator()
-	list := o.eventually(`the newest\n(.|\n)*\n4 +[0-9a-f]+ +yes`, "controller", "list")
+	list := o.runUntilMatch(`the newest\n(.|\n)*\n4 +[0-9a-f]+ +yes`, "controller", "list")
 	assert.Assert(t, !regexp.MustCompile(fmt.Sprintf(`\n%d `, removed)).MatchString(list), list)
 	o.createBackend(1)
-	assert.Assert(t, strings.Contains(o.run("service", "list"), "wayfinder"))
+	assert.Assert(t, strings.Contains(o.mustSucceed("service", "list"), "wayfinder"))
 }
 
-// join starts a controller that belongs to no group yet, and returns the
-// incarnation that it logs.
-func (g *group) join() (controller.Addresses, string) {
+// startJoiningMember starts a controller that does not belong to a group yet,
+// and returns its addresses and the incarnation from its log.
+func (g *group) startJoiningMember() (controller.Addresses, string) {
 	g.t.Helper()
-	log := &lockedBuffer{}
+	log := &syncBuffer{}
 	member, err := controller.Start(controller.Config{
 		Group: 1, SessionListen: "127.0.0.1:0", RPCListen: "127.0.0.1:0",
 		Log: slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelInfo})),
-		Replicate: func(machine controller.Machine) (controller.Replicator, error) {
+		Replicate: func(machine controller.StateMachine) (controller.Replicator, error) {
 			started, err := controller.ReplicateOn(replica.Config{
 				Group: 1, DataDir: g.t.TempDir(), Peers: g.peers, Listen: "127.0.0.1:0",
 			})(machine)
 			if err == nil {
-				g.joinedPeer = started.PeerAddress()
+				g.joinedPeerAddress = started.PeerAddress()
 			}
 			return started, err
 		},
@@ -227,19 +229,19 @@
 	return member.Addresses(), logged[1]
 }
 
-// lockedBuffer takes a log from several goroutines.
-type lockedBuffer struct {
+// syncBuffer is a buffer for log output of several goroutines.
+type syncBuffer struct {
 	mutex  sync.Mutex
 	buffer bytes.Buffer
 }
 
-func (b *lockedBuffer) Write(line []byte) (int, error) {
+func (b *syncBuffer) Write(line []byte) (int, error) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.buffer.Write(line)
 }
 
-func (b *lockedBuffer) String() string {
+func (b *syncBuffer) String() string {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.buffer.String()
--- a/internal/controller/agents.go
+++ b/internal/controller/agents.go
@@ -7,14 +7,15 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// agentSessions holds the sessions of agents by their address; it belongs to
-// the control goroutine.
-type agentSessions map[string]*session
+// agentSessionsByAddress maps an agent's address to its session. It is accessed
+// only on the control goroutine.
+type agentSessionsByAddress map[string]*session
 
-// serveAgent serves an agent at the leader and sends it there otherwise.
+// serveAgent serves an agent if this controller leads, and otherwise tells it
+// the leader's address.
 func (s *session) serveAgent() {
 	c := s.controller
-	welcome, open := s.awaitLeader(func(welcome *wire.Welcome) {
+	welcome, open := s.waitForLeader(func(welcome *wire.Welcome) {
 		c.registerAgent(s)
 		welcome.Backend, welcome.Service = s.backend, s.service()
 	})
@@ -26,31 +27,33 @@
 		return
 	}
 	s.outbox.welcome(welcome)
-	s.converse()
-	s.onControlAfterEnd(func() { c.forgetAgent(s) })
+	s.exchangeMessages()
+	s.postToControl(func() { c.unregisterAgent(s) })
 }
 
-// onControlAfterEnd posts an event without waiting for it.
-func (s *session) onControlAfterEnd(event func()) { s.controller.replica.Post(event) }
+// postToControl runs event on the control goroutine without waiting for it, so
+// it also runs after the session has ended.
+func (s *session) postToControl(event func()) { s.controller.replica.Post(event) }
 
-// registerAgent makes a session the one of its address; an earlier one ends.
+// registerAgent makes s the session of its agent's address and closes an
+// earlier session of the same address.
 func (c *Controller) registerAgent(s *session) {
 	if earlier, ok := c.agents[s.hello.Address]; ok && earlier != s {
 		earlier.close()
 	}
 	c.agents[s.hello.Address] = s
-	c.identify(s, c.replica.Now())
+	c.resolveBackend(s, c.replica.Now())
 }
 
-func (c *Controller) forgetAgent(s *session) {
+func (c *Controller) unregisterAgent(s *session) {
 	if c.agents[s.hello.Address] == s {
 		delete(c.agents, s.hello.Address)
 	}
 }
 
-// identify finds the back end beside an agent. It reports whether the identity
-// has changed.
-func (c *Controller) identify(s *session, now time.Duration) bool {
+// resolveBackend looks up the back end that the agent serves, by the agent's
+// address. It reports whether the result has changed.
+func (c *Controller) resolveBackend(s *session, now time.Duration) bool {
 	info, known := c.state.BackendByAddress(s.hello.Address)
 	if !known {
 		changed := s.backend != 0
@@ -62,14 +65,15 @@
 	}
 	s.backend = info.ID
 	c.coordinator.Attach(info.ID, &s.hello, now)
-	s.outbox.route([]topology.ServiceID{info.Service})
+	s.outbox.setRouting([]topology.ServiceID{info.Service})
 	return true
 }
 
-// identifyAgents finds the back ends anew after a change of configuration.
-func (c *Controller) identifyAgents(now time.Duration) {
+// resolveAgentBackends looks up the agents' back ends again after a
+// configuration change.
+func (c *Controller) resolveAgentBackends(now time.Duration) {
 	for _, s := range c.agents {
-		if !c.identify(s, now) {
+		if !c.resolveBackend(s, now) {
 			continue
 		}
 		welcome := c.welcome()
@@ -83,8 +87,8 @@
 	return info.Service
 }
 
-// renew answers a renewal; on the control goroutine. Without the leader lease
-// nothing is granted, and the agent's wait ends it.
+// renew answers a lease renewal. It runs on the control goroutine. Without the
+// leader lease it sends no answer, and the agent gives up after its timeout.
 func (s *session) renew(renew *wire.Renew) {
 	c := s.controller
 	now := c.replica.Now()
@@ -101,7 +105,8 @@
 	s.outbox.renewAck(ack)
 }
 
-// redirectAgents sends all agents to the new leader, if it is known.
+// redirectAgents redirects all agents to the new leader. The address is empty
+// if the leader is not known.
 func (c *Controller) redirectAgents(address string) {
 	for _, s := range c.agents {
 		s.backend = 0
@@ -110,8 +115,9 @@
 	clear(c.agents)
 }
 
-// takeRouterLoad hands a router's report to the leader.
-func (c *Controller) takeRouterLoad(router string, load *wire.RouterLoad) {
+// recordRouterLoad passes a router's load report to the coordinator, or keeps
+// it for the relay to the leader if this controller does not lead.
+func (c *Controller) recordRouterLoad(router string, load *wire.RouterLoad) {
 	c.replica.Post(func() {
 		if c.leads(c.replica.Now()) {
 			c.coordinator.RouterLoad(router, load, c.replica.Now())
--- a/internal/controller/broadcast.go
+++ b/internal/controller/broadcast.go
@@ -2,13 +2,13 @@
 
 import "sync"
 
-// broadcast wakes any number of waiting goroutines.
+// broadcast wakes all waiting goroutines on each signal.
 type broadcast struct {
 	mutex   sync.Mutex
 	changed chan struct{}
 }
 
-// wait returns a channel that is closed by the next signal.
+// wait returns a channel that the next signal closes.
 func (b *broadcast) wait() <-chan struct{} {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -14,53 +14,61 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// Config of a controller. Zero fields with a default take it.
+// Config configures a controller. Zero values are replaced by the defaults
+// where one is given.
 type Config struct {
-	// Group of controllers.
+	// Group is the ID of the controller group.
 	Group topology.GroupID
-	// Location of the process.
+	// Location of this process.
 	Location topology.Location
 
-	// SessionListen takes sessions of routers and agents, RPCListen calls of
-	// operators: "IP:port"; port 0 takes a free one.
+	// SessionListen is the address for sessions of routers and agents, and
+	// RPCListen the one for operators' calls, as "IP:port". Port 0 picks a free
+	// port.
 	SessionListen string
-	// SessionAdvertise is the session address that subscribers are told;
-	// empty takes the bound one.
+	// SessionAdvertise is the session address that subscribers are given; empty
+	// means the bound address.
 	SessionAdvertise string
 	RPCListen        string
 
-	// LeaseDuration of agents' leases; default 500 ms. All controllers of a
-	// group have the same.
+	// LeaseDuration is the duration of agents' leases; default 500 ms. It must be
+	// the same at all controllers of a group.
 	LeaseDuration time.Duration
-	// RenewInterval that agents are told; default 125 ms.
+	// RenewInterval is the lease renewal interval that agents are given; default
+	// 125 ms.
 	RenewInterval time.Duration
-	// AliveInterval is how often a subscriber hears from the controller at
-	// least; default 250 ms.
+	// AliveInterval is the longest time without a message to a subscriber;
+	// default 250 ms.
 	AliveInterval time.Duration
 	// BarrierInterval is how often the controller confirms with a quorum that
 	// its state is the newest; default 200 ms.
 	BarrierInterval time.Duration
 
-	// MachineListURL of the platform's list of machines; empty is none.
+	// MachineListURL is the URL of the platform's machine list; empty disables
+	// polling.
 	MachineListURL string
-	// MachineListInterval between two readings of it; default 2 s.
+	// MachineListInterval is the interval at which the machine list is polled;
+	// default 2 s.
 	MachineListInterval time.Duration
 
-	// LinkTLS secures sessions, in both directions; nil is plain TCP.
+	// LinkTLS is the TLS configuration of incoming and outgoing sessions; nil
+	// means plain TCP.
 	LinkTLS *tls.Config
-	// OperatorTLS secures operators' calls; nil is plain HTTP.
+	// OperatorTLS is the TLS configuration of operators' calls; nil means plain
+	// HTTP.
 	OperatorTLS *tls.Config
 
-	// Registerer takes the process's metrics; nil takes none.
+	// Registerer registers the metrics; nil means a private registry.
 	Registerer prometheus.Registerer
-	// Log takes changes of state; nil discards.
+	// Log receives log messages; nil discards them.
 	Log *slog.Logger
-	// Replicate starts the replicated log over the machine.
-	Replicate func(Machine) (Replicator, error)
-	// OnReady, if set, is called with the bound addresses once the controller
-	// serves.
+	// Replicate starts the replicated log that drives the state machine.
+	Replicate func(StateMachine) (Replicator, error)
+	// OnReady, if set, is called with the bound addresses once the controller is
+	// serving.
 	OnReady func(Addresses)
-	// Coordinator sets limits of the leader's decisions.
+	// Coordinator configures the limits of the leader's placement and lease
+	// decisions.
 	Coordinator coordinator.Config
 }
 
@@ -75,17 +83,17 @@
 )
 
 func (config Config) validate() error {
-	var findings []error
-	require := func(ok bool, problem string) {
+	var problems []error
+	require := func(ok bool, message string) {
 		if !ok {
-			findings = append(findings, errors.New(problem))
+			problems = append(problems, errors.New(message))
 		}
 	}
 	require(config.Group != 0, "Group is zero")
 	require(config.SessionListen != "", "SessionListen is empty")
 	require(config.RPCListen != "", "RPCListen is empty")
 	require(config.Replicate != nil, "Replicate is missing")
-	if err := errors.Join(findings...); err != nil {
+	if err := errors.Join(problems...); err != nil {
 		return fmt.Errorf("controller: %w", err)
 	}
 	return nil
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -22,20 +22,21 @@
 )
 
 const (
-	// stopTimeout bounds the wait for operators' calls in progress at a stop.
+	// stopTimeout limits how long Stop waits for operators' calls in progress.
 	stopTimeout = 2 * time.Second
-	// shutdownPoll is how often http.Server.Shutdown looks whether calls have
-	// ended, at longest (net/http, shutdownPollIntervalMax, with its jitter of a
-	// tenth).
-	shutdownPoll = 550 * time.Millisecond
-	// callsEnd is how long calls may go on in a stop, so that their answers are
-	// written and Shutdown sees it.
-	callsEnd = stopTimeout - shutdownPoll - plannedstop.AnswerMargin
+	// shutdownPollInterval is the longest interval at which http.Server.Shutdown
+	// checks for idle connections (net/http, shutdownPollIntervalMax, plus its
+	// jitter of 10%).
+	shutdownPollInterval = 550 * time.Millisecond
+	// callsTimeout is how long calls may continue after Stop has begun. It leaves
+	// time to write their responses and for Shutdown to notice that they have
+	// ended.
+	callsTimeout = stopTimeout - shutdownPollInterval - plannedstop.AnswerMargin
 )
 
 var errStopping = errors.New("the controller is stopping")
 
-// Controller is one running controller.
+// Controller is a running controller.
 type Controller struct {
 	config  Config
 	started time.Time
@@ -43,42 +44,43 @@
 	replica Replicator
 	metrics *controllerMetrics
 
-	sessions *transport.Listener
-	rpc      net.Listener
-	server   *http.Server
-	// calls is the context below which operators' calls run; endCalls ends it.
-	calls    context.Context
-	endCalls context.CancelFunc
-
-	// view is the published end of the log of deltas.
-	view        atomic.Pointer[distribution.View]
-	snapshots   snapshotCache
-	frames      routingFrames
-	open        sessionSet
-	greetings   chan struct{}
-	subscribers subscribers
-	freshness   freshness
-	relay       *relay
-	published   broadcast
-	stopping    chan struct{}
-	background  sync.WaitGroup
-
-	// The rest belongs to the control goroutine.
+	sessionListener *transport.Listener
+	rpcListener     net.Listener
+	rpcServer       *http.Server
+	// callsContext is the base context of operators' calls; cancelCalls cancels
+	// it.
+	callsContext context.Context
+	cancelCalls  context.CancelFunc
+
+	// view is the published view of deltaLog.
+	view           atomic.Pointer[distribution.View]
+	snapshots      snapshotCache
+	frames         routingFrames
+	openSessions   sessionSet
+	handshakeSlots chan struct{}
+	subscribers    subscribers
+	freshness      freshness
+	relay          *relay
+	viewChanged    broadcast
+	stopping       chan struct{}
+	background     sync.WaitGroup
+
+	// The fields below are accessed only on the control goroutine.
 	state       *controlstate.State
-	deltas      *distribution.Log
+	deltaLog    *distribution.Log
 	coordinator *coordinator.Coordinator
 	leadership  leadership.Leadership
 	findings    *findings
-	// discounted is how many claims the coordinator had discounted when it was
-	// last looked at.
-	discounted uint64
-	agents     agentSessions
-	// redirectBy is by when the agents of a leadership that ended are sent
-	// away; zero where there are none.
-	redirectBy time.Duration
+	// claimsCounted is the part of the coordinator's count of discounted claims
+	// that the metric already includes.
+	claimsCounted uint64
+	agents        agentSessionsByAddress
+	// redirectDeadline is when the agents that are left from an ended leadership
+	// are redirected even if the new leader is unknown; zero if there are none.
+	redirectDeadline time.Duration
 }
 
-// Run runs a controller until the context ends.
+// Run runs a controller until the context is cancelled.
 func Run(ctx context.Context, config Config) error {
 	c, err := Start(config)
 	if err != nil {
@@ -88,7 +90,7 @@
 	return c.Stop()
 }
 
-// Start provisions and serves. Stop ends it.
+// Start starts a controller. Stop stops it.
 func Start(config Config) (*Controller, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -102,31 +104,31 @@
 		c.closeListeners()
 		return nil, fmt.Errorf("start the replicated log: %w", err)
 	}
-	c.attach(replica)
+	c.attachReplica(replica)
 	c.serve()
 	return c, nil
 }
 
 func newController(config Config) *Controller {
 	c := &Controller{
-		started:   steady.Reading(),
-		config:    config,
-		log:       config.Log,
-		state:     controlstate.New(config.Group),
-		deltas:    distribution.NewLog(0),
-		agents:    make(agentSessions),
-		stopping:  make(chan struct{}),
-		greetings: make(chan struct{}, greetingsAtOnce),
+		started:        steady.Reading(),
+		config:         config,
+		log:            config.Log,
+		state:          controlstate.New(config.Group),
+		deltaLog:       distribution.NewLog(0),
+		agents:         make(agentSessionsByAddress),
+		stopping:       make(chan struct{}),
+		handshakeSlots: make(chan struct{}, maxConcurrentHandshakes),
 	}
 	c.coordinator = coordinator.New(config.Coordinator, c.state)
-	c.subscribers.start(c.now())
-	c.view.Store(c.deltas.View())
+	c.subscribers.init(c.now())
+	c.view.Store(c.deltaLog.View())
 	c.metrics = newMetrics(config.Registerer, c)
 	c.findings = newFindings(c.log, c.metrics.findings)
 	return c
 }
 
-// now reads the controller's own monotonic clock.
+// now returns the time since the controller started, on a monotonic clock.
 func (c *Controller) now() time.Duration { return steady.Elapsed(c.started) }
 
 func (c *Controller) listen() error {
@@ -134,8 +136,8 @@
 	if err != nil {
 		return fmt.Errorf("session listener: %w", err)
 	}
-	c.sessions = sessions
-	c.rpc, err = net.Listen("tcp", c.config.RPCListen)
+	c.sessionListener = sessions
+	c.rpcListener, err = net.Listen("tcp", c.config.RPCListen)
 	if err != nil {
 		_ = sessions.Close()
 		return fmt.Errorf("RPC listener: %w", err)
@@ -144,13 +146,13 @@
 }
 
 func (c *Controller) closeListeners() {
-	_ = c.sessions.Close()
-	_ = c.rpc.Close()
+	_ = c.sessionListener.Close()
+	_ = c.rpcListener.Close()
 }
 
-// attach makes the replica known to the control goroutine, which may have
-// begun to call the machine already.
-func (c *Controller) attach(replica Replicator) {
+// attachReplica sets the replica on the control goroutine, which may already be
+// calling the state machine.
+func (c *Controller) attachReplica(replica Replicator) {
 	attached := make(chan struct{})
 	replica.Post(func() {
 		c.replica = replica
@@ -162,9 +164,9 @@
 func (c *Controller) serve() {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.relay = newRelay(c)
-	c.calls, c.endCalls = context.WithCancel(context.Background())
-	c.server = c.newRPCServer()
-	c.server.RegisterOnShutdown(func() {
+	c.callsContext, c.cancelCalls = context.WithCancel(context.Background())
+	c.rpcServer = c.newRPCServer()
+	c.rpcServer.RegisterOnShutdown(func() {
 		cancel()
 		close(c.stopping)
 	})
@@ -172,7 +174,7 @@
 	c.background.Go(c.serveRPC)
 	c.background.Go(func() { c.confirmFreshness(ctx) })
 	c.background.Go(func() { c.relay.run(ctx) })
-	c.background.Go(func() { c.followMachineList(ctx) })
+	c.background.Go(func() { c.pollMachineList(ctx) })
 	addresses := c.Addresses()
 	c.log.Info("controller serves", "sessions", addresses.Sessions, "rpc", addresses.RPC,
 		"peers", c.replica.PeerAddress(), "incarnation", strconv.FormatUint(uint64(c.replica.Incarnation()), 16))
@@ -183,40 +185,40 @@
 
 // Addresses returns the bound addresses.
 func (c *Controller) Addresses() Addresses {
-	return Addresses{Sessions: c.sessions.Address(), RPC: c.rpc.Addr().String()}
+	return Addresses{Sessions: c.sessionListener.Address(), RPC: c.rpcListener.Addr().String()}
 }
 
-// sessionAddress is where subscribers are told to reach this controller.
+// sessionAddress returns the session address that subscribers are given.
 func (c *Controller) sessionAddress() string {
 	if c.config.SessionAdvertise != "" {
 		return c.config.SessionAdvertise
 	}
-	return c.sessions.Address()
+	return c.sessionListener.Address()
 }
 
-// Stop hands leadership over, if it is held here, and ends sessions, calls and
-// the replicated log. Calls that would outlast the stop are ended shortly before
-// it cuts them off, so that each is answered with what is known.
+// Stop transfers leadership if this controller leads, and ends sessions, calls
+// and the replicated log. Calls that would exceed stopTimeout are cancelled
+// shortly before it, so that each still gets a response.
 func (c *Controller) Stop() error {
-	c.handOver()
+	c.transferLeadership()
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	defer c.endCalls()
-	defer time.AfterFunc(callsEnd, c.endCalls).Stop()
-	_ = c.sessions.Close()
-	c.open.closeAll()
-	err := c.server.Shutdown(ctx)
+	defer c.cancelCalls()
+	defer time.AfterFunc(callsTimeout, c.cancelCalls).Stop()
+	_ = c.sessionListener.Close()
+	c.openSessions.closeAll()
+	err := c.rpcServer.Shutdown(ctx)
 	if err != nil {
-		err = errors.Join(err, c.server.Close())
+		err = errors.Join(err, c.rpcServer.Close())
 	}
 	c.background.Wait()
-	c.open.wait()
+	c.openSessions.wait()
 	return errors.Join(err, c.replica.Stop())
 }
 
 // Ready returns why the controller cannot serve now, or nil.
 func (c *Controller) Ready() error {
-	if contact := c.leaderContact(); contact > wireStopRelying {
+	if contact := c.leaderContact(); contact > maxLeaderContact {
 		return fmt.Errorf("no contact with a leader for %s", contact.Round(time.Millisecond))
 	}
 	return nil
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -25,23 +25,23 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// fixture is a controller on loopback with an operator's client.
+// fixture is a controller on loopback with an admin RPC client.
 type fixture struct {
 	t        *testing.T
 	addr     controller.Addresses
 	admin    quartzdockv1connect.AdminServiceClient
 	revision uint64
 	requests int
-	// controllers that agents may use.
+	// controllers are the session addresses for agents.
 	controllers []string
 }
 
 func start(t *testing.T) *fixture {
 	t.Helper()
-	return startWith(t, newSolo)
+	return startWith(t, newSingleReplica)
 }
 
-func startWith(t *testing.T, replicate func(controller.Machine) (controller.Replicator, error)) *fixture {
+func startWith(t *testing.T, replicate func(controller.StateMachine) (controller.Replicator, error)) *fixture {
 	t.Helper()
 	running, err := controller.Start(controller.Config{
 		Group:         1,
@@ -56,7 +56,8 @@
 	return f
 }
 
-// mutation returns the envelope of a change against the last known revision.
+// mutation returns the metadata of a change that expects the last known
+// revision.
 func (f *fixture) mutation() *quartzdockv1.Mutation {
 	f.requests++
 	return &quartzdockv1.Mutation{
@@ -103,13 +104,13 @@
 func backendName(number int) string  { return fmt.Sprint("backend-", number) }
 func agentAddress(number int) string { return fmt.Sprintf("127.0.1.%d:7201", number) }
 
-// agent stands in for an agent: it warms and releases at once.
+// agent is a fake agent that reports shards as warmed and released at once.
 type agent struct {
 	client *subscription.Client
 	holder *ownership.Holder
-	// started is the zero of the clock that the lease refers to.
+	// started is the origin of the clock for the lease.
 	started time.Time
-	// table is the newest in force; the mutex guards it.
+	// table is the newest table in force, guarded by mutex.
 	mutex sync.Mutex
 	table *routing.Table
 }
@@ -123,7 +124,7 @@
 		Controllers: f.controllers, Lease: a.holder, Now: a.now,
 		OnTable: func(table *routing.Table) {
 			<-ready
-			a.follow(table)
+			a.applyTable(table)
 		},
 	})
 	assert.NilError(f.t, err)
@@ -146,7 +147,7 @@
 
 func (a *agent) now() time.Duration { return time.Since(a.started) }
 
-func (a *agent) follow(table *routing.Table) {
+func (a *agent) applyTable(table *routing.Table) {
 	a.mutex.Lock()
 	a.table = table
 	a.mutex.Unlock()
@@ -168,7 +169,7 @@
 	}
 }
 
-// owned counts the shards of each back end.
+// owned returns the number of shards of each back end.
 func (f *fixture) owned() map[string]uint32 {
 	response, err := f.admin.ListBackends(f.t.Context(), connect.NewRequest(&quartzdockv1.ListBackendsRequest{}))
 	assert.NilError(f.t, err)
@@ -192,7 +193,7 @@
 	}, poll.WithDelay(10*time.Millisecond), poll.WithTimeout(10*time.Second))
 }
 
-func TestShardsAreSpreadMovedByDrainAndRecoveredAfterLoss(t *testing.T) {
+func TestShardsAreBalancedDrainedAndRecovered(t *testing.T) {
 	f := start(t)
 	f.createService("wayfinder", 12)
 	agents := make(map[int]*agent)
@@ -213,7 +214,7 @@
 	f.waitOwned(map[string]uint32{"backend-2": 0, "backend-3": 12})
 }
 
-func TestRacingOperatorsAndResend(t *testing.T) {
+func TestConcurrentOperatorConflictsAndResendIsIdempotent(t *testing.T) {
 	f := start(t)
 	ctx := t.Context()
 	request := func(id, author, name string) *connect.Request[quartzdockv1.CreateServiceRequest] {
@@ -241,7 +242,7 @@
 	assertDetail(t, err, connect.CodeAlreadyExists, &reused)
 }
 
-func TestAllFieldViolationsInOneAnswer(t *testing.T) {
+func TestAllFieldViolationsInOneResponse(t *testing.T) {
 	f := start(t)
 	_, err := f.admin.CreateBackend(t.Context(), connect.NewRequest(&quartzdockv1.CreateBackendRequest{
 		Mutation: f.mutation(),
@@ -252,7 +253,7 @@
 	assert.Equal(t, len(found.Violations), 7)
 }
 
-// assertDetail checks an error's code and reads its typed detail.
+// assertDetail checks an error's code and copies its typed detail to into.
 func assertDetail[T any, M interface {
 	*T
 	protoMessage
@@ -269,10 +270,10 @@
 			}
 		}
 	}
-	t.Fatalf("no detail of the wanted type in %v", err)
+	t.Fatalf("no detail of the expected type in %v", err)
 }
 
-func TestChangeIsInForceOnceEveryoneConfirmed(t *testing.T) {
+func TestChangeIsInForceOnceAllSubscribersConfirm(t *testing.T) {
 	f := start(t)
 	f.createService("wayfinder", 4)
 	router := f.startRouter("router-1", f.addr.Sessions)
@@ -294,8 +295,9 @@
 	assert.Equal(t, uint64(router.Table().Revision()), response.Msg.Result.Revision)
 }
 
-// laggingSubscribers names the routers and agents that lag. A controller that
-// has just started is listed too, as one that can't tell.
+// laggingSubscribers returns the names of the lagging routers and agents.
+// Controllers are left out, because one that has just started is also listed as
+// lagging: it does not know its subscribers yet.
 func laggingSubscribers(inForce *quartzdockv1.InForce) []string {
 	var names []string
 	for _, entry := range inForce.Lagging {
@@ -306,9 +308,10 @@
 	return names
 }
 
-// TestSubscriberThatConfirmsNothing names a router that lags, and waits no
-// longer for it than it may serve by older data.
-func TestSubscriberThatConfirmsNothing(t *testing.T) {
+// TestUnresponsiveSubscriberLagsUntilItsDataExpires checks that a router that
+// confirms nothing is listed as lagging, and that the wait for it ends once it
+// may no longer use older routing data.
+func TestUnresponsiveSubscriberLagsUntilItsDataExpires(t *testing.T) {
 	f := start(t)
 	silent, err := transport.Dial(t.Context(), f.addr.Sessions, transport.Options{})
 	assert.NilError(t, err)
--- a/internal/controller/convert.go
+++ b/internal/controller/convert.go
@@ -11,7 +11,8 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// The enumerations of the schema have the numbers of package topology.
+// The numeric values of the schema's enumerations equal those of package
+// topology.
 
 func serviceFromMessage(message *quartzdockv1.Service) topology.Service {
 	service := topology.Service{
@@ -127,7 +128,7 @@
 	}
 }
 
-// backendMessage is called on the control goroutine.
+// backendMessage runs on the control goroutine.
 func (s *adminServer) backendMessage(info *controlstate.BackendInfo) *quartzdockv1.Backend {
 	c := s.controller
 	service, _ := c.state.ServiceByID(info.Service)
@@ -148,14 +149,14 @@
 	}
 }
 
-// backendName returns a back end's name, empty for none; on the control
-// goroutine.
+// backendName returns a back end's name, or "" if there is none. It runs on the
+// control goroutine.
 func (s *adminServer) backendName(id topology.BackendID) string {
 	info, _ := s.controller.state.Backend(id)
 	return info.Name
 }
 
-// shardMessage is called on the control goroutine.
+// shardMessage runs on the control goroutine.
 func (s *adminServer) shardMessage(shard *topology.Shard) *quartzdockv1.Shard {
 	return &quartzdockv1.Shard{
 		ServiceId: uint32(shard.ID.Service),
--- a/internal/controller/findings.go
+++ b/internal/controller/findings.go
@@ -10,11 +10,11 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// findingHeld is how long a finding counts after placement last had it, so that
-// one that comes and goes is told once.
-const findingHeld = time.Minute
+// findingRetention is how long a finding stays active after placement last
+// reported it, so that one that comes and goes is logged once.
+const findingRetention = time.Minute
 
-// findingKey tells findings apart, whatever figures their texts hold.
+// findingKey identifies a finding regardless of the figures in its text.
 type findingKey struct {
 	kind    placement.FindingKind
 	service topology.ServiceID
@@ -22,34 +22,35 @@
 	backend topology.BackendID
 }
 
-// findings tells operators what placement found: a gauge per kind, and a line
-// when a finding comes or is gone. The control goroutine owns it.
+// findings reports what placement found to operators: a gauge per kind, and a
+// log line when a finding appears or clears. It is accessed only on the control
+// goroutine.
 type findings struct {
-	log    *slog.Logger
-	gauges *prometheus.GaugeVec
-	seen   map[findingKey]time.Duration
+	log      *slog.Logger
+	gauges   *prometheus.GaugeVec
+	lastSeen map[findingKey]time.Duration
 }
 
 func newFindings(log *slog.Logger, gauges *prometheus.GaugeVec) *findings {
-	return &findings{log: log, gauges: gauges, seen: make(map[findingKey]time.Duration)}
+	return &findings{log: log, gauges: gauges, lastSeen: make(map[findingKey]time.Duration)}
 }
 
-// update takes the findings of the latest decision.
+// update processes the findings of the latest placement decision.
 func (f *findings) update(found []placement.Finding, now time.Duration) {
 	for _, finding := range found {
 		key := findingKey{finding.Kind, finding.Service, finding.Shard, finding.Backend}
-		if _, known := f.seen[key]; !known {
+		if _, known := f.lastSeen[key]; !known {
 			f.log.Warn("placement finding", "kind", finding.Kind.String(), "service", finding.Service, "text", finding.Text)
 			f.gauges.WithLabelValues(finding.Kind.String()).Inc()
 		}
-		f.seen[key] = now
+		f.lastSeen[key] = now
 	}
-	for key, last := range f.seen {
-		if now-last < findingHeld {
+	for key, last := range f.lastSeen {
+		if now-last < findingRetention {
 			continue
 		}
-		delete(f.seen, key)
-		f.log.Info("placement finding is gone", "kind", key.kind.String(), "service", key.service)
+		delete(f.lastSeen, key)
+		f.log.Info("placement finding cleared", "kind", key.kind.String(), "service", key.service)
 		f.gauges.WithLabelValues(key.kind.String()).Dec()
 	}
 }
--- a/internal/controller/freshness.go
+++ b/internal/controller/freshness.go
@@ -10,23 +10,26 @@
 )
 
 const (
-	wireStopRelying = wire.StopRelyingAfter
-	// barrierTimeout bounds one confirmation.
+	// maxLeaderContact is the age of the last confirmation beyond which the
+	// controller is not ready.
+	maxLeaderContact = wire.StopRelyingAfter
+	// barrierTimeout limits one read barrier.
 	barrierTimeout = time.Second
 )
 
-// freshness guards what is known of the age of this controller's state.
+// freshness records until when this controller's state is confirmed as the
+// newest.
 type freshness struct {
 	mutex   sync.Mutex
-	proof   inforce.Freshness
+	state   inforce.Freshness
 	changed broadcast
 }
 
-// confirm records that all committed before the time at is applied.
+// confirm records that everything committed before time at is applied.
 func (f *freshness) confirm(at time.Duration) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.proof.Confirm(at) {
+	if f.state.Confirm(at) {
 		f.changed.signal()
 	}
 }
@@ -34,16 +37,16 @@
 func (f *freshness) age(now time.Duration) time.Duration {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.proof.Age(now)
+	return f.state.Age(now)
 }
 
 func (f *freshness) confirmedSince(at time.Duration) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.proof.ConfirmedSince(at)
+	return f.state.ConfirmedSince(at)
 }
 
-// wait returns once a moment after the time given is confirmed.
+// wait returns once a time later than after is confirmed.
 func (f *freshness) wait(ctx context.Context, after time.Duration) error {
 	for {
 		changed := f.changed.wait()
@@ -58,16 +61,17 @@
 	}
 }
 
-// leaderContact returns how long ago this controller was last known to have the
-// newest state.
+// leaderContact returns the time since the state was last confirmed as the
+// newest.
 func (c *Controller) leaderContact() time.Duration { return c.freshness.age(c.replica.Now()) }
 
-// confirmFreshness confirms again and again until the context ends.
+// confirmFreshness confirms at every BarrierInterval until the context is
+// cancelled.
 func (c *Controller) confirmFreshness(ctx context.Context) {
 	timer := time.NewTicker(c.config.BarrierInterval)
 	defer timer.Stop()
 	for {
-		c.confirmOnce(ctx)
+		c.confirmFreshnessOnce(ctx)
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -76,20 +80,20 @@
 	}
 }
 
-// confirmOnce reports whether a quorum confirmed, after the call, that all that
-// was committed before it is applied here.
-func (c *Controller) confirmOnce(ctx context.Context) bool {
+// confirmFreshnessOnce reports whether a quorum confirmed, after the call, that
+// everything committed before the call is applied here.
+func (c *Controller) confirmFreshnessOnce(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, barrierTimeout)
 	defer cancel()
-	asked := c.replica.Now()
+	start := c.replica.Now()
 	if c.barrier(ctx) != nil {
 		return false
 	}
-	c.freshness.confirm(asked)
+	c.freshness.confirm(start)
 	return true
 }
 
-// barrier returns once all that was committed before the call is applied here.
+// barrier returns once everything committed before the call is applied here.
 func (c *Controller) barrier(ctx context.Context) error {
 	if c.replica.ReadBarrier(ctx) == nil {
 		return nil
--- a/internal/controller/group_test.go
+++ b/internal/controller/group_test.go
@@ -23,15 +23,16 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// group is three controllers with disks and peers on loopback.
+// group is a group of three controllers on loopback, each with a data folder.
 type group struct {
 	t       *testing.T
 	peers   []replica.Peer
 	dirs    []string
 	members []*controller.Controller
 	addrs   []controller.Addresses
-	// joinedPeer is the peer address of the member that join started.
-	joinedPeer string
+	// joinedPeerAddress is the peer address of the controller that
+	// startJoiningMember started.
+	joinedPeerAddress string
 }
 
 func startGroup(t *testing.T) *group {
@@ -60,11 +61,11 @@
 	return g
 }
 
-// snapshotEntries is so small that the tests' changes fill several snapshots.
+// snapshotEntries is small, so that the tests' changes cause several snapshots.
 const snapshotEntries = 10
 
-// startMember starts a member for the first time, or again at the addresses
-// that it had.
+// startMember starts a member for the first time, or restarts it at its
+// previous addresses.
 func (g *group) startMember(index int, listener *transport.Listener) *controller.Controller {
 	g.t.Helper()
 	addresses := controller.Addresses{Sessions: "127.0.0.1:0", RPC: "127.0.0.1:0"}
@@ -85,14 +86,14 @@
 	return member
 }
 
-// stop ends one member.
+// stop stops one member.
 func (g *group) stop(index int) {
 	g.t.Helper()
 	assert.Check(g.t, g.members[index].Stop())
 	g.members[index] = nil
 }
 
-func (g *group) sessions() []string {
+func (g *group) sessionAddresses() []string {
 	var addresses []string
 	for _, address := range g.addrs {
 		addresses = append(addresses, address.Sessions)
@@ -100,9 +101,9 @@
 	return addresses
 }
 
-// leader waits for a running member that answers changes and returns its index
-// and an operator's client.
-func (g *group) leader() (int, quartzdockv1connect.AdminServiceClient) {
+// waitForLeader waits for a running member that serves as leader and returns
+// its index and an admin RPC client for it.
+func (g *group) waitForLeader() (int, quartzdockv1connect.AdminServiceClient) {
 	g.t.Helper()
 	found := -1
 	var client quartzdockv1connect.AdminServiceClient
@@ -123,10 +124,10 @@
 	return found, client
 }
 
-func TestChangeAndOwnersSurviveTheLeader(t *testing.T) {
+func TestChangesAndOwnershipSurviveLeaderFailover(t *testing.T) {
 	g := startGroup(t)
-	index, admin := g.leader()
-	f := &fixture{t: t, addr: g.addrs[index], admin: admin, controllers: g.sessions()}
+	index, admin := g.waitForLeader()
+	f := &fixture{t: t, addr: g.addrs[index], admin: admin, controllers: g.sessionAddresses()}
 	f.createService("wayfinder", 8)
 	for number := 1; number <= 2; number++ {
 		f.createBackend("wayfinder", number)
@@ -141,7 +142,7 @@
 	assert.NilError(t, err)
 
 	g.stop(index)
-	_, f.admin = g.leader()
+	_, f.admin = g.waitForLeader()
 	again, err := f.admin.UpdateService(t.Context(), connect.NewRequest(resend))
 	assert.NilError(t, err)
 	assert.Assert(t, again.Msg.Result.Repeated)
@@ -156,9 +157,9 @@
 	f.waitOwned(map[string]uint32{"backend-1": 0, "backend-2": 8})
 }
 
-func TestFollowersServeRoutersAndNameTheLeader(t *testing.T) {
+func TestFollowersServeRoutersAndReturnLeaderAddress(t *testing.T) {
 	g := startGroup(t)
-	index, admin := g.leader()
+	index, admin := g.waitForLeader()
 	f := &fixture{t: t, addr: g.addrs[index], admin: admin}
 	f.createService("closures", 4)
 	for other := range g.members {
@@ -184,25 +185,25 @@
 	_, err = client.DeleteService(t.Context(), connect.NewRequest(&quartzdockv1.DeleteServiceRequest{
 		Mutation: f.mutation(), Name: "closures",
 	}))
-	var elsewhere quartzdockv1.NotLeader
-	assertDetail(t, err, connect.CodeUnavailable, &elsewhere)
-	assert.Equal(t, elsewhere.LeaderRpcAddress, g.addrs[index].RPC)
+	var notLeader quartzdockv1.NotLeader
+	assertDetail(t, err, connect.CodeUnavailable, &notLeader)
+	assert.Equal(t, notLeader.LeaderRpcAddress, g.addrs[index].RPC)
 }
 
-// TestNothingIsForgottenOverARestartOfAll stops the whole group after more
-// changes than a snapshot holds. The first request is answered again, and a
-// router that goes through it, and one that starts anew, see no revision that
-// goes back.
-func TestNothingIsForgottenOverARestartOfAll(t *testing.T) {
+// TestStateSurvivesRestartOfAllControllers restarts the whole group after more
+// changes than one snapshot covers. The first request must still be recognized
+// as a repeat, and the revision must not go back for a router that stays
+// connected over the restart nor for one that starts after it.
+func TestStateSurvivesRestartOfAllControllers(t *testing.T) {
 	g := startGroup(t)
-	index, admin := g.leader()
+	index, admin := g.waitForLeader()
 	f := &fixture{t: t, addr: g.addrs[index], admin: admin}
 	f.createService("closures", 4)
 	first := f.revision
 	var mutex sync.Mutex
 	var seen []topology.Revision
 	router, err := subscription.Start(subscription.Config{
-		Group: 1, Role: topology.RoleRouter, Name: "router", Address: "127.0.0.1:8080", Controllers: g.sessions(),
+		Group: 1, Role: topology.RoleRouter, Name: "router", Address: "127.0.0.1:8080", Controllers: g.sessionAddresses(),
 		OnTable: func(table *routing.Table) {
 			mutex.Lock()
 			defer mutex.Unlock()
@@ -223,7 +224,7 @@
 	for index := range g.members {
 		g.members[index] = g.startMember(index, nil)
 	}
-	_, f.admin = g.leader()
+	_, f.admin = g.waitForLeader()
 	again, err := f.admin.CreateService(t.Context(), connect.NewRequest(&quartzdockv1.CreateServiceRequest{
 		Mutation: &quartzdockv1.Mutation{RequestId: "request-1", Author: "anna"},
 		Service:  &quartzdockv1.Service{Name: "closures", InitialShards: 4},
@@ -241,7 +242,7 @@
 
 	f.updateService("closures", 4)
 	waitRevision(t, router, f.revision)
-	for _, address := range g.sessions() {
+	for _, address := range g.sessionAddresses() {
 		fresh := f.startRouter("fresh", address)
 		waitRevision(t, fresh, f.revision)
 	}
@@ -260,8 +261,8 @@
 	}, poll.WithDelay(time.Millisecond), poll.WithTimeout(20*time.Second))
 }
 
-// TestSubscriberThatMissedHundredsOfChangesGetsOneMessage names in its Hello a
-// revision that lies hundreds of changes back.
+// TestSubscriberThatMissedHundredsOfChangesGetsOneMessage connects with a Hello
+// whose revision is 300 changes old.
 func TestSubscriberThatMissedHundredsOfChangesGetsOneMessage(t *testing.T) {
 	f := start(t)
 	f.createService("closures", 1000)
@@ -269,16 +270,17 @@
 	for range 300 {
 		f.updateService("closures", 1000)
 	}
-	missed := f.subscribe(old)
+	missed := f.firstRoutingMessage(old)
 	assert.Assert(t, missed.Delta != nil, "a delta is smaller than 1,000 shards")
 	assert.Equal(t, uint64(missed.Delta.From), old)
 	assert.Equal(t, uint64(missed.Delta.To), f.revision)
 	assert.Equal(t, len(missed.Delta.Services), 1)
-	assert.Assert(t, f.subscribe(0).Snapshot != nil)
+	assert.Assert(t, f.firstRoutingMessage(0).Snapshot != nil)
 }
 
-// subscribe returns the first routing data that a router at a revision gets.
-func (f *fixture) subscribe(applied uint64) wire.FromController {
+// firstRoutingMessage returns the first routing message that a router at
+// revision applied receives.
+func (f *fixture) firstRoutingMessage(applied uint64) wire.FromController {
 	f.t.Helper()
 	conn, err := transport.Dial(f.t.Context(), f.addr.Sessions, transport.Options{})
 	assert.NilError(f.t, err)
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -9,24 +9,25 @@
 )
 
 const (
-	// handOverLimit bounds the transfer of leadership at a planned stop, until
-	// the agents were sent to the new leader.
-	handOverLimit = time.Second
-	// redirectPatience is how long a controller that lost leadership waits to
-	// learn the new leader's address before it sends its agents away without.
-	// Agents give a silent session up after three renewals.
-	redirectPatience = 250 * time.Millisecond
-	// welcomePatience is how long an agent waits at a controller that does not
-	// lead until one does. It is below the agent's wait for Welcome.
-	welcomePatience = 400 * time.Millisecond
-	// leaderPoll is how often a waiting session looks.
-	leaderPoll = 10 * time.Millisecond
+	// leadershipTransferTimeout limits the leadership transfer in Stop, including
+	// the redirection of the agents.
+	leadershipTransferTimeout = time.Second
+	// redirectTimeout is how long a controller that lost leadership waits for the
+	// new leader's address before it redirects its agents without one. Agents
+	// give up a session without answers after three renewals.
+	redirectTimeout = 250 * time.Millisecond
+	// leaderWaitTimeout is how long an agent's handshake waits at a controller
+	// that does not lead until some controller does. It is shorter than the
+	// agent's timeout for Welcome.
+	leaderWaitTimeout = 400 * time.Millisecond
+	// leaderPollInterval is the interval at which waiting goroutines check.
+	leaderPollInterval = 10 * time.Millisecond
 )
 
-// handOver gives leadership to another voter before a planned stop and waits
-// until the agents were sent there, so that their leases don't run out in an
-// election.
-func (c *Controller) handOver() {
+// transferLeadership transfers leadership to another voter before a graceful
+// stop and waits until the agents are redirected there, so that their leases
+// don't expire during an election.
+func (c *Controller) transferLeadership() {
 	status := c.replica.Status()
 	if !c.leads(c.replica.Now()) {
 		return
@@ -35,26 +36,27 @@
 	if target == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), handOverLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), leadershipTransferTimeout)
 	defer cancel()
 	if err := c.replica.TransferLeadership(ctx, target); err != nil {
-		c.log.Warn("leadership not handed over", "to", target, "error", err)
+		c.log.Warn("leadership transfer failed", "to", target, "error", err)
 		return
 	}
-	c.log.Info("leadership handed over", "to", target)
-	c.awaitAgentsGone(ctx)
+	c.log.Info("leadership transferred", "to", target)
+	c.waitAgentsRedirected(ctx)
 }
 
-// awaitAgentsGone waits until no agent has a session here.
-func (c *Controller) awaitAgentsGone(ctx context.Context) {
-	ticker := time.NewTicker(leaderPoll)
+// waitAgentsRedirected waits until no agent has a session here and no
+// redirection is pending.
+func (c *Controller) waitAgentsRedirected(ctx context.Context) {
+	ticker := time.NewTicker(leaderPollInterval)
 	defer ticker.Stop()
 	for {
-		gone := make(chan bool, 1)
-		c.replica.Post(func() { gone <- len(c.agents) == 0 && c.redirectBy == 0 })
+		redirected := make(chan bool, 1)
+		c.replica.Post(func() { redirected <- len(c.agents) == 0 && c.redirectDeadline == 0 })
 		select {
-		case empty := <-gone:
-			if empty {
+		case done := <-redirected:
+			if done {
 				return
 			}
 		case <-ctx.Done():
@@ -68,30 +70,32 @@
 	}
 }
 
-// sendAgentsOn sends the agents of an earlier leadership to the new leader once
-// its address is known, and away without one after redirectPatience.
-func (c *Controller) sendAgentsOn(now time.Duration, status consensus.Status) {
-	if c.redirectBy == 0 {
+// redirectPendingAgents redirects the agents left from an ended leadership once
+// the new leader's address is known, or without an address after
+// redirectTimeout.
+func (c *Controller) redirectPendingAgents(now time.Duration, status consensus.Status) {
+	if c.redirectDeadline == 0 {
 		return
 	}
 	address := c.leaderSessionAddress(status)
-	if address == "" && now < c.redirectBy {
+	if address == "" && now < c.redirectDeadline {
 		return
 	}
-	c.redirectBy = 0
+	c.redirectDeadline = 0
 	c.redirectAgents(address)
 }
 
-// awaitLeader waits until this controller leads or knows which other one does,
-// and returns what it then is. An agent that waits here is back at a leader as
-// soon as there is one, where one that tries again later loses its lease.
-func (s *session) awaitLeader(register func(*wire.Welcome)) (welcome wire.Welcome, open bool) {
+// waitForLeader waits until this controller leads or knows another leader, and
+// returns the Welcome message for that state. An agent that waits here reaches
+// the new leader as soon as there is one; one that had to retry later would
+// lose its lease.
+func (s *session) waitForLeader(register func(*wire.Welcome)) (welcome wire.Welcome, open bool) {
 	c := s.controller
-	deadline := time.Now().Add(welcomePatience)
-	ticker := time.NewTicker(leaderPoll)
+	deadline := time.Now().Add(leaderWaitTimeout)
+	ticker := time.NewTicker(leaderPollInterval)
 	defer ticker.Stop()
 	for {
-		if !s.onControl(func() {
+		if !s.runOnControl(func() {
 			welcome = c.welcome()
 			if welcome.Leader {
 				register(&welcome)
@@ -99,8 +103,8 @@
 		}) {
 			return welcome, false
 		}
-		elsewhere := welcome.LeaderAddress != "" && welcome.LeaderAddress != c.sessionAddress()
-		if welcome.Leader || elsewhere || time.Now().After(deadline) {
+		otherLeads := welcome.LeaderAddress != "" && welcome.LeaderAddress != c.sessionAddress()
+		if welcome.Leader || otherLeads || time.Now().After(deadline) {
 			return welcome, true
 		}
 		select {
--- a/internal/controller/greeting_test.go
+++ b/internal/controller/handshake_test.go
@@ -11,10 +11,10 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// TestSilentConnectionsDoNotKeepOthersOut: greetings take turns, and a peer that
-// connects and says nothing must not hold one. There are more of them than
-// turns, and the router is greeted while they are still open.
-func TestSilentConnectionsDoNotKeepOthersOut(t *testing.T) {
+// TestSilentConnectionsDoNotBlockHandshakes checks that a peer that connects
+// and sends nothing does not occupy a handshake slot: more silent connections
+// than slots are open while a router connects.
+func TestSilentConnectionsDoNotBlockHandshakes(t *testing.T) {
 	const silent = 100
 	f := start(t)
 	options := transport.Options{IdleTimeout: time.Second}
@@ -28,6 +28,6 @@
 	defer conn.Close()
 	assert.NilError(t, conn.Send(wire.ToController{Hello: &wire.Hello{Group: 1, Role: topology.RoleRouter, Name: "router", Probe: true}}))
 	var answer wire.FromController
-	assert.NilError(t, conn.Receive(&answer), "silent peers are given up after 2 s, so they are still open")
+	assert.NilError(t, conn.Receive(&answer), "the silent connections must still be open; they time out after 2 s")
 	assert.Assert(t, answer.Welcome != nil && answer.Welcome.Refusal == "")
 }
--- a/internal/controller/in_force.go
+++ b/internal/controller/in_force.go
@@ -8,14 +8,14 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// inForceRecheck is how often time alone is looked at while waiting: a silent
-// subscriber stops counting without an event.
-const inForceRecheck = 50 * time.Millisecond
+// inForcePollInterval is how often a waiting call checks again. A subscriber
+// stops counting after a period of silence, which causes no event.
+const inForcePollInterval = 50 * time.Millisecond
 
-// waitInForce waits until a revision is in force everywhere or the context
-// ends, and tells how far it came.
+// waitInForce waits until a revision is in force everywhere or the context is
+// done, and returns the progress so far.
 func (c *Controller) waitInForce(ctx context.Context, revision topology.Revision) inforce.Progress {
-	timer := time.NewTicker(inForceRecheck)
+	timer := time.NewTicker(inForcePollInterval)
 	defer timer.Stop()
 	for {
 		changed := c.subscribers.changed.wait()
--- a/internal/controller/cutoff_test.go
+++ b/internal/controller/leader_lease_test.go
@@ -16,56 +16,57 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// fadingReplica is a replicated log whose leader lease can end, as that of a
-// leader that was frozen or cut off and has not noticed.
-type fadingReplica struct {
-	*soloReplica
-	faded atomic.Bool
+// expiringLeaseReplica is a replicated log whose leader lease can be made to
+// expire, as for a leader that was paused or partitioned and has not noticed.
+type expiringLeaseReplica struct {
+	*singleReplica
+	leaseExpired atomic.Bool
 }
 
-func (r *fadingReplica) Status() consensus.Status {
-	status := r.soloReplica.Status()
-	if r.faded.Load() {
+func (r *expiringLeaseReplica) Status() consensus.Status {
+	status := r.singleReplica.Status()
+	if r.leaseExpired.Load() {
 		status.LeaseUntil = 0
 	}
 	return status
 }
 
-func (r *fadingReplica) ReadBarrier(ctx context.Context) error {
-	if r.faded.Load() {
+func (r *expiringLeaseReplica) ReadBarrier(ctx context.Context) error {
+	if r.leaseExpired.Load() {
 		return controller.ErrNotLeader
 	}
-	return r.soloReplica.ReadBarrier(ctx)
+	return r.singleReplica.ReadBarrier(ctx)
 }
 
-// startFading returns a controller and the switch that ends its lease.
-func startFading(t *testing.T) (*fixture, *fadingReplica) {
+// startWithExpiringLease returns a controller and the replica whose lease the
+// test can expire.
+func startWithExpiringLease(t *testing.T) (*fixture, *expiringLeaseReplica) {
 	t.Helper()
-	var replica *fadingReplica
-	f := startWith(t, func(machine controller.Machine) (controller.Replicator, error) {
-		replica = &fadingReplica{}
-		solo, err := newSolo(fading{machine, replica})
-		replica.soloReplica = solo.(*soloReplica)
+	var replica *expiringLeaseReplica
+	f := startWith(t, func(machine controller.StateMachine) (controller.Replicator, error) {
+		replica = &expiringLeaseReplica{}
+		single, err := newSingleReplica(expiringLeaseMachine{machine, replica})
+		replica.singleReplica = single.(*singleReplica)
 		return replica, err
 	})
 	return f, replica
 }
 
-// fading hands on the status of the fading replica.
-type fading struct {
-	controller.Machine
-	replica *fadingReplica
+// expiringLeaseMachine passes the replica's lease state to Tick.
+type expiringLeaseMachine struct {
+	controller.StateMachine
+	replica *expiringLeaseReplica
 }
 
-func (m fading) Tick(now time.Duration, status consensus.Status) {
-	if m.replica.faded.Load() {
+func (m expiringLeaseMachine) Tick(now time.Duration, status consensus.Status) {
+	if m.replica.leaseExpired.Load() {
 		status.LeaseUntil = 0
 	}
-	m.Machine.Tick(now, status)
+	m.StateMachine.Tick(now, status)
 }
 
-func TestLeaderWithoutItsLeaseActsOnNothing(t *testing.T) {
-	f, replica := startFading(t)
+func TestLeaderWithExpiredLeaseRejectsChangesAndMovesNoShard(t *testing.T) {
+	f, replica := startWithExpiringLease(t)
 	f.createService("wayfinder", 4)
 	for number := 1; number <= 2; number++ {
 		f.createBackend("wayfinder", number)
@@ -73,16 +74,16 @@
 	owner, other := f.startAgent(1), f.startAgent(2)
 	f.waitOwned(map[string]uint32{"backend-1": 2, "backend-2": 2})
 
-	replica.faded.Store(true)
+	replica.leaseExpired.Store(true)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if owner.holder.ValidUntil() > 0 && leaseEnded(owner) && leaseEnded(other) {
 			return poll.Success()
 		}
 		return poll.Continue("a lease is still renewed")
 	}, poll.WithDelay(time.Millisecond), poll.WithTimeout(10*time.Second))
-	applied := replica.applied()
+	applied := replica.appliedIndex()
 	time.Sleep(3 * 5 * time.Millisecond) // three ticks, each of which might recover the shards
-	assert.Equal(t, replica.applied(), applied, "it takes no shard from the owners whose leases it let end")
+	assert.Equal(t, replica.appliedIndex(), applied, "no shard may be taken from the owners whose leases expired")
 
 	_, err := f.admin.DeleteService(t.Context(), connect.NewRequest(&quartzdockv1.DeleteServiceRequest{
 		Mutation: f.mutation(), Name: "wayfinder",
@@ -92,7 +93,7 @@
 	assert.NilError(t, err)
 	assert.Assert(t, !read.Msg.Age.Linearizable)
 
-	replica.faded.Store(false)
+	replica.leaseExpired.Store(false)
 	f.waitOwned(map[string]uint32{"backend-1": 2, "backend-2": 2})
 	read, err = f.admin.GetRevision(t.Context(), connect.NewRequest(&quartzdockv1.GetRevisionRequest{}))
 	assert.NilError(t, err)
@@ -101,12 +102,13 @@
 
 func leaseEnded(a *agent) bool { return !a.holder.Valid(a.now()) }
 
-// TestControllerWithoutContactServesNoRouterThatComesBack: the router may have
-// had newer routing data in force before its restart.
-func TestControllerWithoutContactServesNoRouterThatComesBack(t *testing.T) {
-	f, replica := startFading(t)
+// TestControllerWithoutLeaderContactRefusesRestartedRouter: the router may have
+// had newer routing data in force before its restart than this controller
+// knows.
+func TestControllerWithoutLeaderContactRefusesRestartedRouter(t *testing.T) {
+	f, replica := startWithExpiringLease(t)
 	f.createService("wayfinder", 4)
-	replica.faded.Store(true)
+	replica.leaseExpired.Store(true)
 	router := f.startRouter("router-1", f.addr.Sessions)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if router.Statistics().FailedAttempts == 0 {
@@ -115,7 +117,7 @@
 		return poll.Success()
 	}, poll.WithDelay(time.Millisecond), poll.WithTimeout(10*time.Second))
 	assert.Assert(t, router.Table() == nil)
-	replica.faded.Store(false)
+	replica.leaseExpired.Store(false)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if table := router.Table(); table == nil || table.Revision() < topology.Revision(f.revision) {
 			return poll.Continue("no table yet")
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -9,63 +9,64 @@
 	"github.com/quartzdock/quartzdock/internal/inforce"
 )
 
-// Tick implements Machine. It follows the replica's role and, at the leader,
-// proposes the coordinator's next batch.
+// Tick implements StateMachine. It tracks the replica's role and, at the
+// leader, proposes the coordinator's next batch.
 func (c *Controller) Tick(now time.Duration, status consensus.Status) {
 	if c.replica == nil {
 		return
 	}
-	duty := c.leadership.Tick(&status, now)
-	if duty.StepDown {
+	actions := c.leadership.Tick(&status, now)
+	if actions.StepDown {
 		c.stepDown(status)
 	}
-	c.sendAgentsOn(now, status)
-	if duty.Announce {
+	c.redirectPendingAgents(now, status)
+	if actions.Announce {
 		c.announce(status)
 	}
-	if !duty.Act {
+	if !actions.Act {
 		return
 	}
 	command, ok := c.coordinator.Tick(now, time.Now().UnixMilli())
 	c.findings.update(c.coordinator.Findings(), now)
-	c.countDiscounted()
+	c.countDiscountedClaims()
 	if ok {
 		c.proposeBatch(command)
 	}
 }
 
-// countDiscounted adds the claims that were discounted since the last look.
-func (c *Controller) countDiscounted() {
+// countDiscountedClaims adds the claims discounted since the last call to the
+// metric.
+func (c *Controller) countDiscountedClaims() {
 	total := c.coordinator.ClaimsDiscounted()
-	if total > c.discounted {
-		c.metrics.discountedClaims.Add(float64(total - c.discounted))
+	if total > c.claimsCounted {
+		c.metrics.discountedClaims.Add(float64(total - c.claimsCounted))
 	}
-	c.discounted = total
+	c.claimsCounted = total
 }
 
 // announce proposes the controller's own addresses as the first command of its
-// term. Once it is applied, so is everything of earlier terms.
+// term. Once it is applied, all commands of earlier terms are applied too.
 func (c *Controller) announce(status consensus.Status) {
 	self := controlstate.Controller{
 		ID:             status.ID,
 		Incarnation:    status.Incarnation,
 		PeerAddress:    c.replica.PeerAddress(),
 		SessionAddress: c.sessionAddress(),
-		RPCAddress:     c.rpc.Addr().String(),
+		RPCAddress:     c.rpcListener.Addr().String(),
 	}
 	data, err := controlstate.EncodeCommand(controlstate.Command{
 		UnixMilli:          time.Now().UnixMilli(),
 		AnnounceController: &controlstate.AnnounceController{Controller: self, LeaseDuration: c.config.LeaseDuration},
 	})
 	if err != nil {
-		c.log.Error("announcement not encoded", "error", err)
+		c.log.Error("cannot encode controller announcement", "error", err)
 		c.leadership.Refused(status.Term)
 		return
 	}
-	c.replica.ProposeAsync(data, func(_ any, err error) { c.announced(status.Term, err) })
+	c.replica.ProposeAsync(data, func(_ any, err error) { c.announcementDone(status.Term, err) })
 }
 
-func (c *Controller) announced(term uint64, err error) {
+func (c *Controller) announcementDone(term uint64, err error) {
 	if err != nil {
 		c.leadership.Refused(term)
 		return
@@ -76,19 +77,19 @@
 	}
 	c.coordinator.BecomeLeaderAfter(status.EarlierLeasesEnd, c.replica.Now())
 	now := c.now()
-	c.subscribers.edit(func(tracker *inforce.Tracker) { tracker.BecomeLeader(now) })
-	c.metrics.elections.Inc()
-	c.log.Info("leads the group", "term", term, "revision", c.state.Revision())
+	c.subscribers.editTracker(func(tracker *inforce.Tracker) { tracker.BecomeLeader(now) })
+	c.metrics.leaderships.Inc()
+	c.log.Info("became leader", "term", term, "revision", c.state.Revision())
 }
 
-// stepDown ends everything that the leader alone may do.
+// stepDown stops everything that only the leader may do.
 func (c *Controller) stepDown(status consensus.Status) {
-	c.log.Info("no longer leads the group", "new_term", status.Term, "leader", status.Leader)
+	c.log.Info("lost leadership", "new_term", status.Term, "leader", status.Leader)
 	c.coordinator.StepDown()
-	c.findings.update(nil, c.replica.Now()+findingHeld)
-	c.subscribers.edit((*inforce.Tracker).StepDown)
-	c.redirectBy = c.replica.Now() + redirectPatience
-	c.sendAgentsOn(c.replica.Now(), status)
+	c.findings.update(nil, c.replica.Now()+findingRetention)
+	c.subscribers.editTracker((*inforce.Tracker).StepDown)
+	c.redirectDeadline = c.replica.Now() + redirectTimeout
+	c.redirectPendingAgents(c.replica.Now(), status)
 }
 
 func (c *Controller) leaderSessionAddress(status consensus.Status) string {
@@ -110,7 +111,7 @@
 func (c *Controller) proposeBatch(command controlstate.Command) {
 	data, err := controlstate.EncodeCommand(command)
 	if err != nil {
-		c.log.Error("ownership batch not encoded", "error", err)
+		c.log.Error("cannot encode ownership batch", "error", err)
 		c.coordinator.BatchDone(c.replica.Now())
 		return
 	}
@@ -124,8 +125,9 @@
 	})
 }
 
-// batchDone ends a batch unless its outcome is unknown; then leadership is on
-// its way out, and until then nothing that depends on the outcome is done.
+// batchDone completes a batch unless its outcome is unknown. In that case this
+// controller is about to lose leadership, and until then it does nothing that
+// depends on the outcome.
 func (c *Controller) batchDone(result any, err error, proposed time.Duration) {
 	if errors.Is(err, ErrOutcomeUnknown) {
 		c.metrics.failedBatches.Inc()
--- a/internal/controller/lost_disk_test.go
+++ b/internal/controller/lost_disk_test.go
@@ -13,8 +13,9 @@
 
 const lostDiskPage = "../../docs/operators/replace-a-lost-disk.md"
 
-// commandsOf returns the admin commands of an operators' page, in order.
-func commandsOf(t *testing.T, page string) [][]string {
+// adminCommands returns the "quartzdock admin" commands of a documentation
+// page, in order.
+func adminCommands(t *testing.T, page string) [][]string {
 	t.Helper()
 	content, err := os.ReadFile(page)
 	assert.NilError(t, err)
@@ -27,8 +28,8 @@
 	return commands
 }
 
-// withRequestID gives a change an id of its own, as an operator does who sends
-// it again after a lost answer.
+// withRequestID adds a request ID to a command that makes a change, as an
+// operator does who may have to repeat it after a lost response.
 func withRequestID(command []string) []string {
 	if slices.Contains(command, "list") {
 		return command
@@ -36,38 +37,37 @@
 	return append(slices.Clone(command), "--request-id", strings.Join(command[:2], "-"))
 }
 
-// TestOperatorsPageOfALostDisk runs the page's commands as they stand there, for
-// a controller that does not lead and for the one that does. Right after the
-// last of them a second controller is lost.
+// TestOperatorsPageOfALostDisk runs the commands of the operators' page on a
+// lost disk, once for a follower and once for the leader. Right after the last
+// command a second controller is stopped.
 func TestOperatorsPageOfALostDisk(t *testing.T) {
-	for _, leading := range []bool{false, true} {
-		t.Run(fmt.Sprintf("leading=%t", leading), func(t *testing.T) {
+	for _, lostLeader := range []bool{false, true} {
+		t.Run(fmt.Sprintf("leading=%t", lostLeader), func(t *testing.T) {
 			g := startGroup(t)
-			lost, _ := g.leader()
-			if !leading {
+			lost, _ := g.waitForLeader()
+			if !lostLeader {
 				lost = (lost + 1) % 3
 			}
 			o := g.operator()
-			o.run("service", "create", serviceFile)
+			o.mustSucceed("service", "create", serviceFile)
 			g.stop(lost)
-			joined, incarnation := g.join()
+			joined, incarnation := g.startJoiningMember()
 			var last string
 			values := strings.NewReplacer(
-				"INCARNATION", incarnation, "PEER", g.joinedPeer,
+				"INCARNATION", incarnation, "PEER", g.joinedPeerAddress,
 				"SESSION", joined.Sessions, "RPC", joined.RPC, "LOST", fmt.Sprint(g.peers[lost].ID), "NEW", "4",
 			)
-			commands := commandsOf(t, lostDiskPage)
+			commands := adminCommands(t, lostDiskPage)
 			for number, command := range commands {
 				for position := range command {
 					command[position] = values.Replace(command[position])
 				}
 				pattern := ""
 				if number == len(commands)-1 {
-					// A controller that follows may list the members as they
-					// were a tick ago.
+					// A follower may list the members as they were one tick earlier.
 					pattern = `(?m)^4 +[0-9a-f]+ +yes`
 				}
-				last = o.eventually(pattern, withRequestID(command)...)
+				last = o.runUntilMatch(pattern, withRequestID(command)...)
 			}
 			assert.Assert(t, !regexp.MustCompile(fmt.Sprintf(`(?m)^%d +[0-9a-f]+ `, g.peers[lost].ID)).MatchString(last), last)
 
@@ -75,8 +75,8 @@
 			second := (lost + 1) % 3
 			g.stop(second)
 			o = g.operator()
-			o.eventually("wayfinder", "service", "list")
-			o.eventually("accepted", "backend", "create", "wayfinder", backendName(1), "--agent-address", agentAddress(1),
+			o.runUntilMatch("wayfinder", "service", "list")
+			o.runUntilMatch("accepted", "backend", "create", "wayfinder", backendName(1), "--agent-address", agentAddress(1),
 				"--region", "se-west", "--zone", "hall-1", "--slots", "20", "--connections", "100")
 		})
 	}
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -8,7 +8,7 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// Apply implements Machine.
+// Apply implements StateMachine.
 func (c *Controller) Apply(index topology.Revision, data []byte) any {
 	command, err := controlstate.DecodeCommand(data)
 	if err != nil {
@@ -20,15 +20,16 @@
 	if delta.From == delta.To {
 		return result
 	}
-	c.committed(delta.To)
-	c.deltas.Append(delta, c.totals())
+	c.recordCommitted(delta.To)
+	c.deltaLog.Append(delta, c.totals())
 	c.publish()
-	c.follow(&command, delta)
+	c.notifyCoordinator(&command, delta)
 	return result
 }
 
-// follow tells the leader's parts what an applied command changed.
-func (c *Controller) follow(command *controlstate.Command, delta wire.RoutingDelta) {
+// notifyCoordinator tells the coordinator and the agents' sessions what an
+// applied command changed, if this controller leads.
+func (c *Controller) notifyCoordinator(command *controlstate.Command, delta wire.RoutingDelta) {
 	if !c.coordinator.Leading() {
 		return
 	}
@@ -38,19 +39,19 @@
 		return
 	}
 	c.coordinator.ConfigurationChanged(now)
-	c.identifyAgents(now)
+	c.resolveAgentBackends(now)
 }
 
-// committed notes when a revision was applied here.
-func (c *Controller) committed(revision topology.Revision) {
-	c.subscribers.edit(func(tracker *inforce.Tracker) { tracker.Committed(revision, c.now()) })
+// recordCommitted records the time at which a revision was applied here.
+func (c *Controller) recordCommitted(revision topology.Revision) {
+	c.subscribers.editTracker(func(tracker *inforce.Tracker) { tracker.Committed(revision, c.now()) })
 }
 
-// publish makes the newest view visible and wakes all sessions.
+// publish publishes the newest view and wakes all sessions and watchers.
 func (c *Controller) publish() {
-	c.view.Store(c.deltas.View())
-	c.open.wakeAll()
-	c.published.signal()
+	c.view.Store(c.deltaLog.View())
+	c.openSessions.wakeAll()
+	c.viewChanged.signal()
 }
 
 func (c *Controller) totals() distribution.Totals {
@@ -59,19 +60,19 @@
 	return totals
 }
 
-// Snapshot implements Machine.
+// Snapshot implements StateMachine.
 func (c *Controller) Snapshot() ([]byte, error) { return c.state.Encode() }
 
-// Freeze implements Machine.
+// Freeze implements StateMachine.
 func (c *Controller) Freeze() func() ([]byte, error) { return c.state.Freeze() }
 
-// Restore implements Machine.
+// Restore implements StateMachine.
 func (c *Controller) Restore(data []byte) error {
 	if err := c.state.Decode(data); err != nil {
 		return err
 	}
-	c.committed(c.state.Revision())
-	c.deltas.Reset(c.state.Revision())
+	c.recordCommitted(c.state.Revision())
+	c.deltaLog.Reset(c.state.Revision())
 	c.publish()
 	return nil
 }
--- a/internal/controller/machine_list.go
+++ b/internal/controller/machine_list.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// machineListTimeout and machineListBytes bound one reading.
+	// machineListTimeout and machineListBytes limit one request.
 	machineListTimeout = time.Second
 	machineListBytes   = 8 << 20
 )
 
-// machine is one entry of the platform's list.
+// machine is an entry of the platform's machine list.
 type machine struct {
-	// Backend is the name of the back end on the machine.
+	// Backend is the name of the back end that runs on the machine.
 	Backend string `json:"backend"`
 	// State is "live" or "leaving".
 	State string `json:"state"`
@@ -27,8 +27,9 @@
 
 const machineLeaving = "leaving"
 
-// followMachineList reads the platform's list while this controller leads.
-func (c *Controller) followMachineList(ctx context.Context) {
+// pollMachineList polls the platform's machine list while this controller
+// leads.
+func (c *Controller) pollMachineList(ctx context.Context) {
 	if c.config.MachineListURL == "" {
 		return
 	}
@@ -48,7 +49,7 @@
 			c.metrics.failedMachineLists.Inc()
 			continue
 		}
-		c.replica.Post(func() { c.takeMachineList(machines) })
+		c.replica.Post(func() { c.updateMachineList(machines) })
 	}
 }
 
@@ -75,8 +76,9 @@
 	return machines, nil
 }
 
-// takeMachineList tells the coordinator which back ends are leaving.
-func (c *Controller) takeMachineList(machines []machine) {
+// updateMachineList tells the coordinator which back ends run on machines that
+// are about to be removed.
+func (c *Controller) updateMachineList(machines []machine) {
 	leavingNames := make(map[string]bool)
 	for _, entry := range machines {
 		if entry.State == machineLeaving {
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -8,11 +8,11 @@
 const metricsNamespace = "quartzdock"
 const metricsSubsystem = "controller"
 
-// controllerMetrics are the counters of a controller.
+// controllerMetrics holds the metrics of a controller.
 type controllerMetrics struct {
 	applied            prometheus.Counter
 	damagedCommands    prometheus.Counter
-	elections          prometheus.Counter
+	leaderships        prometheus.Counter
 	ownershipChanges   prometheus.Counter
 	failedBatches      prometheus.Counter
 	batchSeconds       prometheus.Histogram
@@ -43,7 +43,7 @@
 		return float64(c.view.Load().Newest())
 	})
 	gauge("sessions", "Open sessions of routers, agents and controllers.", func() float64 {
-		return float64(c.open.count())
+		return float64(c.openSessions.count())
 	})
 	gauge("leader_contact_seconds", "Time since the state was last confirmed as the newest.", func() float64 {
 		if c.replica == nil {
@@ -54,7 +54,7 @@
 	return &controllerMetrics{
 		applied:          counter("commands_applied_total", "Commands of the log that were applied."),
 		damagedCommands:  counter("commands_damaged_total", "Commands of the log that could not be decoded."),
-		elections:        counter("leaderships_total", "Terms in which this controller led the group."),
+		leaderships:      counter("leaderships_total", "Terms in which this controller led the group."),
 		ownershipChanges: counter("ownership_changes_total", "Steps of shards between owners, as proposed here."),
 		failedBatches:    counter("ownership_batches_failed_total", "Ownership batches whose outcome was not known."),
 		batchSeconds: factory.NewHistogram(prometheus.HistogramOpts{
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -13,27 +13,28 @@
 )
 
 const (
-	// relayRetry is the wait after a failed attempt.
-	relayRetry = 100 * time.Millisecond
-	// relayDialTimeout bounds a dial and the greeting.
+	// relayRetryDelay is the delay between two sessions or connection attempts.
+	relayRetryDelay = 100 * time.Millisecond
+	// relayDialTimeout limits the dial and the handshake.
 	relayDialTimeout = 500 * time.Millisecond
-	// maximumLoads bounds the routers' reports that wait for the leader.
-	maximumLoads = 10_000
+	// maxPendingLoads limits the number of load reports that wait to be sent to
+	// the leader.
+	maxPendingLoads = 10_000
 )
 
-var errNoRelay = errors.New("no session with the leader")
+var errNoLeaderSession = errors.New("no session with the leader")
 
-// relay is the session of a controller that follows with the leader. It passes
-// on who has which revision in force and what routers observed, and asks for
-// the newest revision.
+// relay is a follower's session with the leader. It forwards which revision
+// each subscriber has in force and the load that routers observed, and requests
+// the newest committed revision.
 type relay struct {
 	controller *Controller
 
-	mutex    sync.Mutex
-	conn     *transport.Conn
-	loads    map[string]wire.RouterLoad
-	barriers map[uint64]chan wire.BarrierAck
-	token    uint64
+	mutex     sync.Mutex
+	conn      *transport.Conn
+	loads     map[string]wire.RouterLoad
+	barriers  map[uint64]chan wire.BarrierAck
+	lastToken uint64
 }
 
 func newRelay(c *Controller) *relay {
@@ -44,16 +45,17 @@
 	}
 }
 
-// addLoad keeps a router's report for the leader.
+// addLoad queues a router's load report for the leader, replacing an earlier
+// one of the same router. The report is dropped if maxPendingLoads are queued.
 func (r *relay) addLoad(router string, load *wire.RouterLoad) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if len(r.loads) < maximumLoads {
+	if len(r.loads) < maxPendingLoads {
 		r.loads[router] = *load
 	}
 }
 
-func (r *relay) takeLoads() []wire.RouterLoadFrom {
+func (r *relay) drainLoads() []wire.RouterLoadFrom {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	loads := make([]wire.RouterLoadFrom, 0, len(r.loads))
@@ -64,21 +66,22 @@
 	return loads
 }
 
-// run keeps a session with the leader until the context ends.
+// run keeps a session with the leader open until the context is cancelled.
 func (r *relay) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if address := r.leader(ctx); address != "" {
-			r.converse(ctx, address)
+		if address := r.leaderAddress(ctx); address != "" {
+			r.runSession(ctx, address)
 		}
 		select {
-		case <-time.After(relayRetry):
+		case <-time.After(relayRetryDelay):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// leader returns the session address of another controller that leads.
-func (r *relay) leader(ctx context.Context) string {
+// leaderAddress returns the leader's session address, or "" if this controller
+// leads or the address is unknown.
+func (r *relay) leaderAddress(ctx context.Context) string {
 	c := r.controller
 	found := make(chan string, 1)
 	c.replica.Post(func() {
@@ -97,8 +100,8 @@
 	}
 }
 
-// converse runs one session.
-func (r *relay) converse(ctx context.Context, address string) {
+// runSession runs one session until it ends.
+func (r *relay) runSession(ctx context.Context, address string) {
 	dial, cancel := context.WithTimeout(ctx, relayDialTimeout)
 	defer cancel()
 	conn, err := transport.Dial(dial, address, transport.Options{TLS: r.controller.config.LinkTLS})
@@ -108,11 +111,11 @@
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	defer func() { _ = conn.Close() }()
-	if r.greet(conn) != nil {
+	if r.handshake(conn) != nil {
 		return
 	}
-	r.use(conn)
-	defer r.use(nil)
+	r.setConn(conn)
+	defer r.setConn(nil)
 	var sender sync.WaitGroup
 	sender.Go(func() { r.report(conn) })
 	r.receive(conn)
@@ -120,7 +123,7 @@
 	sender.Wait()
 }
 
-func (r *relay) greet(conn *transport.Conn) error {
+func (r *relay) handshake(conn *transport.Conn) error {
 	c := r.controller
 	status := c.replica.Status()
 	conn.SetIdleTimeout(relayDialTimeout)
@@ -139,7 +142,7 @@
 		return err
 	}
 	if answer.Welcome == nil || !answer.Welcome.Leader {
-		return errNoRelay
+		return errNoLeaderSession
 	}
 	conn.SetIdleTimeout(time.Second)
 	return conn.Send(wire.ToController{Member: &wire.Member{
@@ -147,28 +150,29 @@
 		Incarnation:    status.Incarnation,
 		PeerAddress:    c.replica.PeerAddress(),
 		SessionAddress: c.sessionAddress(),
-		RPCAddress:     c.rpc.Addr().String(),
+		RPCAddress:     c.rpcListener.Addr().String(),
 	}})
 }
 
-// use makes a session the one for barriers; nil fails those that wait.
-func (r *relay) use(conn *transport.Conn) {
+// setConn sets the connection for barriers, nil for none. Barriers that wait on
+// the previous one fail.
+func (r *relay) setConn(conn *transport.Conn) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.conn = conn
-	for token, waiting := range r.barriers {
-		waiting <- wire.BarrierAck{Token: token, Failed: true}
+	for token, waiter := range r.barriers {
+		waiter <- wire.BarrierAck{Token: token, Failed: true}
 		delete(r.barriers, token)
 	}
 }
 
-// report sends reports until the connection closes. The first names every
-// subscriber.
+// report sends reports until the connection closes. The first one includes
+// every subscriber, later ones only changes.
 func (r *relay) report(conn *transport.Conn) {
 	all := true
 	for {
 		report := r.controller.subscribers.report(all, r.controller.now())
-		report.Loads = r.takeLoads()
+		report.Loads = r.drainLoads()
 		if conn.Send(wire.ToController{Subscribers: &report}) != nil {
 			return
 		}
@@ -187,41 +191,41 @@
 			return
 		}
 		if message.BarrierAck != nil {
-			r.barrierDone(*message.BarrierAck)
+			r.completeBarrier(*message.BarrierAck)
 		}
 	}
 }
 
-func (r *relay) barrierDone(ack wire.BarrierAck) {
+func (r *relay) completeBarrier(ack wire.BarrierAck) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if waiting, ok := r.barriers[ack.Token]; ok {
-		waiting <- ack
+	if waiter, ok := r.barriers[ack.Token]; ok {
+		waiter <- ack
 		delete(r.barriers, ack.Token)
 	}
 }
 
-// barrier asks the leader for the newest committed revision.
+// barrier requests the newest committed revision from the leader.
 func (r *relay) barrier(ctx context.Context) (topology.Revision, error) {
 	r.mutex.Lock()
 	conn := r.conn
 	if conn == nil {
 		r.mutex.Unlock()
-		return 0, errNoRelay
+		return 0, errNoLeaderSession
 	}
-	r.token++
-	token := r.token
+	r.lastToken++
+	token := r.lastToken
 	answer := make(chan wire.BarrierAck, 1)
 	r.barriers[token] = answer
 	r.mutex.Unlock()
-	defer r.forget(token)
+	defer r.removeBarrier(token)
 	if err := conn.Send(wire.ToController{Barrier: &wire.Barrier{Token: token}}); err != nil {
 		return 0, err
 	}
 	select {
 	case ack := <-answer:
 		if ack.Failed {
-			return 0, errNoRelay
+			return 0, errNoLeaderSession
 		}
 		return ack.Revision, nil
 	case <-ctx.Done():
@@ -229,7 +233,7 @@
 	}
 }
 
-func (r *relay) forget(token uint64) {
+func (r *relay) removeBarrier(token uint64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	delete(r.barriers, token)
--- a/internal/controller/relay_serve.go
+++ b/internal/controller/relay_serve.go
@@ -11,18 +11,18 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// serveController serves the relay of a controller that follows.
+// serveController serves a follower's relay session.
 func (s *session) serveController() {
 	c := s.controller
 	var welcome wire.Welcome
-	if !s.onControl(func() { welcome = c.welcome() }) {
+	if !s.runOnControl(func() { welcome = c.welcome() }) {
 		return
 	}
 	s.outbox.welcome(welcome)
 	var sender sync.WaitGroup
 	sender.Go(func() {
 		defer s.close()
-		s.sendAll()
+		s.sendLoop()
 	})
 	var member topology.ReplicaID
 	for {
@@ -30,24 +30,24 @@
 		if s.conn.Receive(&message) != nil || !welcome.Leader {
 			break
 		}
-		s.receiveRelay(&message, &member)
+		s.handleRelayMessage(&message, &member)
 	}
 	s.close()
 	sender.Wait()
 }
 
-func (s *session) receiveRelay(message *wire.ToController, member *topology.ReplicaID) {
+func (s *session) handleRelayMessage(message *wire.ToController, member *topology.ReplicaID) {
 	c := s.controller
 	switch {
 	case message.Member != nil:
 		*member = message.Member.ID
-		c.replica.Post(func() { c.takeMember(message.Member) })
+		c.replica.Post(func() { c.recordMember(message.Member) })
 	case message.Subscribers != nil:
-		c.subscribers.edit(func(tracker *inforce.Tracker) {
+		c.subscribers.editTracker(func(tracker *inforce.Tracker) {
 			tracker.TakeReport(*member, message.Subscribers, c.now())
 		})
 		for _, load := range message.Subscribers.Loads {
-			c.takeRouterLoad(load.Router, &load.Load)
+			c.recordRouterLoad(load.Router, &load.Load)
 		}
 	case message.Barrier != nil:
 		go s.answerBarrier(message.Barrier.Token)
@@ -65,9 +65,9 @@
 	s.outbox.barrierAck(ack)
 }
 
-// takeMember records the addresses of a member that has others than the state
-// knows; on the control goroutine.
-func (c *Controller) takeMember(member *wire.Member) {
+// recordMember proposes a member's addresses if they differ from those in the
+// state. It runs on the control goroutine.
+func (c *Controller) recordMember(member *wire.Member) {
 	if !c.leads(c.replica.Now()) {
 		return
 	}
@@ -88,7 +88,7 @@
 		AnnounceController: &controlstate.AnnounceController{Controller: announced},
 	})
 	if err != nil {
-		c.log.Error("announcement not encoded", "error", err)
+		c.log.Error("cannot encode controller announcement", "error", err)
 		return
 	}
 	c.replica.ProposeAsync(data, func(any, error) {})
--- a/internal/controller/routing_frames.go
+++ b/internal/controller/routing_frames.go
@@ -10,39 +10,42 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// routingFrames shares encoded routing messages among the sessions that need
-// the same one. A delta, or a snapshot, is merged, filtered and encoded once
-// for all subscribers that are at the same revision and follow the same
-// services; the number of sessions then costs writes alone.
+// routingFrames caches encoded routing messages that several sessions need. A
+// delta or a snapshot is merged, filtered and encoded once for all subscribers
+// that are at the same revision and subscribe to the same services, so that an
+// additional session costs only the write.
 type routingFrames struct {
 	mutex sync.Mutex
-	// newest is the revision to which deltas lead, snapshot that of snapshots.
-	newest    topology.Revision
-	deltas    map[frameKey]*routingFrame
-	snapshot  topology.Revision
-	snapshots map[frameKey]*routingFrame
+	// deltaRevision is the revision to which the cached deltas lead,
+	// snapshotRevision the one of the cached snapshots.
+	deltaRevision    topology.Revision
+	deltas           map[frameKey]*routingFrame
+	snapshotRevision topology.Revision
+	snapshots        map[frameKey]*routingFrame
 }
 
-// frameKey says who can share a frame: from is the subscribers' revision, zero
-// for a snapshot.
+// frameKey identifies the subscribers that can share a frame. from is their
+// current revision, zero for a snapshot.
 type frameKey struct {
 	from     topology.Revision
 	services string
 }
 
-// routingFrame is a message that the first session which needs it prepares.
+// routingFrame is an encoded message. The first session that needs it encodes
+// it.
 type routingFrame struct {
 	once    sync.Once
 	encoded *transport.Encoded
-	// to is the revision to which a delta leads. Empty is set to the delta where
-	// it changes nothing for the services but the revision.
-	to    topology.Revision
-	empty *wire.RoutingDelta
-	found bool
-	err   error
+	// to is the revision to which a delta leads. revisionOnly is the delta itself
+	// if it changes only the revision for the services, otherwise nil. found is
+	// false if a snapshot is needed instead of a delta.
+	to           topology.Revision
+	revisionOnly *wire.RoutingDelta
+	found        bool
+	err          error
 }
 
-// serviceKey makes a list of services comparable.
+// serviceKey returns a list of services as a comparable map key.
 func serviceKey(services []topology.ServiceID) string {
 	key := make([]byte, 0, 4*len(services))
 	for _, id := range services {
@@ -51,8 +54,8 @@
 	return string(key)
 }
 
-// delta returns the message that leads from a revision to the view's newest. It
-// is not found where a snapshot is needed.
+// delta returns the message that leads from a revision to the view's newest.
+// Its found field is false if a snapshot is needed instead.
 func (f *routingFrames) delta(view *distribution.View, from topology.Revision, services []topology.ServiceID) *routingFrame {
 	frame := f.deltaFrame(view.Newest(), frameKey{from, serviceKey(services)})
 	frame.once.Do(func() {
@@ -63,7 +66,7 @@
 		frame.found = true
 		frame.to = delta.To
 		if delta.IsEmpty() {
-			frame.empty = &delta
+			frame.revisionOnly = &delta
 		}
 		frame.encoded, frame.err = transport.Encode(wire.FromController{Delta: &delta})
 	})
@@ -73,18 +76,19 @@
 func (f *routingFrames) deltaFrame(newest topology.Revision, key frameKey) *routingFrame {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if newest < f.newest {
-		return &routingFrame{} // of a view that is no longer the newest
+	if newest < f.deltaRevision {
+		return &routingFrame{} // the view is outdated, so the frame is not cached
 	}
-	if newest > f.newest || f.deltas == nil {
-		f.newest = newest
+	if newest > f.deltaRevision || f.deltas == nil {
+		f.deltaRevision = newest
 		f.deltas = make(map[frameKey]*routingFrame)
 	}
-	return frameOf(f.deltas, key)
+	return getOrCreateFrame(f.deltas, key)
 }
 
-// whole returns the message that holds a snapshot's services.
-func (f *routingFrames) whole(snapshot *wire.RoutingSnapshot, services []topology.ServiceID) (*transport.Encoded, error) {
+// encodedSnapshot returns the encoded message with the part of a snapshot that
+// concerns the services.
+func (f *routingFrames) encodedSnapshot(snapshot *wire.RoutingSnapshot, services []topology.ServiceID) (*transport.Encoded, error) {
 	frame := f.snapshotFrame(snapshot.Revision, frameKey{services: serviceKey(services)})
 	frame.once.Do(func() {
 		filtered := distribution.FilterSnapshot(*snapshot, services)
@@ -96,17 +100,17 @@
 func (f *routingFrames) snapshotFrame(revision topology.Revision, key frameKey) *routingFrame {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if revision < f.snapshot {
+	if revision < f.snapshotRevision {
 		return &routingFrame{}
 	}
-	if revision > f.snapshot || f.snapshots == nil {
-		f.snapshot = revision
+	if revision > f.snapshotRevision || f.snapshots == nil {
+		f.snapshotRevision = revision
 		f.snapshots = make(map[frameKey]*routingFrame)
 	}
-	return frameOf(f.snapshots, key)
+	return getOrCreateFrame(f.snapshots, key)
 }
 
-func frameOf(frames map[frameKey]*routingFrame, key frameKey) *routingFrame {
+func getOrCreateFrame(frames map[frameKey]*routingFrame, key frameKey) *routingFrame {
 	frame, known := frames[key]
 	if !known {
 		frame = &routingFrame{}
--- a/internal/controller/routing_frames_test.go
+++ b/internal/controller/routing_frames_test.go
@@ -19,14 +19,15 @@
 	return log.View()
 }
 
-// TestRoutingIsEncodedOnceForAllWhoNeedTheSame: with a frame for each session a
-// group of a thousand agents lost its leader to the encoding.
-func TestRoutingIsEncodedOnceForAllWhoNeedTheSame(t *testing.T) {
+// TestRoutingDeltaIsEncodedOncePerRevisionAndServices guards against encoding a
+// frame for each session: with 1,000 agents the encoding took so long that the
+// group lost its leader.
+func TestRoutingDeltaIsEncodedOncePerRevisionAndServices(t *testing.T) {
 	var frames routingFrames
 	old, newest := viewTo(5), viewTo(6)
 	first := frames.delta(newest, 3, []topology.ServiceID{1})
 	assert.NilError(t, first.err)
-	assert.Assert(t, first.found && first.empty == nil)
+	assert.Assert(t, first.found && first.revisionOnly == nil)
 	assert.Equal(t, first.to, topology.Revision(6))
 	assert.Assert(t, first.encoded == frames.delta(newest, 3, []topology.ServiceID{1}).encoded)
 	for _, other := range []struct {
@@ -37,24 +38,24 @@
 		assert.NilError(t, frame.err)
 		assert.Assert(t, frame.found && frame.encoded != first.encoded)
 	}
-	assert.Assert(t, frames.delta(newest, 3, []topology.ServiceID{2}).empty != nil, "nothing of service 2 changed")
+	assert.Assert(t, frames.delta(newest, 3, []topology.ServiceID{2}).revisionOnly != nil, "service 2 did not change")
 	late := frames.delta(old, 3, []topology.ServiceID{1})
 	assert.NilError(t, late.err)
-	assert.Equal(t, late.to, topology.Revision(5), "a session that loaded an older view gets what leads to that one")
+	assert.Equal(t, late.to, topology.Revision(5), "a session with an older view gets the delta to that view's revision")
 	assert.Assert(t, !frames.delta(newest, 99, nil).found)
 }
 
-func TestSnapshotsOfOtherRevisionsAreNotShared(t *testing.T) {
+func TestSnapshotsOfDifferentRevisionsAreNotShared(t *testing.T) {
 	var frames routingFrames
 	snapshot := func(revision topology.Revision) *wire.RoutingSnapshot {
 		return &wire.RoutingSnapshot{Revision: revision}
 	}
-	first, err := frames.whole(snapshot(5), nil)
+	first, err := frames.encodedSnapshot(snapshot(5), nil)
 	assert.NilError(t, err)
-	again, _ := frames.whole(snapshot(5), nil)
+	again, _ := frames.encodedSnapshot(snapshot(5), nil)
 	assert.Assert(t, first == again)
-	later, _ := frames.whole(snapshot(6), nil)
+	later, _ := frames.encodedSnapshot(snapshot(6), nil)
 	assert.Assert(t, later != first)
-	old, _ := frames.whole(snapshot(5), nil)
+	old, _ := frames.encodedSnapshot(snapshot(5), nil)
 	assert.Assert(t, old != later)
 }
--- a/internal/controller/rpc_backends.go
+++ b/internal/controller/rpc_backends.go
@@ -10,10 +10,10 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// CreateBackend implements the schema.
+// CreateBackend implements AdminServiceHandler.
 func (s *adminServer) CreateBackend(ctx context.Context, request *connect.Request[quartzdockv1.CreateBackendRequest]) (*connect.Response[quartzdockv1.CreateBackendResponse], error) {
 	message := request.Msg.GetBackend()
-	_, answer, err := s.mutate(ctx, request.Msg.GetMutation(), controlstate.Command{
+	_, result, err := s.mutate(ctx, request.Msg.GetMutation(), controlstate.Command{
 		CreateBackend: &controlstate.CreateBackend{
 			Service: message.GetService(),
 			Backend: backendFromMessage(message),
@@ -23,15 +23,15 @@
 		return nil, err
 	}
 	return connect.NewResponse(&quartzdockv1.CreateBackendResponse{
-		Result:  answer,
-		Backend: s.backendNamed(ctx, message),
+		Result:  result,
+		Backend: s.currentBackend(ctx, message),
 	}), nil
 }
 
-// UpdateBackend implements the schema.
+// UpdateBackend implements AdminServiceHandler.
 func (s *adminServer) UpdateBackend(ctx context.Context, request *connect.Request[quartzdockv1.UpdateBackendRequest]) (*connect.Response[quartzdockv1.UpdateBackendResponse], error) {
 	message := request.Msg.GetBackend()
-	_, answer, err := s.mutate(ctx, request.Msg.GetMutation(), controlstate.Command{
+	_, result, err := s.mutate(ctx, request.Msg.GetMutation(), controlstate.Command{
 		UpdateBackend: &controlstate.UpdateBackend{
 			Service: message.GetService(),
 			Backend: backendFromMessage(message),
@@ -41,16 +41,17 @@
 		return nil, err
 	}
 	return connect.NewResponse(&quartzdockv1.UpdateBackendResponse{
-		Result:  answer,
-		Backend: s.backendNamed(ctx, message),
+		Result:  result,
+		Backend: s.currentBackend(ctx, message),
 	}), nil
 }
 
-// backendNamed returns the back end as it is now, or as asked for in a dry run.
-func (s *adminServer) backendNamed(ctx context.Context, asked *quartzdockv1.Backend) *quartzdockv1.Backend {
-	found := asked
-	_ = s.read(ctx, func() {
-		name := controlstate.BackendName{Service: asked.GetService(), Name: asked.GetName()}
+// currentBackend returns the back end's current state, or the requested one if
+// it does not exist, as after a dry run of its creation.
+func (s *adminServer) currentBackend(ctx context.Context, requested *quartzdockv1.Backend) *quartzdockv1.Backend {
+	found := requested
+	_ = s.readState(ctx, func() {
+		name := controlstate.BackendName{Service: requested.GetService(), Name: requested.GetName()}
 		if info, ok := s.controller.state.BackendByName(name); ok {
 			found = s.backendMessage(&info)
 		}
@@ -58,51 +59,51 @@
 	return found
 }
 
-// DrainBackend implements the schema.
+// DrainBackend implements AdminServiceHandler.
 func (s *adminServer) DrainBackend(ctx context.Context, request *connect.Request[quartzdockv1.DrainBackendRequest]) (*connect.Response[quartzdockv1.DrainBackendResponse], error) {
 	name := controlstate.BackendName{Service: request.Msg.GetService(), Name: request.Msg.GetName()}
-	answer, err := s.setBackendState(ctx, request.Msg.GetMutation(), name, topology.BackendDraining)
+	result, err := s.setBackendState(ctx, request.Msg.GetMutation(), name, topology.BackendDraining)
 	if err != nil {
 		return nil, err
 	}
-	response := &quartzdockv1.DrainBackendResponse{Result: answer}
-	err = s.read(ctx, func() {
+	response := &quartzdockv1.DrainBackendResponse{Result: result}
+	err = s.readState(ctx, func() {
 		info, _ := s.controller.state.BackendByName(name)
 		response.OwnedShards = uint32(info.Owned)
 	})
 	return connect.NewResponse(response), err
 }
 
-// ActivateBackend implements the schema.
+// ActivateBackend implements AdminServiceHandler.
 func (s *adminServer) ActivateBackend(ctx context.Context, request *connect.Request[quartzdockv1.ActivateBackendRequest]) (*connect.Response[quartzdockv1.ActivateBackendResponse], error) {
 	name := controlstate.BackendName{Service: request.Msg.GetService(), Name: request.Msg.GetName()}
-	answer, err := s.setBackendState(ctx, request.Msg.GetMutation(), name, topology.BackendActive)
+	result, err := s.setBackendState(ctx, request.Msg.GetMutation(), name, topology.BackendActive)
 	if err != nil {
 		return nil, err
 	}
-	return connect.NewResponse(&quartzdockv1.ActivateBackendResponse{Result: answer}), nil
+	return connect.NewResponse(&quartzdockv1.ActivateBackendResponse{Result: result}), nil
 }
 
 func (s *adminServer) setBackendState(ctx context.Context, mutation *quartzdockv1.Mutation, name controlstate.BackendName, state topology.BackendState) (*quartzdockv1.MutationResult, error) {
-	_, answer, err := s.mutate(ctx, mutation, controlstate.Command{
+	_, result, err := s.mutate(ctx, mutation, controlstate.Command{
 		SetBackendState: &controlstate.SetBackendState{Backend: name, State: state},
 	})
-	return answer, err
+	return result, err
 }
 
-// RemoveBackend implements the schema.
+// RemoveBackend implements AdminServiceHandler.
 func (s *adminServer) RemoveBackend(ctx context.Context, request *connect.Request[quartzdockv1.RemoveBackendRequest]) (*connect.Response[quartzdockv1.RemoveBackendResponse], error) {
 	name := controlstate.BackendName{Service: request.Msg.GetService(), Name: request.Msg.GetName()}
-	_, answer, err := s.mutate(ctx, request.Msg.GetMutation(), controlstate.Command{
+	_, result, err := s.mutate(ctx, request.Msg.GetMutation(), controlstate.Command{
 		RemoveBackend: &controlstate.RemoveBackend{Backend: name},
 	})
 	if err != nil {
 		return nil, err
 	}
-	return connect.NewResponse(&quartzdockv1.RemoveBackendResponse{Result: answer}), nil
+	return connect.NewResponse(&quartzdockv1.RemoveBackendResponse{Result: result}), nil
 }
 
-// ListBackends implements the schema.
+// ListBackends implements AdminServiceHandler.
 func (s *adminServer) ListBackends(ctx context.Context, request *connect.Request[quartzdockv1.ListBackendsRequest]) (*connect.Response[quartzdockv1.ListBackendsResponse], error) {
 	response := &quartzdockv1.ListBackendsResponse{}
 	wanted := request.Msg.GetService()
--- a/internal/controller/rpc_controllers.go
+++ b/internal/controller/rpc_controllers.go
@@ -12,7 +12,7 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// ListControllers implements the schema.
+// ListControllers implements AdminServiceHandler.
 func (s *adminServer) ListControllers(ctx context.Context, _ *connect.Request[quartzdockv1.ListControllersRequest]) (*connect.Response[quartzdockv1.ListControllersResponse], error) {
 	response := &quartzdockv1.ListControllersResponse{}
 	err := s.readNewest(ctx, func(age *quartzdockv1.ReadAge) {
@@ -50,9 +50,10 @@
 	return message
 }
 
-// AddController implements the schema. The log records the order and gives the
-// identity first; a resend after a lost answer finds it there and only makes
-// sure that the membership has it.
+// AddController implements AdminServiceHandler. The command that assigns the ID
+// is committed first. A request that is repeated after a lost response finds
+// that command in the log and only makes sure that the membership includes the
+// controller.
 func (s *adminServer) AddController(ctx context.Context, request *connect.Request[quartzdockv1.AddControllerRequest]) (*connect.Response[quartzdockv1.AddControllerResponse], error) {
 	incarnation, _ := strconv.ParseUint(request.Msg.GetIncarnation(), 16, 64)
 	added := controlstate.Controller{
@@ -78,7 +79,7 @@
 	return connect.NewResponse(&quartzdockv1.AddControllerResponse{Result: answer, Id: uint64(result.Controller)}), nil
 }
 
-// PromoteController implements the schema.
+// PromoteController implements AdminServiceHandler.
 func (s *adminServer) PromoteController(ctx context.Context, request *connect.Request[quartzdockv1.PromoteControllerRequest]) (*connect.Response[quartzdockv1.PromoteControllerResponse], error) {
 	id := topology.ReplicaID(request.Msg.GetId())
 	_, answer, err := s.mutate(ctx, request.Msg.GetMutation(), controlstate.Command{
@@ -93,7 +94,7 @@
 	return connect.NewResponse(&quartzdockv1.PromoteControllerResponse{Result: answer}), nil
 }
 
-// RemoveController implements the schema.
+// RemoveController implements AdminServiceHandler.
 func (s *adminServer) RemoveController(ctx context.Context, request *connect.Request[quartzdockv1.RemoveControllerRequest]) (*connect.Response[quartzdockv1.RemoveControllerResponse], error) {
 	id := topology.ReplicaID(request.Msg.GetId())
 	_, answer, err := s.mutate(ctx, request.Msg.GetMutation(), controlstate.Command{
@@ -113,11 +114,11 @@
 	return member
 }
 
-// changeMembership makes a change unless the membership shows it already. A
-// promotion is asked for in any case, since it ends only when the new voter
-// durably holds what was committed.
+// changeMembership makes a change unless the membership already includes it. A
+// promotion is always requested, since it completes only when the new voter has
+// durably stored everything that was committed.
 func (s *adminServer) changeMembership(ctx context.Context, change consensus.Change) error {
-	if change.Kind != consensus.Promote && changeDone(s.controller.replica.Status().Membership, change) {
+	if change.Kind != consensus.Promote && changeApplied(s.controller.replica.Status().Membership, change) {
 		return nil
 	}
 	if err := s.controller.replica.ChangeMembership(ctx, change); err != nil {
@@ -126,7 +127,7 @@
 	return nil
 }
 
-func changeDone(membership consensus.Membership, change consensus.Change) bool {
+func changeApplied(membership consensus.Membership, change consensus.Change) bool {
 	member, present := membership.Find(change.Member.ID)
 	switch change.Kind {
 	case consensus.AddLearner:
--- a/internal/controller/rpc_errors.go
+++ b/internal/controller/rpc_errors.go
@@ -11,7 +11,7 @@
 	"github.com/quartzdock/quartzdock/internal/controlstate"
 )
 
-// withDetail returns an error of the schema with its typed detail.
+// withDetail returns an RPC error with a typed detail.
 func withDetail(code connect.Code, cause error, message proto.Message) error {
 	refused := connect.NewError(code, cause)
 	if detail, err := connect.NewErrorDetail(message); err == nil {
@@ -20,7 +20,8 @@
 	return refused
 }
 
-// refusalError turns a refusal of the control state into the schema's.
+// refusalError converts a command that the control state rejected to an RPC
+// error. It returns nil if the command was accepted.
 func refusalError(result *controlstate.Result) error {
 	switch {
 	case result.RevisionConflict != nil:
@@ -43,24 +44,24 @@
 	return nil
 }
 
-func violationsError(found controlstate.FieldViolationsError) error {
+func violationsError(violations controlstate.FieldViolationsError) error {
 	detail := &quartzdockv1.FieldViolations{}
-	for _, violation := range found {
+	for _, violation := range violations {
 		detail.Violations = append(detail.Violations, &quartzdockv1.FieldViolation{
 			Field:       violation.Field,
 			Description: violation.Description,
 		})
 	}
-	return withDetail(connect.CodeInvalidArgument, found, detail)
+	return withDetail(connect.CodeInvalidArgument, violations, detail)
 }
 
-// violation is a single bad field.
-func violation(field, description string) error {
+// fieldViolation returns an error for a single invalid field.
+func fieldViolation(field, description string) error {
 	return violationsError(controlstate.FieldViolationsError{{Field: field, Description: description}})
 }
 
-// proposalError turns a failed proposal into an answer that says whether to
-// send again.
+// proposalError converts the error of a failed proposal to an RPC error, which
+// tells the caller whether to retry.
 func (s *adminServer) proposalError(err error) error {
 	if errors.Is(err, ErrNotLeader) {
 		return s.notLeader()
@@ -68,7 +69,7 @@
 	return connect.NewError(connect.CodeUnavailable, err)
 }
 
-// notLeader names the leader's address for operators.
+// notLeader returns an error with the RPC address of the leader.
 func (s *adminServer) notLeader() error {
 	c := s.controller
 	detail := &quartzdockv1.NotLeader{}
@@ -81,7 +82,8 @@
 	return withDetail(connect.CodeUnavailable, ErrNotLeader, detail)
 }
 
-// membershipError turns a refused membership change into an answer.
+// membershipError converts the error of a failed membership change to an RPC
+// error.
 func membershipError(err error) error {
 	var refused *consensus.ChangeError
 	if errors.As(err, &refused) || errors.Is(err, consensus.ErrNotCaughtUp) {
--- a/internal/controller/rpc_mutate.go
+++ b/internal/controller/rpc_mutate.go
@@ -12,53 +12,55 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// changeTimeout bounds the wait for a quorum.
-const changeTimeout = 10 * time.Second
+// quorumTimeout limits the wait for a quorum.
+const quorumTimeout = 10 * time.Second
 
-// maximumWait bounds how long a call waits for a revision to be in force.
-const maximumWait = time.Minute
+// maxInForceWait limits how long a call may wait for a revision to be in force.
+const maxInForceWait = time.Minute
 
-// mutate makes an operator's change: it checks it against the state that a
-// quorum confirms, and then puts it through the log, which checks it again.
+// mutate makes an operator's change. It checks the command against the state
+// that a quorum has confirmed as the newest, and then proposes it; the command
+// is checked again when it is applied.
 func (s *adminServer) mutate(ctx context.Context, mutation *quartzdockv1.Mutation, command controlstate.Command) (controlstate.Result, *quartzdockv1.MutationResult, error) {
-	var none controlstate.Result
+	var zero controlstate.Result
 	if mutation == nil {
-		return none, nil, violation("mutation", "is missing")
+		return zero, nil, fieldViolation("mutation", "is missing")
 	}
-	if wait := mutation.GetWaitInForce(); wait != nil && (wait.AsDuration() < 0 || wait.AsDuration() > maximumWait) {
-		return none, nil, violation("mutation.wait_in_force", "want 0 to "+maximumWait.String())
+	if wait := mutation.GetWaitInForce(); wait != nil && (wait.AsDuration() < 0 || wait.AsDuration() > maxInForceWait) {
+		return zero, nil, fieldViolation("mutation.wait_in_force", "want 0 to "+maxInForceWait.String())
 	}
 	command.UnixMilli = time.Now().UnixMilli()
 	command.RequestID = mutation.GetRequestId()
 	command.Author = mutation.GetAuthor()
 	command.ExpectedRevision = topology.Revision(mutation.GetExpectedRevision())
 	if err := command.Seal(); err != nil {
-		return none, nil, connect.NewError(connect.CodeInternal, err)
+		return zero, nil, connect.NewError(connect.CodeInternal, err)
 	}
-	checked, err := s.checkFirst(ctx, command)
+	checked, err := s.precheck(ctx, command)
 	if err != nil {
-		return none, nil, err
+		return zero, nil, err
 	}
 	if mutation.GetDryRun() || checked.Repeated {
-		return s.answer(ctx, mutation, checked)
+		return s.mutationResult(ctx, mutation, checked)
 	}
 	result, err := s.propose(ctx, command)
 	if err != nil {
-		return none, nil, err
+		return zero, nil, err
 	}
-	return s.answer(ctx, mutation, result)
+	return s.mutationResult(ctx, mutation, result)
 }
 
-// checkFirst returns what the state would answer. A refusal is an error.
-func (s *adminServer) checkFirst(ctx context.Context, command controlstate.Command) (controlstate.Result, error) {
+// precheck returns the result that the command would have now. A rejected
+// command is returned as an error.
+func (s *adminServer) precheck(ctx context.Context, command controlstate.Command) (controlstate.Result, error) {
 	c := s.controller
-	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, quorumTimeout)
 	defer cancel()
 	if err := c.replica.ReadBarrier(ctx); err != nil {
 		return controlstate.Result{}, s.proposalError(err)
 	}
 	var result controlstate.Result
-	if err := s.read(ctx, func() { result = c.state.Check(command) }); err != nil {
+	if err := s.readState(ctx, func() { result = c.state.Check(command) }); err != nil {
 		return result, err
 	}
 	return result, refusalError(&result)
@@ -69,7 +71,7 @@
 	if err != nil {
 		return controlstate.Result{}, connect.NewError(connect.CodeInternal, err)
 	}
-	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, quorumTimeout)
 	defer cancel()
 	applied, err := s.controller.replica.Propose(ctx, data)
 	if err != nil {
@@ -82,16 +84,17 @@
 	return result, refusalError(&result)
 }
 
-// answer waits, if asked to, until the change is in force everywhere.
-func (s *adminServer) answer(ctx context.Context, mutation *quartzdockv1.Mutation, result controlstate.Result) (controlstate.Result, *quartzdockv1.MutationResult, error) {
-	answer := &quartzdockv1.MutationResult{Revision: uint64(result.Revision), Repeated: result.Repeated}
+// mutationResult returns the result of a change for the caller. If requested,
+// it first waits until the change is in force everywhere.
+func (s *adminServer) mutationResult(ctx context.Context, mutation *quartzdockv1.Mutation, result controlstate.Result) (controlstate.Result, *quartzdockv1.MutationResult, error) {
+	message := &quartzdockv1.MutationResult{Revision: uint64(result.Revision), Repeated: result.Repeated}
 	wait := mutation.GetWaitInForce()
 	if wait == nil || mutation.GetDryRun() {
-		return result, answer, nil
+		return result, message, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait.AsDuration())
 	defer cancel()
-	state := s.controller.waitInForce(ctx, result.Revision)
-	answer.InForce = s.inForceMessage(&state)
-	return result, answer, nil
+	progress := s.controller.waitInForce(ctx, result.Revision)
+	message.InForce = s.inForceMessage(&progress)
+	return result, message, nil
 }
--- a/internal/controller/rpc_revisions.go
+++ b/internal/controller/rpc_revisions.go
@@ -11,13 +11,14 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// readNewest is read after a quorum has confirmed that the state here is the
-// newest. Where none can be reached, the age says how old the state may be.
-func (s *adminServer) readNewest(ctx context.Context, look func(age *quartzdockv1.ReadAge)) error {
+// readNewest is like readState, after a quorum has confirmed that the local
+// state is the newest. If no quorum can be reached, the age tells how old the
+// state may be.
+func (s *adminServer) readNewest(ctx context.Context, view func(age *quartzdockv1.ReadAge)) error {
 	c := s.controller
-	confirmed := c.confirmOnce(ctx)
-	return s.read(ctx, func() {
-		look(&quartzdockv1.ReadAge{
+	confirmed := c.confirmFreshnessOnce(ctx)
+	return s.readState(ctx, func() {
+		view(&quartzdockv1.ReadAge{
 			Revision:      uint64(c.state.Revision()),
 			LeaderContact: durationpb.New(c.leaderContact()),
 			Linearizable:  confirmed,
@@ -25,7 +26,7 @@
 	})
 }
 
-// GetRevision implements the schema.
+// GetRevision implements AdminServiceHandler.
 func (s *adminServer) GetRevision(ctx context.Context, _ *connect.Request[quartzdockv1.GetRevisionRequest]) (*connect.Response[quartzdockv1.GetRevisionResponse], error) {
 	c := s.controller
 	response := &quartzdockv1.GetRevisionResponse{}
@@ -39,8 +40,8 @@
 	return connect.NewResponse(response), err
 }
 
-// ListSubscribers implements the schema. A controller that follows lists its
-// own subscribers only.
+// ListSubscribers implements AdminServiceHandler. A follower lists only its own
+// subscribers.
 func (s *adminServer) ListSubscribers(ctx context.Context, request *connect.Request[quartzdockv1.ListSubscribersRequest]) (*connect.Response[quartzdockv1.ListSubscribersResponse], error) {
 	c := s.controller
 	response := &quartzdockv1.ListSubscribersResponse{}
@@ -49,8 +50,8 @@
 	}
 	now := c.now()
 	for _, entry := range c.subscribers.list(c.replica.Status().ID) {
-		lags := uint64(entry.Applied) < response.Age.Revision
-		if request.Msg.GetLaggingOnly() && !lags {
+		lagging := uint64(entry.Applied) < response.Age.Revision
+		if request.Msg.GetLaggingOnly() && !lagging {
 			continue
 		}
 		response.Subscribers = append(response.Subscribers, subscriberMessage(&entry, now))
@@ -58,11 +59,11 @@
 	return connect.NewResponse(response), nil
 }
 
-// WaitInForce implements the schema. Only the leader knows.
+// WaitInForce implements AdminServiceHandler. Only the leader has the data.
 func (s *adminServer) WaitInForce(ctx context.Context, request *connect.Request[quartzdockv1.WaitInForceRequest]) (*connect.Response[quartzdockv1.WaitInForceResponse], error) {
 	timeout := request.Msg.GetTimeout().AsDuration()
-	if timeout < 0 || timeout > maximumWait {
-		return nil, violation("timeout", "want 0 to "+maximumWait.String())
+	if timeout < 0 || timeout > maxInForceWait {
+		return nil, fieldViolation("timeout", "want 0 to "+maxInForceWait.String())
 	}
 	c := s.controller
 	if err := c.replica.ReadBarrier(ctx); err != nil {
@@ -70,7 +71,7 @@
 	}
 	revision := topology.Revision(request.Msg.GetRevision())
 	if revision > c.view.Load().Newest() {
-		return nil, violation("revision", "is newer than any that was committed")
+		return nil, fieldViolation("revision", "is newer than any that was committed")
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/controller/rpc_server.go
+++ b/internal/controller/rpc_server.go
@@ -13,27 +13,27 @@
 	"github.com/quartzdock/quartzdock/internal/ops"
 )
 
-// maximumCallBytes bounds the message of a call.
-const maximumCallBytes = 1 << 20
+// maxMessageBytes limits the size of a request.
+const maxMessageBytes = 1 << 20
 
-// adminServer answers operators' calls.
+// adminServer implements the admin RPC service for operators.
 type adminServer struct{ controller *Controller }
 
 var _ quartzdockv1connect.AdminServiceHandler = (*adminServer)(nil)
 
-// newRPCServer serves the schema over Connect, gRPC and gRPC-Web. Without TLS
-// it takes HTTP/2 in clear text as well, which gRPC clients need.
+// newRPCServer returns a server for Connect, gRPC and gRPC-Web. Without TLS it
+// also accepts unencrypted HTTP/2, which gRPC clients need.
 func (c *Controller) newRPCServer() *http.Server {
 	router := chi.NewRouter()
 	prefix, handler := quartzdockv1connect.NewAdminServiceHandler(
 		&adminServer{controller: c},
-		connect.WithReadMaxBytes(maximumCallBytes),
+		connect.WithReadMaxBytes(maxMessageBytes),
 		connect.WithInterceptors(connect.UnaryInterceptorFunc(c.countCalls)),
 	)
 	router.Mount(prefix, handler)
-	limits := ops.Limits{WriteTimeout: -1, ReadTimeout: -1, BodyBytes: maximumCallBytes}
+	limits := ops.Limits{WriteTimeout: -1, ReadTimeout: -1, BodyBytes: maxMessageBytes}
 	server := ops.NewHTTPServer(router, limits, c.config.OperatorTLS, c.log)
-	server.BaseContext = func(net.Listener) context.Context { return c.calls }
+	server.BaseContext = func(net.Listener) context.Context { return c.callsContext }
 	server.Protocols = new(http.Protocols)
 	server.Protocols.SetHTTP1(true)
 	server.Protocols.SetHTTP2(true)
@@ -42,8 +42,8 @@
 }
 
 func (c *Controller) serveRPC() {
-	if err := ops.Serve(c.server, c.rpc); err != nil {
-		c.log.Error("RPC listener ended", "error", err)
+	if err := ops.Serve(c.rpcServer, c.rpcListener); err != nil {
+		c.log.Error("RPC server failed", "error", err)
 	}
 }
 
@@ -60,11 +60,12 @@
 	}
 }
 
-// read runs a function over the control state on the control goroutine.
-func (s *adminServer) read(ctx context.Context, look func()) error {
+// readState runs view on the control goroutine, where it may read the control
+// state, and waits for it.
+func (s *adminServer) readState(ctx context.Context, view func()) error {
 	done := make(chan struct{})
 	s.controller.replica.Post(func() {
-		look()
+		view()
 		close(done)
 	})
 	select {
--- a/internal/controller/rpc_services.go
+++ b/internal/controller/rpc_services.go
@@ -10,59 +10,60 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// CreateService implements the schema.
+// CreateService implements AdminServiceHandler.
 func (s *adminServer) CreateService(ctx context.Context, request *connect.Request[quartzdockv1.CreateServiceRequest]) (*connect.Response[quartzdockv1.CreateServiceResponse], error) {
 	service := serviceFromMessage(request.Msg.GetService())
-	_, answer, err := s.mutate(ctx, request.Msg.GetMutation(), controlstate.Command{
+	_, result, err := s.mutate(ctx, request.Msg.GetMutation(), controlstate.Command{
 		CreateService: &controlstate.CreateService{Service: service},
 	})
 	if err != nil {
 		return nil, err
 	}
 	return connect.NewResponse(&quartzdockv1.CreateServiceResponse{
-		Result:  answer,
-		Service: s.serviceNamed(ctx, service),
+		Result:  result,
+		Service: s.currentService(ctx, service),
 	}), nil
 }
 
-// UpdateService implements the schema.
+// UpdateService implements AdminServiceHandler.
 func (s *adminServer) UpdateService(ctx context.Context, request *connect.Request[quartzdockv1.UpdateServiceRequest]) (*connect.Response[quartzdockv1.UpdateServiceResponse], error) {
 	service := serviceFromMessage(request.Msg.GetService())
-	_, answer, err := s.mutate(ctx, request.Msg.GetMutation(), controlstate.Command{
+	_, result, err := s.mutate(ctx, request.Msg.GetMutation(), controlstate.Command{
 		UpdateService: &controlstate.UpdateService{Service: service},
 	})
 	if err != nil {
 		return nil, err
 	}
 	return connect.NewResponse(&quartzdockv1.UpdateServiceResponse{
-		Result:  answer,
-		Service: s.serviceNamed(ctx, service),
+		Result:  result,
+		Service: s.currentService(ctx, service),
 	}), nil
 }
 
-// serviceNamed returns the service as it is now, or as asked for in a dry run.
-func (s *adminServer) serviceNamed(ctx context.Context, asked topology.Service) *quartzdockv1.Service {
-	info := controlstate.ServiceInfo{Service: asked}
-	_ = s.read(ctx, func() {
-		if found, ok := s.controller.state.Service(asked.Name); ok {
+// currentService returns the service's current state, or the requested one if
+// it does not exist, as after a dry run of its creation.
+func (s *adminServer) currentService(ctx context.Context, requested topology.Service) *quartzdockv1.Service {
+	info := controlstate.ServiceInfo{Service: requested}
+	_ = s.readState(ctx, func() {
+		if found, ok := s.controller.state.Service(requested.Name); ok {
 			info = found
 		}
 	})
 	return serviceMessage(&info)
 }
 
-// DeleteService implements the schema.
+// DeleteService implements AdminServiceHandler.
 func (s *adminServer) DeleteService(ctx context.Context, request *connect.Request[quartzdockv1.DeleteServiceRequest]) (*connect.Response[quartzdockv1.DeleteServiceResponse], error) {
-	_, answer, err := s.mutate(ctx, request.Msg.GetMutation(), controlstate.Command{
+	_, result, err := s.mutate(ctx, request.Msg.GetMutation(), controlstate.Command{
 		DeleteService: &controlstate.DeleteService{Name: request.Msg.GetName()},
 	})
 	if err != nil {
 		return nil, err
 	}
-	return connect.NewResponse(&quartzdockv1.DeleteServiceResponse{Result: answer}), nil
+	return connect.NewResponse(&quartzdockv1.DeleteServiceResponse{Result: result}), nil
 }
 
-// ListServices implements the schema.
+// ListServices implements AdminServiceHandler.
 func (s *adminServer) ListServices(ctx context.Context, _ *connect.Request[quartzdockv1.ListServicesRequest]) (*connect.Response[quartzdockv1.ListServicesResponse], error) {
 	response := &quartzdockv1.ListServicesResponse{}
 	err := s.readNewest(ctx, func(age *quartzdockv1.ReadAge) {
--- a/internal/controller/rpc_shards.go
+++ b/internal/controller/rpc_shards.go
@@ -17,22 +17,22 @@
 
 // Page sizes of ListShards.
 const (
-	defaultPage = 1000
-	largestPage = 10_000
+	defaultPageSize = 1000
+	maxPageSize     = 10_000
 )
 
-// ListShards implements the schema.
+// ListShards implements AdminServiceHandler.
 func (s *adminServer) ListShards(ctx context.Context, request *connect.Request[quartzdockv1.ListShardsRequest]) (*connect.Response[quartzdockv1.ListShardsResponse], error) {
-	from, err := startOfPage(request.Msg.GetPageToken())
+	from, err := parsePageToken(request.Msg.GetPageToken())
 	if err != nil {
-		return nil, violation("page_token", "is not from an earlier answer")
+		return nil, fieldViolation("page_token", "is not from an earlier answer")
 	}
 	size := int(request.Msg.GetPageSize())
-	if size > largestPage {
-		return nil, violation("page_size", fmt.Sprintf("%d: at most %d", size, largestPage))
+	if size > maxPageSize {
+		return nil, fieldViolation("page_size", fmt.Sprintf("%d: at most %d", size, maxPageSize))
 	}
 	if size == 0 {
-		size = defaultPage
+		size = defaultPageSize
 	}
 	response := &quartzdockv1.ListShardsResponse{}
 	found := false
@@ -43,12 +43,12 @@
 		s.fillPage(response, info.ID, request.Msg.GetOwner(), from, size)
 	})
 	if err == nil && !found {
-		err = noService(request.Msg.GetService())
+		err = serviceNotFound(request.Msg.GetService())
 	}
 	return connect.NewResponse(response), err
 }
 
-func startOfPage(token string) (topology.KeyHash, error) {
+func parsePageToken(token string) (topology.KeyHash, error) {
 	if token == "" {
 		return 0, nil
 	}
@@ -56,7 +56,7 @@
 	return topology.KeyHash(start), err
 }
 
-// fillPage adds the shards from a position on; the token of the next page is
+// fillPage adds the shards from a position onwards. The next page's token is
 // the start of its first shard.
 func (s *adminServer) fillPage(response *quartzdockv1.ListShardsResponse, service topology.ServiceID, owner string, from topology.KeyHash, size int) {
 	for shard := range s.controller.state.Shards(service) {
@@ -75,11 +75,11 @@
 	}
 }
 
-func noService(name string) error {
+func serviceNotFound(name string) error {
 	return connect.NewError(connect.CodeNotFound, fmt.Errorf("there is no service %q", name))
 }
 
-// ExplainKey implements the schema.
+// ExplainKey implements AdminServiceHandler.
 func (s *adminServer) ExplainKey(ctx context.Context, request *connect.Request[quartzdockv1.ExplainKeyRequest]) (*connect.Response[quartzdockv1.ExplainKeyResponse], error) {
 	position := topology.HashKey(request.Msg.GetKey())
 	response := &quartzdockv1.ExplainKeyResponse{Position: uint64(position)}
@@ -96,17 +96,18 @@
 		response.Shard = s.shardMessage(&shard)
 		response.OwnerLiveKnown = c.coordinator.Leading()
 		response.OwnerLive = c.coordinator.Live(shard.Owner, c.replica.Now())
-		response.Summary = s.summary(&shard, response.OwnerLive)
-		response.History = s.history(shard.ID)
+		response.Summary = s.routingSummary(&shard, response.OwnerLive)
+		response.History = s.shardHistory(shard.ID)
 	})
 	if err == nil && !found {
-		err = noService(request.Msg.GetService())
+		err = serviceNotFound(request.Msg.GetService())
 	}
 	return connect.NewResponse(response), err
 }
 
-// summary says in a sentence where requests of a shard go.
-func (s *adminServer) summary(shard *topology.Shard, ownerLive bool) string {
+// routingSummary describes in one sentence where requests for a shard are
+// routed.
+func (s *adminServer) routingSummary(shard *topology.Shard, ownerLive bool) string {
 	owner, target := s.backendName(shard.Owner), s.backendName(shard.Target)
 	leads := s.controller.coordinator.Leading()
 	switch {
@@ -122,8 +123,8 @@
 	return fmt.Sprintf("Requests go to back end %s.", owner)
 }
 
-// history returns a shard's last changes, newest first.
-func (s *adminServer) history(id topology.ShardID) []*quartzdockv1.ShardChange {
+// shardHistory returns a shard's recent changes, newest first.
+func (s *adminServer) shardHistory(id topology.ShardID) []*quartzdockv1.ShardChange {
 	var result []*quartzdockv1.ShardChange
 	for _, change := range slices.Backward(s.controller.state.History(id)) {
 		result = append(result, &quartzdockv1.ShardChange{
@@ -139,7 +140,7 @@
 	return result
 }
 
-// ExplainService implements the schema. Only the leader knows.
+// ExplainService implements AdminServiceHandler. Only the leader has the data.
 func (s *adminServer) ExplainService(ctx context.Context, request *connect.Request[quartzdockv1.ExplainServiceRequest]) (*connect.Response[quartzdockv1.ExplainServiceResponse], error) {
 	response := &quartzdockv1.ExplainServiceResponse{}
 	found, leads := false, false
@@ -158,7 +159,7 @@
 	case !leads:
 		return nil, s.notLeader()
 	case !found:
-		return nil, noService(request.Msg.GetService())
+		return nil, serviceNotFound(request.Msg.GetService())
 	}
 	return connect.NewResponse(response), nil
 }
@@ -179,14 +180,14 @@
 			From:   s.backendName(shard.Owner),
 			To:     s.backendName(shard.Target),
 			Kind:   kind,
-			Reason: s.reasonOf(shardID),
+			Reason: s.moveReason(shardID),
 		})
 	}
 	return moves
 }
 
-// reasonOf returns why a shard's move was begun.
-func (s *adminServer) reasonOf(id topology.ShardID) string {
+// moveReason returns the reason for which a shard's current move was started.
+func (s *adminServer) moveReason(id topology.ShardID) string {
 	for _, change := range slices.Backward(s.controller.state.History(id)) {
 		if change.Phase == topology.ShardWarming {
 			return change.Reason
@@ -195,7 +196,8 @@
 	return ""
 }
 
-// pendingMoves returns what placement decided last and has not begun.
+// pendingMoves returns the moves of the last placement decision that have not
+// started yet.
 func (s *adminServer) pendingMoves(id topology.ServiceID) []*quartzdockv1.PlannedMove {
 	var moves []*quartzdockv1.PlannedMove
 	for _, move := range s.controller.coordinator.Pending() {
--- a/internal/controller/rpc_shifts.go
+++ b/internal/controller/rpc_shifts.go
@@ -13,7 +13,7 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// MarkLoadShift implements the schema.
+// MarkLoadShift implements AdminServiceHandler.
 func (s *adminServer) MarkLoadShift(ctx context.Context, request *connect.Request[quartzdockv1.MarkLoadShiftRequest]) (*connect.Response[quartzdockv1.MarkLoadShiftResponse], error) {
 	mark := &controlstate.MarkLoadShift{
 		Service:       request.Msg.GetService(),
@@ -29,7 +29,7 @@
 		return nil, err
 	}
 	response := &quartzdockv1.MarkLoadShiftResponse{Result: answer}
-	err = s.read(ctx, func() {
+	err = s.readState(ctx, func() {
 		for _, shift := range s.controller.state.LoadShifts(0) {
 			if shift.ID == result.LoadShift {
 				response.Shift = s.shiftMessage(&shift)
@@ -39,7 +39,7 @@
 	return connect.NewResponse(response), err
 }
 
-// ListLoadShifts implements the schema.
+// ListLoadShifts implements AdminServiceHandler.
 func (s *adminServer) ListLoadShifts(ctx context.Context, request *connect.Request[quartzdockv1.ListLoadShiftsRequest]) (*connect.Response[quartzdockv1.ListLoadShiftsResponse], error) {
 	response := &quartzdockv1.ListLoadShiftsResponse{}
 	found := true
@@ -54,12 +54,13 @@
 		}
 	})
 	if err == nil && !found {
-		err = noService(request.Msg.GetService())
+		err = serviceNotFound(request.Msg.GetService())
 	}
 	return connect.NewResponse(response), err
 }
 
-// shiftMessage returns a shift with the shards that hold its keys now.
+// shiftMessage returns a load shift with the shards that currently hold its
+// keys.
 func (s *adminServer) shiftMessage(shift *controlstate.LoadShift) *quartzdockv1.LoadShift {
 	info, _ := s.controller.state.ServiceByID(shift.Service)
 	message := &quartzdockv1.LoadShift{
--- a/internal/controller/rpc_watch.go
+++ b/internal/controller/rpc_watch.go
@@ -12,13 +12,13 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// Watch implements the schema. A caller that reads slowly gets several changes
-// in one answer.
+// Watch implements AdminServiceHandler. A caller that reads slowly gets several
+// changes in one response.
 func (s *adminServer) Watch(ctx context.Context, request *connect.Request[quartzdockv1.WatchRequest], stream *connect.ServerStream[quartzdockv1.WatchResponse]) error {
 	c := s.controller
 	after := topology.Revision(request.Msg.GetAfterRevision())
 	for {
-		changed := c.published.wait()
+		changed := c.viewChanged.wait()
 		if c.view.Load().Newest() > after {
 			response, err := s.changesAfter(ctx, after, request.Msg.GetService())
 			if err != nil {
@@ -40,32 +40,32 @@
 	}
 }
 
-// changesAfter returns what changed after a revision, or all where that is no
-// longer kept.
+// changesAfter returns the changes after a revision, or a complete snapshot if
+// the log of deltas no longer reaches back to it.
 func (s *adminServer) changesAfter(ctx context.Context, after topology.Revision, service string) (*quartzdockv1.WatchResponse, error) {
 	response := &quartzdockv1.WatchResponse{Time: timestamppb.Now()}
 	found := true
-	err := s.read(ctx, func() {
+	err := s.readState(ctx, func() {
 		var wanted []topology.ServiceID
 		if service != "" {
 			info, ok := s.controller.state.Service(service)
 			found = ok
 			wanted = append(wanted, info.ID)
 		}
-		delta, ok := s.controller.deltas.View().Since(after, wanted...)
+		delta, ok := s.controller.deltaLog.View().Since(after, wanted...)
 		if after == 0 || !ok {
 			response.Snapshot = true
-			delta = snapshotAsDelta(s.controller.state.Routing())
+			delta = deltaFromSnapshot(s.controller.state.Routing())
 		}
-		s.fillWatch(response, distribution.Filter(delta, wanted))
+		s.fillWatchResponse(response, distribution.Filter(delta, wanted))
 	})
 	if err == nil && !found {
-		return nil, noService(service)
+		return nil, serviceNotFound(service)
 	}
 	return response, err
 }
 
-func snapshotAsDelta(snapshot wire.RoutingSnapshot) wire.RoutingDelta {
+func deltaFromSnapshot(snapshot wire.RoutingSnapshot) wire.RoutingDelta {
 	delta := wire.RoutingDelta{To: snapshot.Revision, Backends: snapshot.Backends}
 	for _, routes := range snapshot.Services {
 		delta.Services = append(delta.Services, routes.Service)
@@ -74,7 +74,7 @@
 	return delta
 }
 
-func (s *adminServer) fillWatch(response *quartzdockv1.WatchResponse, delta wire.RoutingDelta) {
+func (s *adminServer) fillWatchResponse(response *quartzdockv1.WatchResponse, delta wire.RoutingDelta) {
 	state := s.controller.state
 	response.Revision = uint64(delta.To)
 	for _, service := range delta.Services {
--- a/internal/controller/session_send.go
+++ b/internal/controller/session_send.go
@@ -9,15 +9,16 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// sessionOutbox holds what waits for a session's sender. Each kind is kept
-// once, the newest: a later answer to a renewal makes an earlier one useless.
-// Routing data are not kept here but taken from the published view.
+// sessionOutbox holds the messages that wait for a session's sender. Only the
+// newest message of each kind is kept, since a later answer to a renewal
+// supersedes an earlier one; barrier answers are all kept. Routing data is not
+// queued here but taken from the published view.
 type sessionOutbox struct {
-	mutex sync.Mutex
-	next  outboxContent
-	wake  chan struct{}
-	// services limits the routing data; routing is false for an agent that is
-	// not known yet and gets none.
+	mutex   sync.Mutex
+	pending outboxContent
+	wake    chan struct{}
+	// services limits the routing data to these services. routing is false while
+	// an agent's back end is unknown; it gets no routing data then.
 	services []topology.ServiceID
 	routing  bool
 }
@@ -27,10 +28,11 @@
 	renewAck *wire.RenewAck
 	redirect *wire.Redirect
 	barriers []wire.BarrierAck
-	// ping is the newest question of a router.
+	// ping is a router's newest unanswered ping.
 	ping *wire.Ping
-	// beside is an empty delta that goes with renewAck.
-	beside *wire.RoutingDelta
+	// emptyDelta is a delta without changes that is sent in the same message as
+	// renewAck.
+	emptyDelta *wire.RoutingDelta
 }
 
 func (o *sessionOutbox) signal() {
@@ -40,35 +42,35 @@
 	}
 }
 
-func (o *sessionOutbox) change(edit func(next *outboxContent)) {
+func (o *sessionOutbox) update(edit func(pending *outboxContent)) {
 	o.mutex.Lock()
-	edit(&o.next)
+	edit(&o.pending)
 	o.mutex.Unlock()
 	o.signal()
 }
 
 func (o *sessionOutbox) welcome(welcome wire.Welcome) {
-	o.change(func(next *outboxContent) { next.welcome = &welcome })
+	o.update(func(pending *outboxContent) { pending.welcome = &welcome })
 }
 
 func (o *sessionOutbox) renewAck(ack wire.RenewAck) {
-	o.change(func(next *outboxContent) { next.renewAck = &ack })
+	o.update(func(pending *outboxContent) { pending.renewAck = &ack })
 }
 
 func (o *sessionOutbox) redirect(address string) {
-	o.change(func(next *outboxContent) { next.redirect = &wire.Redirect{LeaderAddress: address} })
+	o.update(func(pending *outboxContent) { pending.redirect = &wire.Redirect{LeaderAddress: address} })
 }
 
 func (o *sessionOutbox) ping(ping wire.Ping) {
-	o.change(func(next *outboxContent) { next.ping = &ping })
+	o.update(func(pending *outboxContent) { pending.ping = &ping })
 }
 
 func (o *sessionOutbox) barrierAck(ack wire.BarrierAck) {
-	o.change(func(next *outboxContent) { next.barriers = append(next.barriers, ack) })
+	o.update(func(pending *outboxContent) { pending.barriers = append(pending.barriers, ack) })
 }
 
-// route sets which routing data the session gets.
-func (o *sessionOutbox) route(services []topology.ServiceID) {
+// setRouting sets the services whose routing data the session gets.
+func (o *sessionOutbox) setRouting(services []topology.ServiceID) {
 	o.mutex.Lock()
 	o.services = services
 	o.routing = true
@@ -80,13 +82,13 @@
 func (o *sessionOutbox) take() (content outboxContent, services []topology.ServiceID, routing bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	content = o.next
-	o.next = outboxContent{}
+	content = o.pending
+	o.pending = outboxContent{}
 	return content, o.services, o.routing
 }
 
-// sendAll sends until the session ends.
-func (s *session) sendAll() {
+// sendLoop sends messages until the session ends.
+func (s *session) sendLoop() {
 	interval := s.controller.config.AliveInterval
 	alive := time.NewTimer(interval)
 	defer alive.Stop()
@@ -94,8 +96,8 @@
 	for {
 		content, services, routing := s.outbox.take()
 		update := s.nextUpdate(services, routing)
-		if update.onlyRevision() {
-			update = s.hold(update, &content, due)
+		if update.isRevisionOnly() {
+			update = s.piggyback(update, &content, due)
 		}
 		sent, err := s.sendContent(content)
 		if err != nil {
@@ -125,9 +127,10 @@
 	}
 }
 
-// alive reports the newest revision here and how old that knowledge is, as the
-// answer to a ping if there is one. The age is read first: a revision that
-// comes in between only makes it newer.
+// alive returns a message with the newest revision here and the time since it
+// was last confirmed as the newest. It answers the ping if there is one. The
+// age is read first: a revision that is applied in between only makes the state
+// newer than the age says.
 func (s *session) alive(ping *wire.Ping) *wire.Alive {
 	contact := s.controller.leaderContact()
 	message := &wire.Alive{Revision: s.controller.view.Load().Newest(), LeaderContact: contact}
@@ -144,7 +147,7 @@
 		messages = append(messages, wire.FromController{Welcome: content.welcome})
 	}
 	if content.renewAck != nil {
-		messages = append(messages, wire.FromController{RenewAck: content.renewAck, Delta: content.beside})
+		messages = append(messages, wire.FromController{RenewAck: content.renewAck, Delta: content.emptyDelta})
 	}
 	for index := range content.barriers {
 		messages = append(messages, wire.FromController{BarrierAck: &content.barriers[index]})
@@ -161,38 +164,41 @@
 }
 
 // routingUpdate is what brings a subscriber to the newest revision: a delta, or
-// a snapshot of a revision or a later one. The zero value is nothing.
+// a snapshot at a given revision or a later one. The zero value means no
+// update.
 type routingUpdate struct {
 	delta    *routingFrame
 	snapshot topology.Revision
 }
 
-// onlyRevision reports whether nothing changes for the subscriber's services.
-func (u routingUpdate) onlyRevision() bool { return u.delta != nil && u.delta.empty != nil }
+// isRevisionOnly reports whether nothing but the revision changes for the
+// subscriber's services.
+func (u routingUpdate) isRevisionOnly() bool { return u.delta != nil && u.delta.revisionOnly != nil }
 
-// nextUpdate returns what the subscriber needs now.
+// nextUpdate returns the update that the subscriber needs now.
 func (s *session) nextUpdate(services []topology.ServiceID, routing bool) routingUpdate {
 	view := s.controller.view.Load()
-	if !routing || view.Newest() <= s.sent {
+	if !routing || view.Newest() <= s.sentRevision {
 		return routingUpdate{}
 	}
-	if s.sent != 0 {
-		if frame := s.controller.frames.delta(view, s.sent, services); frame.found {
+	if s.sentRevision != 0 {
+		if frame := s.controller.frames.delta(view, s.sentRevision, services); frame.found {
 			return routingUpdate{delta: frame}
 		}
 	}
 	return routingUpdate{snapshot: view.Newest()}
 }
 
-// hold puts an update that changes only the revision beside an answer to a
-// renewal, or keeps it until something else is sent. It returns what is to be
-// sent by itself. A router gets it before the answer to its ping, which else
-// would prove nothing.
-func (s *session) hold(update routingUpdate, content *outboxContent, due bool) routingUpdate {
+// piggyback adds an update that changes only the revision to a renewal answer,
+// or defers it until another message is due. It returns what has to be sent
+// separately. A router gets the update before the answer to its ping; otherwise
+// the answer would name a revision that the router does not have, and would not
+// confirm its routing data.
+func (s *session) piggyback(update routingUpdate, content *outboxContent, due bool) routingUpdate {
 	switch {
 	case content.renewAck != nil:
-		content.beside = update.delta.empty
-		s.sent = update.delta.to
+		content.emptyDelta = update.delta.revisionOnly
+		s.sentRevision = update.delta.to
 		return routingUpdate{}
 	case content.ping == nil && !due:
 		return routingUpdate{}
@@ -206,7 +212,7 @@
 		if update.delta.err != nil {
 			return true, update.delta.err
 		}
-		s.sent = update.delta.to
+		s.sentRevision = update.delta.to
 		s.controller.metrics.deltas.Inc()
 		return true, s.conn.SendEncoded(update.delta.encoded)
 	case update.snapshot != 0:
@@ -216,29 +222,30 @@
 }
 
 func (s *session) sendSnapshot(services []topology.ServiceID, atLeast topology.Revision) error {
-	snapshot, err := s.controller.snapshotSince(s.closed, atLeast)
+	snapshot, err := s.controller.snapshotAtLeast(s.closed, atLeast)
 	if err != nil {
 		return err
 	}
-	frame, err := s.controller.frames.whole(snapshot, services)
+	frame, err := s.controller.frames.encodedSnapshot(snapshot, services)
 	if err != nil {
 		return err
 	}
-	s.sent = snapshot.Revision
+	s.sentRevision = snapshot.Revision
 	s.controller.metrics.snapshots.Inc()
 	return s.conn.SendEncoded(frame)
 }
 
 // snapshotCache keeps the last routing snapshot, so that many subscribers that
-// come at once share one.
+// connect at the same time share one.
 type snapshotCache struct {
 	mutex sync.Mutex
 	last  *wire.RoutingSnapshot
 }
 
-// snapshotSince returns a routing snapshot at a revision or a later one. A
-// cached one that the published deltas lead on from will do as well.
-func (c *Controller) snapshotSince(cancel <-chan struct{}, atLeast topology.Revision) (*wire.RoutingSnapshot, error) {
+// snapshotAtLeast returns a routing snapshot at revision atLeast or later. A
+// cached older one is also used if the published deltas lead from it to the
+// newest revision.
+func (c *Controller) snapshotAtLeast(cancel <-chan struct{}, atLeast topology.Revision) (*wire.RoutingSnapshot, error) {
 	c.snapshots.mutex.Lock()
 	defer c.snapshots.mutex.Unlock()
 	if cached := c.snapshots.last; cached != nil {
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -12,20 +12,21 @@
 )
 
 const (
-	// helloTimeout bounds the wait for Hello, and for the freshness that a
-	// router's session needs.
+	// helloTimeout limits the wait for Hello and, in a router's session, for the
+	// confirmation that the state is the newest.
 	helloTimeout = 2 * time.Second
-	// sessionIdle ends a session whose subscriber sends nothing: agents renew
-	// and routers report far more often.
-	sessionIdle = 15 * time.Second
-	// greetingsAtOnce bounds the greetings in progress. The first message of a
-	// session costs about a millisecond, as gob prepares its types anew; a
-	// thousand agents that come at once after an election would keep the control
-	// goroutine from the processor until the group elects another leader.
-	greetingsAtOnce = 16
+	// sessionIdleTimeout closes a session whose subscriber sends nothing. Agents
+	// renew and routers report far more often.
+	sessionIdleTimeout = 15 * time.Second
+	// maxConcurrentHandshakes limits the number of handshakes in progress.
+	// Decoding the first message of a session takes about 1 ms, because gob
+	// compiles its type information anew. A thousand agents that reconnect at
+	// once after an election would starve the control goroutine of CPU time until
+	// the group elects another leader.
+	maxConcurrentHandshakes = 16
 )
 
-// session is one open session.
+// session is an open session of a router, an agent or a follower.
 type session struct {
 	controller *Controller
 	conn       *transport.Conn
@@ -35,10 +36,11 @@
 	closed     chan struct{}
 	closeOnce  sync.Once
 
-	// backend belongs to the control goroutine.
+	// backend is accessed only on the control goroutine.
 	backend topology.BackendID
-	// sent belongs to the sending goroutine.
-	sent topology.Revision
+	// sentRevision is the revision that was sent last. It is accessed only on the
+	// sending goroutine.
+	sentRevision topology.Revision
 }
 
 func (s *session) close() {
@@ -53,10 +55,10 @@
 	mutex   sync.Mutex
 	members map[*session]struct{}
 	stopped bool
-	running sync.WaitGroup
+	active  sync.WaitGroup
 }
 
-// add registers a session; it reports false once the controller stops.
+// add registers a session. It returns false if the controller is stopping.
 func (set *sessionSet) add(s *session) bool {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
@@ -67,7 +69,7 @@
 		set.members = make(map[*session]struct{})
 	}
 	set.members[s] = struct{}{}
-	set.running.Add(1)
+	set.active.Add(1)
 	return true
 }
 
@@ -75,7 +77,7 @@
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
 	delete(set.members, s)
-	set.running.Done()
+	set.active.Done()
 }
 
 func (set *sessionSet) wakeAll() {
@@ -101,18 +103,18 @@
 	return len(set.members)
 }
 
-func (set *sessionSet) wait() { set.running.Wait() }
+func (set *sessionSet) wait() { set.active.Wait() }
 
-// acceptSessions accepts until the listener closes.
+// acceptSessions accepts connections until the listener is closed.
 func (c *Controller) acceptSessions() {
 	for {
-		conn, err := c.sessions.Accept()
+		conn, err := c.sessionListener.Accept()
 		if err != nil {
 			return
 		}
 		s := &session{controller: c, conn: conn, closed: make(chan struct{})}
 		s.outbox.wake = make(chan struct{}, 1)
-		if !c.open.add(s) {
+		if !c.openSessions.add(s) {
 			_ = conn.Close()
 			return
 		}
@@ -120,9 +122,9 @@
 	}
 }
 
-// run greets and serves one session.
+// run performs the handshake and serves the session.
 func (s *session) run() {
-	defer s.controller.open.remove(s)
+	defer s.controller.openSessions.remove(s)
 	defer s.close()
 	s.conn.SetIdleTimeout(helloTimeout)
 	first, err := s.receiveHello()
@@ -132,16 +134,16 @@
 	}
 	s.hello = *first.Hello
 	s.key = inforce.Key{Role: s.hello.Role, Name: s.hello.Name, Address: s.hello.Address}
-	if reason := s.refusal(); reason != "" {
+	if reason := s.refusalReason(); reason != "" {
 		s.controller.metrics.refusedSessions.Inc()
 		_ = s.conn.Send(wire.FromController{Welcome: &wire.Welcome{Refusal: reason}})
 		return
 	}
-	s.sent = s.hello.Applied
-	s.conn.SetIdleTimeout(sessionIdle)
+	s.sentRevision = s.hello.Applied
+	s.conn.SetIdleTimeout(sessionIdleTimeout)
 	switch {
 	case s.hello.Probe:
-		s.probe()
+		s.answerProbe()
 	case s.hello.Role == topology.RoleAgent:
 		s.serveAgent()
 	case s.hello.Role == topology.RoleController:
@@ -151,25 +153,25 @@
 	}
 }
 
-// receiveHello takes its turn among greetings, once there is something to
-// receive: a silent peer takes none.
+// receiveHello receives the first message. It acquires a handshake slot only
+// once there is data to read, so that a silent peer does not occupy one.
 func (s *session) receiveHello() (first wire.ToController, err error) {
 	if err := s.conn.Await(); err != nil {
 		return first, err
 	}
-	turns := s.controller.greetings
+	slots := s.controller.handshakeSlots
 	select {
-	case turns <- struct{}{}:
+	case slots <- struct{}{}:
 	case <-s.closed:
 		return first, errStopping
 	}
-	defer func() { <-turns }()
+	defer func() { <-slots }()
 	err = s.conn.Receive(&first)
 	return first, err
 }
 
-// refusal returns why the session is not served, or nothing.
-func (s *session) refusal() string {
+// refusalReason returns why the session is rejected, or "" if it is accepted.
+func (s *session) refusalReason() string {
 	switch {
 	case s.hello.Group != s.controller.config.Group:
 		return "this controller belongs to another group"
@@ -181,15 +183,15 @@
 	return ""
 }
 
-func (s *session) probe() {
+func (s *session) answerProbe() {
 	welcome := wire.Welcome{}
-	s.onControl(func() { welcome = s.controller.welcome() })
+	s.runOnControl(func() { welcome = s.controller.welcome() })
 	_ = s.conn.Send(wire.FromController{Welcome: &welcome})
 }
 
-// onControl runs a function on the control goroutine and waits for it. It
-// reports false where the session ended first.
-func (s *session) onControl(event func()) bool {
+// runOnControl runs event on the control goroutine and waits for it. It returns
+// false if the session ended first.
+func (s *session) runOnControl(event func()) bool {
 	done := make(chan struct{})
 	s.controller.replica.Post(func() {
 		event()
@@ -203,7 +205,8 @@
 	}
 }
 
-// welcome says what the controller is; on the control goroutine.
+// welcome returns the Welcome message for the controller's current role. It
+// runs on the control goroutine.
 func (c *Controller) welcome() wire.Welcome {
 	status := c.replica.Status()
 	return wire.Welcome{
@@ -214,9 +217,9 @@
 	}
 }
 
-// serveRouter serves a router by any controller that has contact with the
-// leader. It first confirms that its state is the newest, so that a router that
-// comes back never gets older routing data than were in force.
+// serveRouter serves a router at any controller that is in contact with the
+// leader. It first confirms that the local state is the newest, so that a
+// router that reconnects never gets older routing data than it had in force.
 func (s *session) serveRouter() {
 	c := s.controller
 	ctx, cancel := context.WithTimeout(context.Background(), helloTimeout)
@@ -226,66 +229,66 @@
 		return
 	}
 	var welcome wire.Welcome
-	if !s.onControl(func() { welcome = c.welcome() }) {
+	if !s.runOnControl(func() { welcome = c.welcome() }) {
 		return
 	}
 	s.outbox.welcome(welcome)
-	s.outbox.route(s.hello.Services)
-	s.converse()
+	s.outbox.setRouting(s.hello.Services)
+	s.exchangeMessages()
 }
 
-// converse sends and receives until the session ends.
-func (s *session) converse() {
+// exchangeMessages sends and receives until the session ends.
+func (s *session) exchangeMessages() {
 	c := s.controller
-	c.subscribers.edit(func(tracker *inforce.Tracker) {
+	c.subscribers.editTracker(func(tracker *inforce.Tracker) {
 		tracker.Connected(s.key, &s.hello, c.now())
 	})
-	defer c.subscribers.edit(func(tracker *inforce.Tracker) {
+	defer c.subscribers.editTracker(func(tracker *inforce.Tracker) {
 		tracker.Disconnected(s.key, s.hello.Boot, c.now())
 	})
 	var sender sync.WaitGroup
 	sender.Go(func() {
 		defer s.close()
-		s.sendAll()
+		s.sendLoop()
 	})
-	s.receiveAll()
+	s.receiveLoop()
 	s.close()
 	sender.Wait()
 }
 
-func (s *session) receiveAll() {
+func (s *session) receiveLoop() {
 	for {
 		var message wire.ToController
 		if err := s.conn.Receive(&message); err != nil {
 			return
 		}
-		s.receive(&message)
+		s.handleMessage(&message)
 	}
 }
 
-func (s *session) receive(message *wire.ToController) {
+func (s *session) handleMessage(message *wire.ToController) {
 	c := s.controller
 	switch {
 	case message.Renew != nil:
-		s.confirmed(message.Renew.Applied)
+		s.recordApplied(message.Renew.Applied)
 		c.replica.Post(func() { s.renew(message.Renew) })
 	case message.Applied != nil:
-		s.confirmed(message.Applied.Revision)
+		s.recordApplied(message.Applied.Revision)
 	case message.Warmed != nil:
 		c.replica.Post(func() { c.coordinator.Warmed(s.backend, message.Warmed) })
 	case message.Released != nil:
 		c.replica.Post(func() { c.coordinator.Released(s.backend, message.Released) })
 	case message.Ping != nil:
-		c.subscribers.heard(s.key, s.hello.Boot, c.now())
+		c.subscribers.setContact(s.key, s.hello.Boot, c.now())
 		s.outbox.ping(*message.Ping)
 	case message.RouterLoad != nil:
-		c.subscribers.heard(s.key, s.hello.Boot, c.now())
-		c.takeRouterLoad(s.hello.Name, message.RouterLoad)
+		c.subscribers.setContact(s.key, s.hello.Boot, c.now())
+		c.recordRouterLoad(s.hello.Name, message.RouterLoad)
 	}
 }
 
-// confirmed notes which revision the subscriber has in force.
-func (s *session) confirmed(revision topology.Revision) {
+// recordApplied records which revision the subscriber has in force.
+func (s *session) recordApplied(revision topology.Revision) {
 	c := s.controller
-	c.subscribers.applied(s.key, s.hello.Boot, revision, c.now())
+	c.subscribers.setApplied(s.key, s.hello.Boot, revision, c.now())
 }
--- a/internal/controller/solo_test.go
+++ b/internal/controller/single_replica_test.go
@@ -10,32 +10,32 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// soloReplica is a replicated log without peers or disk: every command is
+// singleReplica is a replicated log without peers or a disk: every command is
 // committed at once.
-type soloReplica struct {
-	machine controller.Machine
+type singleReplica struct {
+	machine controller.StateMachine
 	start   time.Time
 	events  chan func()
 	done    chan struct{}
 	stop    sync.Once
-	ended   sync.WaitGroup
+	running sync.WaitGroup
 
-	// index belongs to the control goroutine.
+	// index is accessed only on the control goroutine.
 	index topology.Revision
 }
 
-func newSolo(machine controller.Machine) (controller.Replicator, error) {
-	r := &soloReplica{
+func newSingleReplica(machine controller.StateMachine) (controller.Replicator, error) {
+	r := &singleReplica{
 		machine: machine,
 		start:   time.Now(),
 		events:  make(chan func(), 1024),
 		done:    make(chan struct{}),
 	}
-	r.ended.Go(r.run)
+	r.running.Go(r.run)
 	return r, nil
 }
 
-func (r *soloReplica) run() {
+func (r *singleReplica) run() {
 	ticks := time.NewTicker(5 * time.Millisecond)
 	defer ticks.Stop()
 	for {
@@ -50,16 +50,16 @@
 	}
 }
 
-func (r *soloReplica) Now() time.Duration { return time.Since(r.start) }
+func (r *singleReplica) Now() time.Duration { return time.Since(r.start) }
 
-func (r *soloReplica) Post(event func()) {
+func (r *singleReplica) Post(event func()) {
 	select {
 	case r.events <- event:
 	case <-r.done:
 	}
 }
 
-func (r *soloReplica) Propose(ctx context.Context, command []byte) (any, error) {
+func (r *singleReplica) Propose(ctx context.Context, command []byte) (any, error) {
 	result := make(chan any, 1)
 	r.Post(func() { r.ProposeAsync(command, func(applied any, _ error) { result <- applied }) })
 	select {
@@ -70,25 +70,25 @@
 	}
 }
 
-func (r *soloReplica) ProposeAsync(command []byte, done func(any, error)) {
+func (r *singleReplica) ProposeAsync(command []byte, done func(any, error)) {
 	r.index++
 	done(r.machine.Apply(r.index, command), nil)
 }
 
-// applied returns how many commands were applied.
-func (r *soloReplica) applied() topology.Revision {
+// appliedIndex returns the number of applied commands.
+func (r *singleReplica) appliedIndex() topology.Revision {
 	found := make(chan topology.Revision, 1)
 	r.Post(func() { found <- r.index })
 	return <-found
 }
 
-func (r *soloReplica) ReadBarrier(context.Context) error { return nil }
+func (r *singleReplica) ReadBarrier(context.Context) error { return nil }
 
-func (r *soloReplica) TransferLeadership(context.Context, topology.ReplicaID) error { return nil }
+func (r *singleReplica) TransferLeadership(context.Context, topology.ReplicaID) error { return nil }
 
-func (r *soloReplica) ChangeMembership(context.Context, consensus.Change) error { return nil }
+func (r *singleReplica) ChangeMembership(context.Context, consensus.Change) error { return nil }
 
-func (r *soloReplica) Status() consensus.Status {
+func (r *singleReplica) Status() consensus.Status {
 	return consensus.Status{
 		ID: 1, Incarnation: 7, Role: consensus.Leader, Term: 1, Leader: 1,
 		LeaseUntil: r.Now() + time.Second,
@@ -96,12 +96,12 @@
 	}
 }
 
-func (r *soloReplica) Incarnation() topology.Incarnation { return 7 }
+func (r *singleReplica) Incarnation() topology.Incarnation { return 7 }
 
-func (r *soloReplica) PeerAddress() string { return "127.0.0.1:7102" }
+func (r *singleReplica) PeerAddress() string { return "127.0.0.1:7102" }
 
-func (r *soloReplica) Stop() error {
+func (r *singleReplica) Stop() error {
 	r.stop.Do(func() { close(r.done) })
-	r.ended.Wait()
+	r.running.Wait()
 	return nil
 }
--- a/internal/controller/stop_test.go
+++ b/internal/controller/stop_test.go
@@ -13,28 +13,29 @@
 	"github.com/quartzdock/quartzdock/internal/controller"
 )
 
-// withoutQuorum is a log whose other replicas have gone: no proposal is ever
-// committed.
-type withoutQuorum struct {
+// replicaWithoutQuorum is a replicated log whose other members are down: no
+// proposal is ever committed.
+type replicaWithoutQuorum struct {
 	controller.Replicator
 	proposed chan struct{}
 }
 
-func (w withoutQuorum) Propose(ctx context.Context, _ []byte) (any, error) {
+func (w replicaWithoutQuorum) Propose(ctx context.Context, _ []byte) (any, error) {
 	close(w.proposed)
 	<-ctx.Done()
 	return nil, controller.ErrOutcomeUnknown
 }
 
-// Most controllers stop at once, so that an operator's change waits for a
-// quorum that does not come. The stop answers it, in place of cutting it off.
+// TestStopAnswersCallsInProgress: when most controllers stop at the same time,
+// an operator's change waits for a quorum in vain. Stop must answer the call
+// instead of closing its connection.
 func TestStopAnswersCallsInProgress(t *testing.T) {
 	proposed := make(chan struct{})
 	running, err := controller.Start(controller.Config{
 		Group: 1, SessionListen: "127.0.0.1:0", RPCListen: "127.0.0.1:0",
-		Replicate: func(machine controller.Machine) (controller.Replicator, error) {
-			solo, err := newSolo(machine)
-			return withoutQuorum{solo, proposed}, err
+		Replicate: func(machine controller.StateMachine) (controller.Replicator, error) {
+			single, err := newSingleReplica(machine)
+			return replicaWithoutQuorum{single, proposed}, err
 		},
 	})
 	assert.NilError(t, err)
@@ -50,7 +51,7 @@
 	<-proposed
 	stopped := running.Stop()
 	err = <-answered
-	assert.Assert(t, connect.IsWireError(err), "the controller's own answer: %v", err)
+	assert.Assert(t, connect.IsWireError(err), "the error must come from the controller: %v", err)
 	assert.Equal(t, connect.CodeOf(err), connect.CodeUnavailable)
 	assert.NilError(t, stopped)
 }
--- a/internal/controller/subscribers.go
+++ b/internal/controller/subscribers.go
@@ -10,27 +10,28 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// subscribers guards the tracker of who has which revision in force, and wakes
-// those who wait for a change of it.
+// subscribers synchronizes access to the tracker of the revisions that
+// subscribers have in force, and wakes goroutines that wait for a change of it.
 type subscribers struct {
 	mutex   sync.Mutex
 	tracker *inforce.Tracker
 	changed broadcast
 }
 
-func (s *subscribers) start(now time.Duration) { s.tracker = inforce.NewTracker(now) }
+func (s *subscribers) init(now time.Duration) { s.tracker = inforce.NewTracker(now) }
 
-// edit changes the tracker and wakes who waits.
-func (s *subscribers) edit(change func(*inforce.Tracker)) {
+// editTracker changes the tracker and wakes the waiting goroutines.
+func (s *subscribers) editTracker(change func(*inforce.Tracker)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	change(s.tracker)
 	s.changed.signal()
 }
 
-// applied wakes only where the revision is news: agents repeat it with each
-// renewal.
-func (s *subscribers) applied(key inforce.Key, boot uint64, revision topology.Revision, now time.Duration) {
+// setApplied records the revision that a subscriber has in force. It wakes
+// waiting goroutines only if the revision is new, since agents repeat it with
+// each renewal.
+func (s *subscribers) setApplied(key inforce.Key, boot uint64, revision topology.Revision, now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.tracker.Applied(key, boot, revision, now) {
@@ -38,7 +39,8 @@
 	}
 }
 
-func (s *subscribers) heard(key inforce.Key, boot uint64, now time.Duration) {
+// setContact records that a subscriber was heard from.
+func (s *subscribers) setContact(key inforce.Key, boot uint64, now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.tracker.Heard(key, boot, now)
