--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -297,7 +297,7 @@
 
 // laggingSubscribers returns the names of the lagging routers and agents.
 // Controllers are left out, because one that has just started is also listed as
-// lagging: it does not know its subscribers yet.
+// lagging: it does not know which subscribers it served before.
 func laggingSubscribers(inForce *quartzdockv1.InForce) []string {
 	var names []string
 	for _, entry := range inForce.Lagging {
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -20,7 +20,8 @@
 	// that does not lead until some controller does. It is shorter than the
 	// agent's timeout for Welcome.
 	leaderWaitTimeout = 400 * time.Millisecond
-	// leaderPollInterval is the interval at which waiting goroutines check.
+	// leaderPollInterval is how often a goroutine that waits for a leader, or for
+	// the redirection of the agents, checks again.
 	leaderPollInterval = 10 * time.Millisecond
 )
 
--- a/internal/controller/rpc_server.go
+++ b/internal/controller/rpc_server.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// countCalls counts unary calls by procedure and outcome.
+// countCalls counts unary calls by procedure and status code.
 func (c *Controller) countCalls(next connect.UnaryFunc) connect.UnaryFunc {
 	return func(ctx context.Context, request connect.AnyRequest) (connect.AnyResponse, error) {
 		response, err := next(ctx, request)
