--- a/cmd/quartzdock-lab/experiment.go
+++ b/cmd/quartzdock-lab/experiment.go
@@ -12,7 +12,7 @@
 func experimentCommand() *ff.Command {
 	flags, options := experiment.Flags()
 	return &ff.Command{
-		Name: "experiment", ShortHelp: "emulate placement on virtual time and compare policies", Flags: flags,
+		Name: "experiment", ShortHelp: "emulate placement in virtual time and compare policies", Flags: flags,
 		Exec: func(ctx context.Context, _ []string) error { return options.Run(ctx, os.Stdout, os.Stderr) },
 	}
 }
--- a/cmd/quartzdock-lab/main.go
+++ b/cmd/quartzdock-lab/main.go
@@ -1,9 +1,9 @@
-// Command quartzdock-lab is the bench: stand-in servers and callers, faults,
-// whole fleets of real processes, experiments and simulations. It is never
-// installed on racks. Unlike the product it starts other processes.
+// Command quartzdock-lab is the test bench: stand-in servers and callers, fault
+// injection, fleets of real processes, experiments and simulations. It is never
+// installed in production. Unlike the product it starts other processes.
 //
-// It ends with status 0 when all went well, 1 when something failed or broke,
-// and 2 where arguments are wrong.
+// It exits with status 0 on success, 1 if something failed or a promise was
+// broken, and 2 if arguments are invalid.
 package main
 
 import (
@@ -27,14 +27,14 @@
 )
 
 func main() {
-	ctx, stop := signal.NotifyContext(context.Background(), endSignals()...)
+	ctx, stop := signal.NotifyContext(context.Background(), shutdownSignals()...)
 	defer stop()
 	os.Exit(run(ctx, os.Args[1:]))
 }
 
-// endSignals are what ends the lab with its fleets. One that is to outlive its
-// terminal (nohup) goes on without it.
-func endSignals() []os.Signal {
+// shutdownSignals returns the signals that stop the lab and its fleets. SIGHUP is
+// not among them if it is ignored, as under nohup.
+func shutdownSignals() []os.Signal {
 	signals := []os.Signal{os.Interrupt, syscall.SIGTERM}
 	if !signal.Ignored(syscall.SIGHUP) {
 		signals = append(signals, syscall.SIGHUP)
@@ -69,7 +69,7 @@
 	return &ff.Command{
 		Name:      "quartzdock-lab",
 		Usage:     "quartzdock-lab COMMAND [FLAGS]",
-		ShortHelp: "the bench of quartzdock",
+		ShortHelp: "test bench of quartzdock",
 		Subcommands: []*ff.Command{
 			demoCommand(),
 			experimentCommand(),
--- a/cmd/quartzdock-lab/standins.go
+++ b/cmd/quartzdock-lab/standins.go
@@ -18,7 +18,7 @@
 	"github.com/quartzdock/quartzdock/lab/machines"
 )
 
-// stopTimeout bounds how long a stand-in waits for running requests.
+// stopTimeout bounds how long a stand-in waits for requests in progress when it stops.
 const stopTimeout = 30 * time.Second
 
 func backendCommand() *ff.Command {
@@ -27,8 +27,8 @@
 	flags.StringVar(&config.Name, 0, "name", "backend", "name in the ledger")
 	flags.StringVar(&config.Listen, 0, "listen", "127.0.0.1:9000", "address for requests, IP:port")
 	flags.StringVar(&config.Ledger, 0, "ledger", "", "path of the ledger file; empty keeps none")
-	flags.IntVar(&config.Slots, 0, "slots", 20, "requests run at once")
-	flags.IntVar(&config.Connections, 0, "connections", 100, "connections accepted")
+	flags.IntVar(&config.Slots, 0, "slots", 20, "maximum number of concurrent requests")
+	flags.IntVar(&config.Connections, 0, "connections", 100, "maximum number of connections")
 	flags.DurationVar(&config.ConnectCost, 0, "connect-cost", time.Millisecond, "time that accepting a connection takes")
 	flags.DurationVar(&config.ProbeCost, 0, "probe-cost", 6*time.Millisecond, "time that a health probe takes")
 	flags.DurationVar(&config.ColdStart, 0, "cold-start", 0, "time that preparing a shard takes")
@@ -54,7 +54,7 @@
 	flags := ff.NewFlagSet("load")
 	flags.StringVar(&name, 0, "deployment", "small", "name or path of a deployment")
 	flags.StringListVar(&config.Routers, 0, "router", "address of a router, IP:port; may be repeated")
-	flags.DurationVar(&config.Duration, 0, "duration", 10*time.Second, "time of the offered load")
+	flags.DurationVar(&config.Duration, 0, "duration", 10*time.Second, "duration of the load")
 	flags.Float64Var(&config.RateFactor, 0, "rate-factor", 1, "multiplies the deployment's rates")
 	flags.Uint64Var(&config.Seed, 0, "seed", 1, "seed of arrivals, keys and request ids")
 	flags.StringVar(&config.Ledger, 0, "ledger", "", "path of the ledger file; empty keeps none")
@@ -86,7 +86,7 @@
 	flags := ff.NewFlagSet("machines")
 	flags.StringVar(&listen, 0, "listen", "127.0.0.1:9100", "address of GET and PUT /machines")
 	flags.StringVar(&live, 0, "live", "", "names of live back ends, separated by commas")
-	flags.DurationVar(&lag, 0, "lag", 0, "how late changes show")
+	flags.DurationVar(&lag, 0, "lag", 0, "delay until changes become visible")
 	return &ff.Command{
 		Name: "machines", ShortHelp: "stand-in for the platform's list of machines", Flags: flags,
 		Exec: func(ctx context.Context, _ []string) error {
@@ -125,15 +125,16 @@
 	}
 }
 
+// openLinks starts one proxy for each NAME=LISTEN=TARGET.
 func openLinks(links []string, seed uint64) ([]*faultproxy.Proxy, error) {
 	var proxies []*faultproxy.Proxy
-	for number, link := range links {
+	for i, link := range links {
 		parts := strings.Split(link, "=")
 		if len(parts) != 3 {
 			return nil, fmt.Errorf("--link %q: want NAME=LISTEN=TARGET", link)
 		}
 		proxy, err := faultproxy.Listen(faultproxy.Config{
-			Name: parts[0], Listen: parts[1], Target: parts[2], Seed: seed + uint64(number),
+			Name: parts[0], Listen: parts[1], Target: parts[2], Seed: seed + uint64(i),
 		})
 		if err != nil {
 			return nil, err
@@ -143,7 +144,7 @@
 	return proxies, nil
 }
 
-// serve serves until the context ends.
+// serve runs an HTTP server until the context ends.
 func serve(ctx context.Context, address string, handler http.Handler) error {
 	server := &http.Server{Addr: address, Handler: handler, ReadHeaderTimeout: time.Second}
 	context.AfterFunc(ctx, func() { server.Close() })
--- a/cmd/quartzdock/main.go
+++ b/cmd/quartzdock/main.go
@@ -5,8 +5,8 @@
 //	quartzdock agent --config agent.yaml
 //	quartzdock admin ...
 //
-// It ends with status 0 after a planned stop or a command that was carried
-// out, 1 after a failure, and 2 where settings or arguments are wrong.
+// It exits with status 0 after a planned stop or a successful command, 1 after a
+// failure, and 2 if settings or arguments are invalid.
 package main
 
 import (
