--- a/internal/requesthistory/cause.go
+++ b/internal/requesthistory/cause.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Reasons that gateways give.
+// Values of the field reason in the gateways' log lines.
 const (
 	reasonNoConfiguration = "no-configuration"
 	reasonNoInstance      = "no-instance"
@@ -16,8 +16,8 @@
 	reasonNotAdmitted     = "not-admitted"
 	reasonRefused         = "refused-by-back-end"
 	reasonUnreachable     = "unreachable"
-	reasonBroken          = "broken-off"
-	reasonEnded           = "back-end-ended"
+	reasonExchangeBroken  = "broken-off"
+	reasonBackendEnded    = "back-end-ended"
 	reasonAwaitsTrial     = "awaits-trial"
 	reasonHeldBack        = "held-back"
 	reasonTimeout         = "timeout"
@@ -29,130 +29,132 @@
 	reasonNoMemory        = "no-memory"
 )
 
-// explanation tells where the cause of a reason stands, the best place first,
-// and what it means.
+// explanation explains a reason. Messages are those of the lines that show its cause,
+// the most telling one first.
 type explanation struct {
 	messages []string
 	meaning  string
 }
 
 var explanations = map[string]explanation{
-	reasonNoConfiguration: {[]string{messageInForce, messageLeads, messageNotServed},
+	reasonNoConfiguration: {[]string{messageInForce, messageLeadershipBegan, messageNotServed},
 		"the gateway had just started and no leading controller had told it a configuration yet"},
-	reasonNoInstance: {[]string{messageBackend, messageMove, messageNotServed},
+	reasonNoInstance: {[]string{messageBackend, messageOwnerChange, messageNotServed},
 		"no ready back end of the service, or no owner of the key, was known while the request could wait"},
 	reasonNoRoom: {[]string{messageRefused, messageNotServed},
 		"every back end that it was offered to was full for longer than its answer could wait"},
 	reasonLinkFull: {[]string{messageRefused, messageNotServed},
-		"its answer is a large one, and the links of the machines that it was offered to could not have sent it in time"},
-	reasonNotOwner: {[]string{messageMove, messageGrant, messageRelease, messageRefused},
-		"the key was on its way between owners: the gateway beside the one that was tried did not hold it"},
+		"its answer is large, and the network links of the machines that it was offered to could not have sent it in time"},
+	reasonNotOwner: {[]string{messageOwnerChange, messageGrant, messageRelease, messageRefused},
+		"the key was moving between owners: the gateway of the back end that was tried did not hold it"},
 	reasonNotAdmitted: {[]string{messageBackend, messageRefused},
-		"the back end that was tried was leaving, had ended, or was another one by then"},
-	reasonRefused: {[]string{messageByBackend, messageNotServed},
+		"the back end that was tried was draining, had ended, or had been replaced by another one"},
+	reasonRefused: {[]string{messageRefusedByBackend, messageNotServed},
 		"the back end itself refused the request without running it"},
 	reasonUnreachable: {[]string{messageBackend, messageNotServed},
-		"no byte of it could be sent to the back end or the gateway beside it"},
-	reasonBroken: {[]string{messageBroken, messageBackend, messageNotServed},
+		"no byte of it could be sent to the back end or to its gateway"},
+	reasonExchangeBroken: {[]string{messageExchangeBroken, messageBackend, messageNotServed},
 		"the exchange broke off after it was sent: it may have run"},
-	reasonEnded: {[]string{messageEnded, messageNotServed},
-		"the back end ended while it was at work on it: it may have run"},
-	reasonAwaitsTrial: {[]string{messageEnded, messageNotServed},
-		"a back end had ended while it was at work on a request like it, and no trial was granted in its time"},
-	reasonHeldBack: {[]string{messageHeldBack, messageEnded, messageNotServed},
-		"so many back ends had ended while they were at work on requests like it that it is not sent any more"},
-	reasonTimeout: {[]string{messageSummary, messageNotServed},
+	reasonBackendEnded: {[]string{messageBackendEnded, messageNotServed},
+		"the back end ended while it processed the request: it may have run"},
+	reasonAwaitsTrial: {[]string{messageBackendEnded, messageNotServed},
+		"a back end had ended while it processed a similar request, and no trial was granted within the time of this one"},
+	reasonHeldBack: {[]string{messageHeldBack, messageBackendEnded, messageNotServed},
+		"so many back ends had ended while they processed similar requests that it is no longer sent"},
+	reasonTimeout: {[]string{messageBackendSummary, messageNotServed},
 		"no answer came within the request's time: it may have run"},
 	reasonStopping: {[]string{messageRefused, messageNotServed},
 		"the gateway that was to take it was being stopped and would have ended before the request's time was over"},
 	reasonEvacuated: {[]string{messageNotServed},
 		"the zones of all back ends of its service were evacuated"},
 	reasonOutdated: {[]string{messageInForce, messageNotServed},
-		"a gateway on its way had not had a leading controller's word for so long that its configuration might have been replaced"},
+		"a gateway on its path had not heard from a leading controller for so long that its configuration might have been superseded"},
 	reasonRouteChanged: {[]string{messageInForce, messageNotServed},
-		"its route became one whose requests run once, while it was read beside others of its connection"},
+		"its route became one whose requests must not run twice, while it was read concurrently with others of its connection"},
 	reasonNoMemory: {[]string{messageNotServed},
-		"a gateway on its way kept as many bytes for slow readers as it may"},
+		"a gateway on its path had buffered as many bytes for slow readers as it may"},
 	reasonNoRoute: {[]string{messageInForce, "no route"},
 		"no route of the configuration in force has its host and path"},
 }
 
-// answeredMeaning explains what a back end answered itself.
-const answeredMeaning = "the back end's own answer went back unchanged; its status and the tries before it are in the line"
+// answeredExplanation explains a request that a back end answered.
+const answeredExplanation = "the back end's own answer was returned unchanged; its status and the tries before it are in the line"
 
-// calledMeaning explains a back end's own failure beside which calls of its own
-// went unserved. Their ids are others, so that they are candidates, not proof.
-const calledMeaning = "the back end itself failed; while it ran, calls that began beside it, as its own do, were not served: see those"
+// nestedCallExplanation explains a failure of a back end during which calls that it may
+// have made itself were not served. These calls have request ids of their own, so they
+// are likely causes, not proven ones.
+const nestedCallExplanation = "the back end itself failed; while it ran the request, calls through its gateway, as its own calls are, were not served: see those"
 
-// waited returns the place of the line that says that the answer waited for its turn, or
-// below zero.
-func (h *History) waited() int {
-	return slices.IndexFunc(h.Entries, func(entry Entry) bool { return entry.Own && entry.Message == messageWaited })
+// waitedIndex returns the index of the line which says that the answer waited for an
+// earlier one on its connection, or -1.
+func (h *History) waitedIndex() int {
+	return slices.IndexFunc(h.Entries, func(entry Entry) bool { return entry.HasRequestID && entry.Message == messageWaited })
 }
 
-// decide marks the decisive line and explains it.
-func (h *History) decide() {
-	final := h.final()
-	if place := h.waited(); place >= 0 && (final < 0 || h.Entries[final].Message == messageAnswered && h.Entries[final].Status < leastFailure) {
-		fields := h.Entries[place].Fields
+// determineCause marks the decisive line and sets Cause.
+func (h *History) determineCause() {
+	final := h.finalIndex()
+	if waited := h.waitedIndex(); waited >= 0 && (final < 0 || h.Entries[final].Message == messageAnswered && h.Entries[final].Status < minFailureStatus) {
+		fields := h.Entries[waited].Fields
 		h.Cause = fmt.Sprintf("its answer was ready, and waited %s ms for that of request %s, which was sent before it on the same connection",
 			fields["wait_ms"], strings.Trim(string(fields["behind"]), `"`))
-		h.mark(place)
+		h.markDecisive(waited)
 		return
 	}
 	if final < 0 {
-		h.Cause = "its end is in none of these logs: its caller left, or the process that took it was killed"
-		h.mark(len(h.Entries) - 1)
+		h.Cause = "none of these logs has its end: its caller disconnected, or the process that accepted it was killed"
+		h.markDecisive(len(h.Entries) - 1)
 		return
 	}
 	end := &h.Entries[final]
 	if end.Message == messageAnswered {
-		h.Cause = answeredMeaning
-		if call := h.unservedCall(final); call >= 0 {
-			h.Cause = calledMeaning
+		h.Cause = answeredExplanation
+		if call := h.unservedCallIndex(final); call >= 0 {
+			h.Cause = nestedCallExplanation
 			final = call
 		}
-		h.mark(final)
+		h.markDecisive(final)
 		return
 	}
 	known, ok := explanations[end.Reason]
 	if !ok {
 		h.Cause = "reason " + end.Reason
-		h.mark(final)
+		h.markDecisive(final)
 		return
 	}
 	h.Cause = known.meaning
-	h.mark(h.nearest(known.messages, final))
+	h.markDecisive(h.nearestIndex(known.messages, final))
 }
 
-// unservedCall is the place of the last request of others that was not served
-// while a failed run lasted, or below zero.
-func (h *History) unservedCall(end int) int {
+// unservedCallIndex returns the index of the last other request that was not served
+// before the line at end, or -1.
+func (h *History) unservedCallIndex(end int) int {
 	for i := end - 1; i >= 0; i-- {
-		if entry := &h.Entries[i]; !entry.Own && entry.Message == messageNotServed {
+		if entry := &h.Entries[i]; !entry.HasRequestID && entry.Message == messageNotServed {
 			return i
 		}
 	}
 	return -1
 }
 
-// final is the place of the line that ends the request, or below zero.
-func (h *History) final() int {
+// finalIndex returns the index of the line that ends the request, or -1.
+func (h *History) finalIndex() int {
 	for i, entry := range slices.Backward(h.Entries) {
-		if entry.Own && (entry.Message == messageNotServed || entry.Message == messageAnswered || entry.Message == "no route") {
+		if entry.HasRequestID && (entry.Message == messageNotServed || entry.Message == messageAnswered || entry.Message == "no route") {
 			return i
 		}
 	}
 	return -1
 }
 
-// nearest returns the line with the first of the messages that there is,
-// nearest in time to the end; the end itself where there is none.
-func (h *History) nearest(messages []string, end int) int {
+// nearestIndex returns the index of the line that is nearest in time to the one at end,
+// among those with the first of the messages that occurs. If none occurs, it returns
+// end.
+func (h *History) nearestIndex(messages []string, end int) int {
 	for _, message := range messages {
 		best := -1
 		for i := range h.Entries {
-			if h.Entries[i].Message == message && (best < 0 || h.distance(i, end) < h.distance(best, end)) {
+			if h.Entries[i].Message == message && (best < 0 || h.timeDistance(i, end) < h.timeDistance(best, end)) {
 				best = i
 			}
 		}
@@ -163,11 +165,12 @@
 	return end
 }
 
-func (h *History) distance(i, j int) int64 {
+// timeDistance returns the time between two lines.
+func (h *History) timeDistance(i, j int) int64 {
 	return int64(h.Entries[i].At.Sub(h.Entries[j].At).Abs())
 }
 
-func (h *History) mark(i int) {
+func (h *History) markDecisive(i int) {
 	if i >= 0 {
 		h.Entries[i].Decisive = true
 	}
--- a/internal/requesthistory/doc.go
+++ b/internal/requesthistory/doc.go
@@ -1,10 +1,10 @@
-// Package requesthistory finds in the logs of many processes what became of one
-// request, and why. It reads lines of JSON as the gateways and controllers of a
-// fleet write them (docs/OPERATIONS.md); whatever stands before the JSON in a
-// line, such as a collector's prefix, is passed over.
+// Package requesthistory reconstructs the history of one request from the logs of
+// many processes, and why it ended as it did. It reads lines of JSON as the gateways
+// and controllers of a fleet write them (docs/OPERATIONS.md); text before the JSON
+// in a line, such as a log collector's prefix, is skipped.
 //
-// A history has the lines that carry the request's id, and around them those
-// that tell of what decided it: the state of the back ends that it was offered
+// A history consists of the lines with the request's id and of lines from about the
+// same time about what affected it: the state of the back ends that it was offered
 // to, moves of its key, leadership and configuration. One line is marked as
 // decisive.
 package requesthistory
--- a/internal/requesthistory/history.go
+++ b/internal/requesthistory/history.go
@@ -7,151 +7,154 @@
 	"time"
 )
 
-// ErrNotFound says that no line carries the request's id: it was served in time
-// at the first try, or never came to a process whose log was read.
+// ErrNotFound is returned if no line has the request's id: the request was served
+// in time at the first try, or never reached a process whose log was read.
 var ErrNotFound = errors.New("no line carries this request id")
 
-// How long before the first and after the last line of a request others may
-// have decided it.
+// Lines without the request's id count as related from windowBefore its first line
+// until windowAfter its last.
 const (
-	before = 3 * time.Second
-	after  = 1500 * time.Millisecond
-	// changeBefore is how long before its first line a new configuration may
-	// have mattered to a request.
-	changeBefore = 300 * time.Millisecond
+	windowBefore = 3 * time.Second
+	windowAfter  = 1500 * time.Millisecond
+	// configChangeWindow is how long before the first line of a request a new
+	// configuration may have affected it.
+	configChangeWindow = 300 * time.Millisecond
 )
 
-// leastFailure is the lowest status of a failure.
-const leastFailure = 500
+// minFailureStatus is the lowest HTTP status that counts as a failure.
+const minFailureStatus = 500
 
-// Messages that tell of what decides requests.
+// Messages of log lines that explain the outcome of requests.
 const (
-	messageNotServed = "request not served"
-	messageAnswered  = "request answered"
-	messageWaited    = "answer waited for its turn"
-	messageRefused   = "try refused"
-	messageBroken    = "exchange with back end broken off"
-	messageEnded     = "back end ended while at work"
-	messageHeldBack  = "request held back"
-	messageByBackend = "refused by back end"
-	messageBackend   = "back end"
-	messageSummary   = "back end in the last second"
-	messageMove      = "keys change owner"
-	messageGrant     = "grant not confirmed"
-	messageRelease   = "release not confirmed"
-	messageLeads     = "leadership begins"
-	messageLeadsNot  = "leadership ended"
-	messageInForce   = "configuration in force"
-	messageLinesLost = "log lines dropped"
+	messageNotServed        = "request not served"
+	messageAnswered         = "request answered"
+	messageWaited           = "answer waited for its turn"
+	messageRefused          = "try refused"
+	messageExchangeBroken   = "exchange with back end broken off"
+	messageBackendEnded     = "back end ended while at work"
+	messageHeldBack         = "request held back"
+	messageRefusedByBackend = "refused by back end"
+	messageBackend          = "back end"
+	messageBackendSummary   = "back end in the last second"
+	messageOwnerChange      = "keys change owner"
+	messageGrant            = "grant not confirmed"
+	messageRelease          = "release not confirmed"
+	messageLeadershipBegan  = "leadership begins"
+	messageLeadershipEnded  = "leadership ended"
+	messageInForce          = "configuration in force"
+	messageLinesDropped     = "log lines dropped"
 )
 
 // Entry is one line of a history.
 type Entry struct {
 	Line
-	// Own says that the line carries the request's id.
-	Own bool
-	// Decisive marks the line that tells the cause best.
+	// HasRequestID is set if the line has the request's id.
+	HasRequestID bool
+	// Decisive marks the line that explains the cause best.
 	Decisive bool
 }
 
-// History is what became of a request.
+// History holds the log lines about a request, and the cause of its outcome.
 type History struct {
 	Request string
 	Entries []Entry
-	// Cause explains the decisive line in a sentence.
+	// Cause explains the outcome in one sentence.
 	Cause string
 }
 
-// Find returns the history of a request from lines of any processes and in any
-// order.
+// Find returns the history of a request. The lines may be from any processes and in
+// any order.
 func Find(request string, lines []Line) (*History, error) {
-	subject := newSubject(request, lines)
-	if subject.last.IsZero() {
+	context := newRequestContext(request, lines)
+	if context.last.IsZero() {
 		return nil, ErrNotFound
 	}
 	history := &History{Request: request}
 	for i := range lines {
-		own := lines[i].Request == request
-		if own || subject.concerns(&lines[i]) {
-			history.Entries = append(history.Entries, Entry{Line: lines[i], Own: own})
+		hasRequestID := lines[i].Request == request
+		if hasRequestID || context.isRelevant(&lines[i]) {
+			history.Entries = append(history.Entries, Entry{Line: lines[i], HasRequestID: hasRequestID})
 		}
 	}
 	slices.SortStableFunc(history.Entries, func(a, b Entry) int { return a.At.Compare(b.At) })
-	history.decide()
+	history.determineCause()
 	return history, nil
 }
 
-// subject is what a request had to do with.
-type subject struct {
+// requestContext is what the lines with a request's id tell about it: its time span,
+// and the back ends, gateways and key that were involved.
+type requestContext struct {
 	first, last time.Time
 	instances   map[string]bool
 	nodes       map[string]bool
 	key         uint64
 	hasKey      bool
-	// failedAt is the gateway beside the back end whose own answer was a failure,
-	// empty where there is none; it ran between runFrom and last.
-	failedAt string
-	runFrom  time.Time
-	// unconfigured says that a gateway knew no configuration.
+	// failedNode is the gateway of the back end that answered the request with a
+	// failure; empty if there is none. The request ran between runStart and last.
+	failedNode string
+	runStart   time.Time
+	// unconfigured is set if a gateway had no configuration.
 	unconfigured bool
 }
 
-func newSubject(request string, lines []Line) *subject {
-	s := &subject{instances: map[string]bool{}, nodes: map[string]bool{}}
+// newRequestContext collects the context of a request from the lines with its id.
+func newRequestContext(request string, lines []Line) *requestContext {
+	c := &requestContext{instances: map[string]bool{}, nodes: map[string]bool{}}
 	for i := range lines {
 		if lines[i].Request == request {
-			s.add(&lines[i])
+			c.add(&lines[i])
 		}
 	}
-	return s
+	return c
 }
 
-func (s *subject) add(line *Line) {
-	if s.first.IsZero() || line.At.Before(s.first) {
-		s.first = line.At
+// add updates the context with a line of the request.
+func (c *requestContext) add(line *Line) {
+	if c.first.IsZero() || line.At.Before(c.first) {
+		c.first = line.At
 	}
-	if line.At.After(s.last) {
-		s.last = line.At
+	if line.At.After(c.last) {
+		c.last = line.At
 	}
-	s.nodes[line.Node] = true
+	c.nodes[line.Node] = true
 	if line.Instance != "" {
-		s.instances[line.Instance] = true
+		c.instances[line.Instance] = true
 	}
 	for _, try := range line.Tries {
-		s.instances[try.Instance] = true
-		s.nodes[try.Node] = true
+		c.instances[try.Instance] = true
+		c.nodes[try.Node] = true
 	}
 	if key, err := strconv.ParseUint(line.Key, 10, 32); err == nil {
-		s.key, s.hasKey = key, true
+		c.key, c.hasKey = key, true
 	}
-	if line.Message == messageAnswered && line.Status >= leastFailure && len(line.Tries) > 0 {
-		s.failedAt = line.Tries[len(line.Tries)-1].Node
-		s.runFrom = line.At.Add(-line.Took)
+	if line.Message == messageAnswered && line.Status >= minFailureStatus && len(line.Tries) > 0 {
+		c.failedNode = line.Tries[len(line.Tries)-1].Node
+		c.runStart = line.At.Add(-line.Took)
 	}
-	s.unconfigured = s.unconfigured || line.Reason == reasonNoConfiguration
+	c.unconfigured = c.unconfigured || line.Reason == reasonNoConfiguration
 }
 
-// concerns says that a line without the request's id may tell what decided it.
-func (s *subject) concerns(line *Line) bool {
-	if line.At.Before(s.first.Add(-before)) || line.At.After(s.last.Add(after)) {
+// isRelevant reports whether a line without the request's id may explain its outcome.
+func (c *requestContext) isRelevant(line *Line) bool {
+	if line.At.Before(c.first.Add(-windowBefore)) || line.At.After(c.last.Add(windowAfter)) {
 		return false
 	}
 	switch line.Message {
 	case messageNotServed:
-		// A back end's own calls carry no key.
-		return s.failedAt != "" && line.Node == s.failedAt && line.Key == "" && line.At.After(s.runFrom) && !line.At.After(s.last)
+		// Calls that a back end makes itself have no key.
+		return c.failedNode != "" && line.Node == c.failedNode && line.Key == "" && line.At.After(c.runStart) && !line.At.After(c.last)
 	case messageBackend:
-		return s.instances[line.Instance] || s.nodes[line.Node]
-	case messageSummary:
-		return s.nodes[line.Node] && !line.At.Before(s.first) && line.At.Before(s.last.Add(time.Second))
-	case messageMove, messageGrant, messageRelease:
-		return s.hasKey && line.HasRange && uint64(line.First) <= s.key && s.key <= uint64(line.Last)
-	case messageLeads, messageLeadsNot:
-		return s.unconfigured || s.hasKey
+		return c.instances[line.Instance] || c.nodes[line.Node]
+	case messageBackendSummary:
+		return c.nodes[line.Node] && !line.At.Before(c.first) && line.At.Before(c.last.Add(time.Second))
+	case messageOwnerChange, messageGrant, messageRelease:
+		return c.hasKey && line.HasRange && uint64(line.First) <= c.key && c.key <= uint64(line.Last)
+	case messageLeadershipBegan, messageLeadershipEnded:
+		return c.unconfigured || c.hasKey
 	case messageInForce:
-		return s.nodes[line.Node] && line.At.After(s.first.Add(-changeBefore))
-	case messageLinesLost:
-		return s.nodes[line.Node]
+		return c.nodes[line.Node] && line.At.After(c.first.Add(-configChangeWindow))
+	case messageLinesDropped:
+		return c.nodes[line.Node]
 	}
 	return false
 }
--- a/internal/requesthistory/history_test.go
+++ b/internal/requesthistory/history_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// read returns the lines of some processes' logs.
+// read returns the lines of several processes' logs.
 func read(t *testing.T, logs ...string) []Line {
 	t.Helper()
 	var all []Line
@@ -42,12 +42,12 @@
 {"time":"2026-01-01T00:00:10.25Z","msg":"try refused","node":"side-3","request":"r2","reason":"no-room","running":4,"waiting":9,"instance":"i-full"}
 `
 
-// One search over all logs tells the whole way of a request in order, and the
-// move that left its key without an owner is what decided it.
-func TestARequestWhoseKeyMovedIsExplainedByTheMove(t *testing.T) {
+// The history of a request covers the logs of all processes in order of time. The
+// decisive line is the move that left the request's key without an owner.
+func TestKeyMoveExplainsUnservedRequest(t *testing.T) {
 	history, err := Find("r1", read(t, gatewayLog, moveLog, peerLog))
 	assert.NilError(t, err)
-	assert.Equal(t, len(history.Entries), 3, "the move of its key, the refused try, its end; not the other move")
+	assert.Equal(t, len(history.Entries), 3, "the move of its key, the refused try and the final line; not the other move")
 	found := decisive(history)
 	assert.Equal(t, found.Message, "keys change owner")
 	assert.Equal(t, found.First, uint32(100))
@@ -55,35 +55,35 @@
 	var out strings.Builder
 	assert.NilError(t, history.Write(&out))
 	assert.Assert(t, strings.Contains(out.String(), "=>   -0.200 core"), "%s", out.String())
-	assert.Assert(t, strings.Contains(out.String(), "cause: the key was on its way"), "%s", out.String())
+	assert.Assert(t, strings.Contains(out.String(), "cause: the key was moving"), "%s", out.String())
 }
 
-func TestAFullBackEndIsTheCauseWhereItRefused(t *testing.T) {
+func TestFullBackendIsTheCause(t *testing.T) {
 	history, err := Find("r2", read(t, gatewayLog, moveLog, peerLog))
 	assert.NilError(t, err)
 	assert.Equal(t, decisive(history).Message, "try refused")
 	assert.Equal(t, decisive(history).Node, "side-3")
 }
 
-const calledLog = `{"time":"2026-01-01T00:00:10.00Z","msg":"request not served","node":"side-9","request":"before","status":503,"reason":"no-room"}
+const nestedCallLog = `{"time":"2026-01-01T00:00:10.00Z","msg":"request not served","node":"side-9","request":"before","status":503,"reason":"no-room"}
 {"time":"2026-01-01T00:00:10.15Z","msg":"request not served","node":"side-9","request":"inner","status":503,"reason":"no-room"}
 {"time":"2026-01-01T00:00:10.16Z","msg":"request not served","node":"side-9","request":"a caller's","status":503,"reason":"no-room","key":"17"}
 {"time":"2026-01-01T00:00:10.16Z","msg":"request not served","node":"side-8","request":"elsewhere","status":503,"reason":"no-room"}
 {"time":"2026-01-01T00:00:10.20Z","msg":"request answered","node":"side-1","request":"r3","status":500,"took_ms":100,"tries":[{"instance":"i-9","node":"side-9","outcome":"answered"}]}
 `
 
-// A back end's own failure is often that of a call of its own, which has another
-// id: what went unserved beside it while it ran is shown.
-func TestABackEndsFailureShowsTheCallsThatFailedBesideIt(t *testing.T) {
-	history, err := Find("r3", read(t, calledLog))
+// A back end often fails because a call that it makes itself fails, and that call has
+// another request id. The history shows unserved calls through its gateway during the run.
+func TestBackendFailureShowsUnservedNestedCalls(t *testing.T) {
+	history, err := Find("r3", read(t, nestedCallLog))
 	assert.NilError(t, err)
-	assert.Equal(t, len(history.Entries), 2, "the call in the time of the run, at that gateway alone")
+	assert.Equal(t, len(history.Entries), 2, "only the call during the run, at that gateway")
 	assert.Equal(t, decisive(history).Request, "inner")
-	assert.Equal(t, history.Cause, calledMeaning)
+	assert.Equal(t, history.Cause, nestedCallExplanation)
 }
 
-// A process that was killed writes no last line; that is said, not guessed.
-func TestARequestWithoutAnEndIsToldSo(t *testing.T) {
+// A process that was killed writes no final line for a request; the cause says so.
+func TestRequestWithoutFinalLineIsReported(t *testing.T) {
 	history, err := Find("r1", read(t, peerLog))
 	assert.NilError(t, err)
 	assert.Assert(t, strings.Contains(history.Cause, "was killed"), "%s", history.Cause)
@@ -91,18 +91,18 @@
 	assert.Assert(t, errors.Is(err, ErrNotFound))
 }
 
-// Every reason that a gateway gives has an explanation.
+// Each of these reasons must have an explanation.
 func TestEachReasonIsExplained(t *testing.T) {
-	for _, why := range []string{
+	for _, reason := range []string{
 		reasonNoConfiguration, reasonNoInstance, reasonNoRoom, reasonNotOwner, reasonNotAdmitted,
-		reasonRefused, reasonUnreachable, reasonBroken, reasonTimeout, reasonNoRoute,
+		reasonRefused, reasonUnreachable, reasonExchangeBroken, reasonTimeout, reasonNoRoute,
 	} {
-		assert.Assert(t, explanations[why].meaning != "", why)
+		assert.Assert(t, explanations[reason].meaning != "", reason)
 	}
 }
 
-// An answer that stood behind another one's on its connection is explained by that.
-func TestAnAnswerThatWaitedForItsTurnIsExplainedByTheOneBeforeIt(t *testing.T) {
+// An answer that waited for an earlier one on its connection is explained by that.
+func TestPipelinedAnswerIsExplainedByThePrecedingOne(t *testing.T) {
 	const log = `{"time":"2026-01-01T00:00:10.20Z","msg":"request answered","node":"side-1","request":"r3","status":200,"late":true,"took_ms":100,"tries":[]}
 {"time":"2026-01-01T00:00:10.45Z","msg":"answer waited for its turn","node":"side-1","request":"r3","behind":"r2","wait_ms":250}`
 	history, err := Find("r3", read(t, log))
--- a/internal/requesthistory/line.go
+++ b/internal/requesthistory/line.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// maxLine bounds one line, in bytes; longer ones end the reading.
-const maxLine = 1 << 20
+// maxLineBytes is the longest line that is read; a longer one is an error.
+const maxLineBytes = 1 << 20
 
-// Line is one line of a log.
+// Line is a parsed log line.
 type Line struct {
 	At      time.Time
 	Node    string
@@ -23,19 +23,20 @@
 	Reason   string
 	Service  string
 	Key      string
-	// Status is what the caller got, Took how long that was on its way.
+	// Status is the HTTP status that the caller received, Took the time from the
+	// request to the answer.
 	Status int
 	Took   time.Duration
 	Tries  []Try
-	// First and Last are the range of keys that the line tells of; HasRange is
-	// unset where there is none.
+	// First and Last are the key range that the line is about; HasRange is false if
+	// there is none.
 	First, Last uint32
 	HasRange    bool
-	// Fields has all fields as they were written.
+	// Fields holds all fields of the line as raw JSON.
 	Fields map[string]json.RawMessage
 }
 
-// Try is one try of a request, as its last line lists it.
+// Try is one attempt to run a request, as the last line of the request lists it.
 type Try struct {
 	Instance string `json:"instance"`
 	Node     string `json:"node"`
@@ -43,7 +44,7 @@
 	Reason   string `json:"reason"`
 }
 
-// lineBody has the fields that are used.
+// lineBody has the JSON fields of a line that are used.
 type lineBody struct {
 	Time     time.Time       `json:"time"`
 	Node     string          `json:"node"`
@@ -60,14 +61,14 @@
 	Last     *uint32         `json:"last"`
 }
 
-// Read returns the lines of a log that are JSON with a message, in their order.
-// Others are passed over.
+// Read returns the lines of a log that are JSON with a message, in their order. It
+// skips other lines.
 func Read(source io.Reader) ([]Line, error) {
 	scanner := bufio.NewScanner(source)
-	scanner.Buffer(make([]byte, 0, maxLine/16), maxLine)
+	scanner.Buffer(make([]byte, 0, maxLineBytes/16), maxLineBytes)
 	var lines []Line
 	for scanner.Scan() {
-		if line, ok := parse(scanner.Bytes()); ok {
+		if line, ok := parseLine(scanner.Bytes()); ok {
 			lines = append(lines, line)
 		}
 	}
@@ -77,7 +78,8 @@
 	return lines, nil
 }
 
-func parse(text []byte) (Line, bool) {
+// parseLine parses the JSON in a line, and reports whether it has a message.
+func parseLine(text []byte) (Line, bool) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 {
 		return Line{}, false
--- a/internal/requesthistory/write.go
+++ b/internal/requesthistory/write.go
@@ -8,16 +8,16 @@
 	"strings"
 )
 
-// shownElsewhere are the fields that have a column of their own.
-var shownElsewhere = []string{"time", "level", "msg", "node"}
+// columnFields are the fields that are shown in columns, or not at all.
+var columnFields = []string{"time", "level", "msg", "node"}
 
-// Write prints a history: seconds since its first line of the request, the
-// process, the message and its fields. "=>" marks the decisive line, "*" those
-// that carry the request's id.
+// Write prints a history, with these columns: seconds since the first line with the
+// request's id, process, message and fields. "=>" marks the decisive line, "*" the
+// lines with the request's id.
 func (h *History) Write(out io.Writer) error {
 	start := h.Entries[0].At
 	for _, entry := range h.Entries {
-		if entry.Own {
+		if entry.HasRequestID {
 			start = entry.At
 			break
 		}
@@ -27,7 +27,7 @@
 		switch {
 		case entry.Decisive:
 			mark = "=>"
-		case entry.Own:
+		case entry.HasRequestID:
 			mark = " *"
 		}
 		_, err := fmt.Fprintf(out, "%s %8.3f %-16s %s %s\n", mark, entry.At.Sub(start).Seconds(), entry.Node, entry.Message, fieldsText(entry.Fields))
@@ -39,11 +39,11 @@
 	return err
 }
 
-// fieldsText writes fields in the order of their names.
+// fieldsText formats fields in the order of their names.
 func fieldsText(fields map[string]json.RawMessage) string {
 	names := make([]string, 0, len(fields))
 	for name := range fields {
-		if !slices.Contains(shownElsewhere, name) {
+		if !slices.Contains(columnFields, name) {
 			names = append(names, name)
 		}
 	}
