--- a/internal/logbuffer/logbuffer.go
+++ b/internal/logbuffer/logbuffer.go
@@ -1,6 +1,5 @@
-// Package logbuffer takes log lines without ever holding up who writes them. A
-// reader of the log that stands still costs lines, which are counted and
-// reported, and nothing else.
+// Package logbuffer buffers log lines so that writing one never blocks. If the
+// output is blocked, lines are dropped, counted and reported.
 package logbuffer
 
 import (
@@ -12,70 +11,71 @@
 )
 
 const (
-	// DefaultLines is how many lines wait at most.
+	// DefaultLines is the default capacity of the queue, in lines.
 	DefaultLines = 4096
-	// maxBatch bounds one write, in bytes.
-	maxBatch = 32 << 10
+	// maxBatchBytes is the size from which no more lines are added to one write.
+	maxBatchBytes = 32 << 10
 )
 
-// Writer passes lines on to another writer from a goroutine of its own. Each
-// call of Write is one line.
+// Writer writes lines to another writer in a goroutine of its own. Each call of
+// Write is one line.
 type Writer struct {
-	out     io.Writer
-	lines   chan []byte
-	dropped atomic.Int64
-	// lost counts what was dropped since the start.
-	lost    atomic.Int64
-	closing chan struct{}
-	ended   chan struct{}
-	once    sync.Once
+	out             io.Writer
+	queue           chan []byte
+	unreportedDrops atomic.Int64
+	// totalDropped counts the lines dropped since the start.
+	totalDropped atomic.Int64
+	closing      chan struct{}
+	done         chan struct{}
+	closeOnce    sync.Once
 }
 
-// New returns a Writer in front of out that keeps at most a number of lines.
-func New(out io.Writer, lines int) *Writer {
-	w := &Writer{out: out, lines: make(chan []byte, lines), closing: make(chan struct{}), ended: make(chan struct{})}
+// New returns a Writer for out whose queue has a capacity in lines.
+func New(out io.Writer, capacity int) *Writer {
+	w := &Writer{out: out, queue: make(chan []byte, capacity), closing: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write implements io.Writer. It never blocks and never fails: a line that finds
-// no room is dropped and counted.
+// Write implements io.Writer. It never blocks and never fails: a line that
+// does not fit the queue is dropped and counted.
 func (w *Writer) Write(line []byte) (int, error) {
-	kept := append([]byte(nil), line...)
+	copied := append([]byte(nil), line...)
 	select {
-	case w.lines <- kept:
+	case w.queue <- copied:
 	default:
-		w.dropped.Add(1)
-		w.lost.Add(1)
+		w.unreportedDrops.Add(1)
+		w.totalDropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// Dropped counts the lines dropped since they were last reported.
-func (w *Writer) Dropped() int64 { return w.dropped.Load() }
+// UnreportedDrops returns the number of lines dropped since they were last reported.
+func (w *Writer) UnreportedDrops() int64 { return w.unreportedDrops.Load() }
 
-// Lost counts the lines dropped since the start.
-func (w *Writer) Lost() int64 { return w.lost.Load() }
+// TotalDropped returns the number of lines dropped since the start.
+func (w *Writer) TotalDropped() int64 { return w.totalDropped.Load() }
 
-// Close passes on what waits, for at most a time.
-func (w *Writer) Close(limit time.Duration) {
-	w.once.Do(func() { close(w.closing) })
+// Close writes the queued lines and returns when they are written, or after the
+// timeout.
+func (w *Writer) Close(timeout time.Duration) {
+	w.closeOnce.Do(func() { close(w.closing) })
 	select {
-	case <-w.ended:
-	case <-time.After(limit):
+	case <-w.done:
+	case <-time.After(timeout):
 	}
 }
 
 func (w *Writer) run() {
-	defer close(w.ended)
+	defer close(w.done)
 	for {
 		select {
-		case line := <-w.lines:
-			w.pass(line)
+		case line := <-w.queue:
+			w.writeBatch(line)
 		case <-w.closing:
 			select {
-			case line := <-w.lines:
-				w.pass(line)
+			case line := <-w.queue:
+				w.writeBatch(line)
 			default:
 				return
 			}
@@ -83,18 +83,19 @@
 	}
 }
 
-// pass writes a line together with those that wait behind it.
-func (w *Writer) pass(batch []byte) {
-	for len(batch) < maxBatch {
+// writeBatch writes a line together with the ones queued behind it, and reports
+// dropped lines.
+func (w *Writer) writeBatch(batch []byte) {
+	for len(batch) < maxBatchBytes {
 		select {
-		case line := <-w.lines:
+		case line := <-w.queue:
 			batch = append(batch, line...)
 			continue
 		default:
 		}
 		break
 	}
-	if dropped := w.dropped.Swap(0); dropped > 0 {
+	if dropped := w.unreportedDrops.Swap(0); dropped > 0 {
 		batch = fmt.Appendf(batch, "{\"level\":\"WARN\",\"msg\":\"log lines dropped\",\"count\":%d}\n", dropped)
 	}
 	_, _ = w.out.Write(batch)
--- a/internal/logbuffer/logbuffer_test.go
+++ b/internal/logbuffer/logbuffer_test.go
@@ -12,51 +12,52 @@
 	"gotest.tools/v3/assert"
 )
 
-// stuckReader takes nothing until it is let go.
-type stuckReader struct {
-	let     chan struct{}
+// blockedWriter blocks writes until unblock is closed.
+type blockedWriter struct {
+	unblock chan struct{}
 	mutex   sync.Mutex
 	content bytes.Buffer
 }
 
-func (r *stuckReader) Write(p []byte) (int, error) {
-	<-r.let
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	return r.content.Write(p)
+func (w *blockedWriter) Write(p []byte) (int, error) {
+	<-w.unblock
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	return w.content.Write(p)
 }
 
-// A reader that stands still holds nobody up; what was lost is told.
-func TestAStuckReaderCostsLinesOnly(t *testing.T) {
+// A blocked output must not block writers; the dropped lines are reported once it
+// accepts writes again.
+func TestBlockedOutputOnlyDropsLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		reader := &stuckReader{let: make(chan struct{})}
-		w := New(reader, 10)
-		began := time.Now()
+		output := &blockedWriter{unblock: make(chan struct{})}
+		w := New(output, 10)
+		start := time.Now()
 		for i := range 100 {
 			_, err := fmt.Fprintf(w, "line %d\n", i)
 			assert.NilError(t, err)
 			synctest.Wait()
 		}
-		assert.Equal(t, time.Since(began), time.Duration(0), "nothing waited")
-		assert.Assert(t, w.Dropped() >= 88, "%d", w.Dropped())
-		close(reader.let)
+		assert.Equal(t, time.Since(start), time.Duration(0), "no write blocked")
+		assert.Assert(t, w.UnreportedDrops() >= 88, "%d", w.UnreportedDrops())
+		close(output.unblock)
 		w.Close(time.Minute)
-		assert.Assert(t, strings.Contains(reader.content.String(), `"msg":"log lines dropped","count":`), "%s", reader.content.String())
-		assert.Equal(t, w.Dropped(), int64(0))
+		assert.Assert(t, strings.Contains(output.content.String(), `"msg":"log lines dropped","count":`), "%s", output.content.String())
+		assert.Equal(t, w.UnreportedDrops(), int64(0))
 	})
 }
 
-func TestLinesKeepTheirOrderAndCloseEndsInTime(t *testing.T) {
+func TestLinesKeepOrderAndCloseReturnsInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		reader := &stuckReader{let: make(chan struct{})}
-		w := New(reader, 10)
+		output := &blockedWriter{unblock: make(chan struct{})}
+		w := New(output, 10)
 		_, _ = w.Write([]byte("one\n"))
 		_, _ = w.Write([]byte("two\n"))
-		began := time.Now()
+		start := time.Now()
 		w.Close(time.Second)
-		assert.Equal(t, time.Since(began), time.Second)
-		close(reader.let)
+		assert.Equal(t, time.Since(start), time.Second)
+		close(output.unblock)
 		synctest.Wait()
-		assert.Equal(t, reader.content.String(), "one\ntwo\n")
+		assert.Equal(t, output.content.String(), "one\ntwo\n")
 	})
 }
