--- a/internal/ops/doc.go
+++ b/internal/ops/doc.go
@@ -1,5 +1,5 @@
-// Package ops holds what every role needs to be operated: the log, the
-// listener for monitoring (/metrics, /healthz, /readyz and, where switched on,
-// /debug/pprof), bounds for HTTP listeners, and the process's signals: SIGTERM
-// and SIGINT begin a planned stop, SIGHUP rereads settings.
+// Package ops has the operational parts that all roles share: logging, the
+// monitoring listener (/metrics, /healthz, /readyz and, if enabled,
+// /debug/pprof), limits for HTTP listeners, and signal handling. SIGTERM and
+// SIGINT begin a planned stop, SIGHUP reloads the settings.
 package ops
--- a/internal/ops/limits.go
+++ b/internal/ops/limits.go
@@ -11,19 +11,20 @@
 	"time"
 )
 
-// Limits bound what a sender can make an HTTP listener hold. The zero value
-// of a field takes the default of DefaultLimits.
+// Limits bound the time and memory that a client can take from an HTTP
+// listener. A field that is zero takes its value from DefaultLimits.
 type Limits struct {
-	// HeaderTimeout is the longest time for a whole header; a slower sender
-	// is cut off.
+	// HeaderTimeout is the longest time for reading a whole header. The
+	// connection of a slower client is closed.
 	HeaderTimeout time.Duration
-	// ReadTimeout is the longest time for a whole request. Negative means no
-	// bound, for listeners that carry streams or bound bodies themselves.
+	// ReadTimeout is the longest time for reading a whole request. Negative
+	// means no limit, for listeners that carry streams or limit bodies
+	// themselves.
 	ReadTimeout time.Duration
-	// WriteTimeout is the longest time from the end of the header to the end
-	// of the answer. Negative means no bound.
+	// WriteTimeout is the longest time from the end of the request header to
+	// the end of the response. Negative means no limit.
 	WriteTimeout time.Duration
-	// IdleTimeout closes a connection that carries no request.
+	// IdleTimeout is the time after which an idle connection is closed.
 	IdleTimeout time.Duration
 	// HeaderBytes is the largest header; a larger one is answered 431.
 	HeaderBytes int
@@ -31,7 +32,7 @@
 	BodyBytes int64
 }
 
-// DefaultLimits suit listeners for monitoring.
+// DefaultLimits returns limits that suit the monitoring listener.
 func DefaultLimits() Limits {
 	return Limits{
 		HeaderTimeout: 5 * time.Second,
@@ -62,13 +63,13 @@
 	}
 }
 
-// NewHTTPServer returns a server whose listener is bounded. A nil TLS
-// configuration serves plain HTTP.
-func NewHTTPServer(handler http.Handler, limits Limits, secure *tls.Config, log *slog.Logger) *http.Server {
+// NewHTTPServer returns a server that enforces limits. A nil TLS configuration
+// serves plain HTTP.
+func NewHTTPServer(handler http.Handler, limits Limits, tlsConfig *tls.Config, log *slog.Logger) *http.Server {
 	limits = limits.withDefaults()
 	return &http.Server{
 		Handler:           LimitBody(limits.BodyBytes)(handler),
-		TLSConfig:         secure,
+		TLSConfig:         tlsConfig,
 		ReadHeaderTimeout: limits.HeaderTimeout,
 		ReadTimeout:       max(limits.ReadTimeout, 0),
 		WriteTimeout:      max(limits.WriteTimeout, 0),
@@ -93,37 +94,38 @@
 	return err
 }
 
-// Refusal is the body of an answer to a request that broke a limit.
+// Refusal is the response body for a request that exceeded a limit.
 type Refusal struct {
-	// Error is a fixed word: "too-large" or "too-slow".
+	// Error is RefusedTooLarge or RefusedTooSlow.
 	Error string `json:"error"`
-	// LimitBytes is the bound that was exceeded, for "too-large".
+	// LimitBytes is the limit that was exceeded, for RefusedTooLarge.
 	LimitBytes int64 `json:"limit_bytes,omitempty"`
 }
 
-// Words of Refusal.Error.
+// Values of Refusal.Error.
 const (
 	RefusedTooLarge = "too-large"
 	RefusedTooSlow  = "too-slow"
 )
 
-// LimitBody answers 413 to a request that declares a larger body, and fails
-// the handler's read with *http.MaxBytesError where it turns out larger.
-func LimitBody(most int64) func(http.Handler) http.Handler {
+// LimitBody answers 413 to a request whose declared body is larger than maximum.
+// If the body turns out larger while it is read, the handler's read fails with
+// *http.MaxBytesError.
+func LimitBody(maximum int64) func(http.Handler) http.Handler {
 	return func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if r.ContentLength > most {
-				refuse(w, http.StatusRequestEntityTooLarge, Refusal{Error: RefusedTooLarge, LimitBytes: most})
+			if r.ContentLength > maximum {
+				refuse(w, http.StatusRequestEntityTooLarge, Refusal{Error: RefusedTooLarge, LimitBytes: maximum})
 				return
 			}
-			r.Body = http.MaxBytesReader(w, r.Body, most)
+			r.Body = http.MaxBytesReader(w, r.Body, maximum)
 			next.ServeHTTP(w, r)
 		})
 	}
 }
 
-// AnswerReadError answers a request whose body could not be read: 413 where
-// it was too large, 408 where it came too slowly, else 400.
+// AnswerReadError answers a request whose body could not be read: 413 if it was
+// too large, 408 if it arrived too slowly, else 400.
 func AnswerReadError(w http.ResponseWriter, err error) {
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -136,12 +138,12 @@
 	}
 }
 
-// refuse writes a typed answer and closes the connection, as the rest of the
+// refuse writes a Refusal and closes the connection, because the rest of the
 // body is not read.
 func refuse(w http.ResponseWriter, status int, refusal Refusal) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Connection", "close")
 	w.WriteHeader(status)
-	// The caller may be gone; there is nobody else to tell.
+	// A write error means that the client is gone, so there is no one to report it to.
 	_ = json.NewEncoder(w).Encode(refusal)
 }
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -21,7 +21,7 @@
 	"github.com/quartzdock/quartzdock/internal/metrics"
 )
 
-func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
+func discardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
 func get(t *testing.T, handler http.Handler, path string) *httptest.ResponseRecorder {
 	t.Helper()
@@ -32,7 +32,7 @@
 
 func TestMonitoringRoutes(t *testing.T) {
 	notReady := errors.New("no leader is known")
-	config := ServerConfig{Registry: metrics.NewRegistry("router", "r1"), Ready: func() error { return notReady }, Log: quiet()}
+	config := ServerConfig{Registry: metrics.NewRegistry("router", "r1"), Ready: func() error { return notReady }, Log: discardLogger()}
 	handler := Handler(config)
 	assert.Equal(t, get(t, handler, "/healthz").Code, http.StatusOK)
 	ready := get(t, handler, "/readyz")
@@ -46,20 +46,20 @@
 	assert.Equal(t, get(t, Handler(config), "/debug/pprof/").Code, http.StatusOK)
 }
 
-func TestSlowAndOversizedSendersAreCutOff(t *testing.T) {
+func TestSlowAndOversizedRequestsAreRejected(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	limits := Limits{HeaderTimeout: 50 * time.Millisecond, ReadTimeout: 100 * time.Millisecond, HeaderBytes: 1024, BodyBytes: 16}
-	reader := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	readBody := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.ReadAll(r.Body); err != nil {
 			AnswerReadError(w, err)
 		}
 	})
-	server := NewHTTPServer(reader, limits, nil, quiet())
+	server := NewHTTPServer(readBody, limits, nil, discardLogger())
 	go func() { _ = Serve(server, listener) }()
 	defer server.Close()
 
-	cases := []struct{ name, sent, answer string }{
+	cases := []struct{ name, request, response string }{
 		{"half a header", "GET / HTTP/1.1\r\nHost: a\r\n", ""},
 		{"half a body", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\n1234", "408 Request Timeout"},
 		{"large header", "GET / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", 8192) + "\r\n\r\n", "431 Request Header Fields Too Large"},
@@ -71,11 +71,11 @@
 			connection, err := net.Dial("tcp", listener.Addr().String())
 			assert.NilError(t, err)
 			defer connection.Close()
-			_, err = io.WriteString(connection, test.sent)
+			_, err = io.WriteString(connection, test.request)
 			assert.NilError(t, err)
-			answer, _ := io.ReadAll(connection) // ends when the server closes
-			assert.Assert(t, strings.Contains(string(answer), test.answer), "answer: %q", answer)
-			assert.Assert(t, test.answer != "" || len(answer) == 0, "answer: %q", answer)
+			response, _ := io.ReadAll(connection) // ends when the server closes
+			assert.Assert(t, strings.Contains(string(response), test.response), "response: %q", response)
+			assert.Assert(t, test.response != "" || len(response) == 0, "response: %q", response)
 		})
 	}
 }
@@ -92,10 +92,11 @@
 	assert.ErrorContains(t, SetLevel(level, "loud"), "loud")
 }
 
-// runWith runs a lifecycle in a bubble of virtual time; script sends signals.
-func runWith(t *testing.T, work time.Duration, script func(chan<- os.Signal)) (reloads int, took time.Duration, err error) {
+// runLifecycle runs a lifecycle on a fake clock (synctest), with a request in progress that
+// takes the time work; script sends signals.
+func runLifecycle(t *testing.T, work time.Duration, script func(chan<- os.Signal)) (reloads int, took time.Duration, err error) {
 	synctest.Test(t, func(t *testing.T) {
-		life := Lifecycle{
+		lifecycle := Lifecycle{
 			Run: func(ctx context.Context) error {
 				<-ctx.Done()
 				time.Sleep(work) // a request in progress
@@ -103,21 +104,21 @@
 			},
 			Reload:      func() { reloads++ },
 			StopTimeout: time.Minute,
-			Log:         quiet(),
+			Log:         discardLogger(),
 		}
 		signals := make(chan os.Signal)
 		go script(signals)
 		start := time.Now()
-		err = life.runUntil(context.Background(), signals)
+		err = lifecycle.runUntil(context.Background(), signals)
 		took = time.Since(start)
 		synctest.Wait()
-		time.Sleep(2 * work) // lets an abandoned Run end
+		time.Sleep(2 * work) // waits for a Run that outlived the stop timeout
 	})
 	return reloads, took, err
 }
 
 func TestPlannedStopWaitsForWork(t *testing.T) {
-	reloads, took, err := runWith(t, 40*time.Second, func(signals chan<- os.Signal) {
+	reloads, took, err := runLifecycle(t, 40*time.Second, func(signals chan<- os.Signal) {
 		signals <- syscall.SIGHUP
 		signals <- syscall.SIGTERM
 		signals <- syscall.SIGHUP // ignored while stopping
@@ -128,13 +129,13 @@
 }
 
 func TestPlannedStopIsBounded(t *testing.T) {
-	_, took, err := runWith(t, time.Hour, func(signals chan<- os.Signal) { signals <- syscall.SIGTERM })
+	_, took, err := runLifecycle(t, time.Hour, func(signals chan<- os.Signal) { signals <- syscall.SIGTERM })
 	assert.ErrorIs(t, err, ErrStopTimeout)
 	assert.Equal(t, took, time.Minute)
 }
 
 func TestSecondSignalEndsTheWait(t *testing.T) {
-	_, took, err := runWith(t, time.Hour, func(signals chan<- os.Signal) {
+	_, took, err := runLifecycle(t, time.Hour, func(signals chan<- os.Signal) {
 		signals <- syscall.SIGTERM
 		signals <- syscall.SIGINT
 	})
@@ -142,30 +143,29 @@
 	assert.Equal(t, took, time.Duration(0))
 }
 
-// Monitoring has a request in progress that lasts for longer than its stop may,
-// as a profile does. The stop ends all the same.
-func TestStopOfMonitoringIsBounded(t *testing.T) {
-	entered, thaw := make(chan struct{}), make(chan struct{})
-	defer close(thaw)
+// Stop must return in time while a request is in progress that lasts longer than
+// the stop timeout, as the download of a profile does.
+func TestMonitoringStopIsBounded(t *testing.T) {
+	entered, release := make(chan struct{}), make(chan struct{})
+	defer close(release)
 	server, err := StartServer(ServerConfig{
-		Listen: "127.0.0.1:0", Registry: metrics.NewRegistry("router", "r1"), Log: quiet(),
+		Listen: "127.0.0.1:0", Registry: metrics.NewRegistry("router", "r1"), Log: discardLogger(),
 		Ready: func() error {
 			close(entered)
-			<-thaw
+			<-release
 			return nil
 		},
 	})
 	assert.NilError(t, err)
-	cutOff := make(chan error, 1)
+	requestError := make(chan error, 1)
 	go func() {
 		_, err := http.Get("http://" + server.Address() + "/readyz")
-		cutOff <- err
+		requestError <- err
 	}()
 	<-entered
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 	defer cancel()
 	assert.ErrorIs(t, server.Stop(ctx), context.DeadlineExceeded)
-	// Nothing of it is left behind: the listener has ended and so has the
-	// connection, which the handler still holds.
-	assert.Assert(t, <-cutOff != nil)
+	// Stop must also close the connection of the handler that still runs.
+	assert.Assert(t, <-requestError != nil)
 }
--- a/internal/ops/server.go
+++ b/internal/ops/server.go
@@ -15,20 +15,20 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// ServerConfig configures the listener for monitoring.
+// ServerConfig configures the monitoring listener.
 type ServerConfig struct {
-	// Listen is "IP:port"; port 0 takes a free one.
+	// Listen is "IP:port"; port 0 chooses a free port.
 	Listen string
-	// Pprof serves /debug/pprof.
+	// Pprof enables /debug/pprof.
 	Pprof bool
 	// TLS, if set, serves HTTPS.
 	TLS *tls.Config
 	// Registry is served at /metrics.
 	Registry *prometheus.Registry
-	// Ready returns why the process cannot do its work now, or nil. It is
-	// called at each /readyz and must not block.
+	// Ready returns why the process is not ready, or nil. It is called for
+	// each request to /readyz and must not block.
 	Ready func() error
-	// Log takes changes of state.
+	// Log receives the HTTP server's errors, at level debug.
 	Log *slog.Logger
 }
 
@@ -39,7 +39,7 @@
 	done    chan error
 }
 
-// StartServer listens and serves until Stop.
+// StartServer starts the monitoring listener, which serves until Stop.
 func StartServer(config ServerConfig) (*Server, error) {
 	listener, err := net.Listen("tcp", config.Listen)
 	if err != nil {
@@ -54,11 +54,12 @@
 	return server, nil
 }
 
-// Address returns "IP:port" as bound.
+// Address returns the "IP:port" that the listener is bound to.
 func (server *Server) Address() string { return server.address }
 
-// Stop finishes requests in progress and closes the listener. When the context
-// ends first, it closes what is left and returns the context's error.
+// Stop closes the listener and waits for requests in progress. If the context
+// ends first, it closes the remaining connections and returns the context's
+// error.
 func (server *Server) Stop(ctx context.Context) error {
 	if err := server.server.Shutdown(ctx); err != nil {
 		return fmt.Errorf("stop of the monitoring listener: %w", errors.Join(err, server.server.Close()))
@@ -66,7 +67,7 @@
 	return <-server.done
 }
 
-// Handler returns the routes of the listener for monitoring.
+// Handler returns the handler of the monitoring listener.
 func Handler(config ServerConfig) http.Handler {
 	router := chi.NewRouter()
 	router.Method(http.MethodGet, "/metrics", promhttp.HandlerFor(config.Registry, promhttp.HandlerOpts{Registry: config.Registry}))
@@ -78,13 +79,12 @@
 	return router
 }
 
-// serveHealth answers that the process runs and its HTTP server answers.
+// serveHealth answers 200, which shows that the process is running.
 func serveHealth(w http.ResponseWriter, _ *http.Request) {
 	fmt.Fprintln(w, "ok")
 }
 
-// serveReadiness answers 200 where the process can do its work, else 503 with
-// the reason.
+// serveReadiness answers 200 if the process is ready, else 503 with the reason.
 func serveReadiness(ready func() error) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if err := ready(); err != nil {
@@ -95,7 +95,7 @@
 	}
 }
 
-// mountPprof adds the handlers of net/http/pprof below the present route.
+// mountPprof adds the handlers of net/http/pprof to a subrouter.
 func mountPprof(router chi.Router) {
 	router.Get("/", pprof.Index)
 	router.Get("/cmdline", pprof.Cmdline)
