--- a/internal/settings/admin.go
+++ b/internal/settings/admin.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Admin is the settings of the operators' client.
+// Admin holds the settings of the operators' client.
 type Admin struct {
 	Controllers     []string
 	CertificateFile string
@@ -13,7 +13,7 @@
 	Author          string
 }
 
-// declare adds the fields.
+// declare implements Schema.
 func (admin *Admin) declare(set *FieldSet) {
 	set.texts(&admin.Controllers, Field{
 		Name: "rpc.controllers", Default: "127.0.0.1:7103", Unit: "IP:port",
--- a/internal/settings/agent.go
+++ b/internal/settings/agent.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Agent is the settings of an agent, which runs beside one back end.
+// Agent holds the settings of an agent, which runs next to one back end.
 type Agent struct {
 	Process
 	Controllers   []string
 	DataFolder    string
 	RequestListen string
-	// RequestAdvertise is empty where it equals RequestListen.
+	// RequestAdvertise is empty if RequestListen is advertised.
 	RequestAdvertise   string
 	BackendAddress     string
 	MaximumBodyBytes   int
@@ -19,7 +19,7 @@
 	LoadInterval       time.Duration
 }
 
-// declare adds the fields.
+// declare implements Schema.
 func (agent *Agent) declare(set *FieldSet) {
 	agent.Process.declare(set, "127.0.0.1:7203")
 	declareControllers(set, &agent.Controllers)
@@ -63,8 +63,8 @@
 		Name: "backend.load-interval", Default: "1s",
 		Usage: "How often the back end's own load endpoint is read. Its word is a hint only.",
 	}, 100*time.Millisecond, time.Hour)
-	agent.TLS.requireOffLoopback(set, "requests.listen", "ops.listen")
-	requireTLSTowards(set, &agent.TLS, "controllers")
+	agent.TLS.requireTLSOffLoopback(set, "requests.listen", "ops.listen")
+	requireTLSForAddresses(set, &agent.TLS, "controllers")
 	set.check(func(report func(field, problem string)) {
 		if agent.BackendAddress != "" && agent.BackendAddress == agent.RequestListen {
 			report("backend.address", "is the agent's own requests.listen")
--- a/internal/settings/controller.go
+++ b/internal/settings/controller.go
@@ -10,7 +10,7 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// Controller is the settings of a controller, one replica of the control
+// Controller holds the settings of a controller, one replica of the control
 // state.
 type Controller struct {
 	Process
@@ -19,7 +19,7 @@
 	Peers         []string
 	Join          bool
 	SessionListen string
-	// SessionAdvertise is empty where it equals SessionListen.
+	// SessionAdvertise is empty if SessionListen is advertised.
 	SessionAdvertise string
 	PeerListen       string
 	RPCListen        string
@@ -34,7 +34,7 @@
 	Address string
 }
 
-// declare adds the fields.
+// declare implements Schema.
 func (controller *Controller) declare(set *FieldSet) {
 	controller.Process.declare(set, "127.0.0.1:7104")
 	set.text(&controller.DataFolder, Field{
@@ -84,10 +84,11 @@
 	})
 	set.check(controller.checkPeers)
 	set.check(controller.checkLease)
-	controller.TLS.requireOffLoopback(set, "session.listen", "peer.listen", "rpc.listen", "ops.listen")
+	controller.TLS.requireTLSOffLoopback(set, "session.listen", "peer.listen", "rpc.listen", "ops.listen")
 }
 
-// checkPeers requires this replica among the initial members, and each once.
+// checkPeers reports peers that are listed twice, and a replica-id that does not fit
+// join and the listed peers.
 func (controller *Controller) checkPeers(report func(field, problem string)) {
 	seen := make(map[topology.ReplicaID]bool)
 	for _, peer := range controller.InitialPeers() {
@@ -107,7 +108,8 @@
 	}
 }
 
-// checkLease requires that two renewals can be lost.
+// checkLease requires a renew interval of at most a third of the lease, so that two
+// renewals can be lost.
 func (controller *Controller) checkLease(report func(field, problem string)) {
 	const renewalsPerLease = 3
 	if controller.RenewInterval*renewalsPerLease > controller.LeaseDuration {
@@ -115,7 +117,8 @@
 	}
 }
 
-// InitialPeers returns the parsed peers.
+// InitialPeers returns the parsed peers. Invalid ones are left out, as they are
+// reported as findings.
 func (controller *Controller) InitialPeers() []Peer {
 	peers := make([]Peer, 0, len(controller.Peers))
 	for _, text := range controller.Peers {
--- a/internal/settings/example.go
+++ b/internal/settings/example.go
@@ -9,8 +9,8 @@
 // exampleWidth is the column at which comments are wrapped.
 const exampleWidth = 96
 
-// WriteExample writes a settings file that explains every field, its unit
-// and its default.
+// WriteExample writes a settings file that describes each field with its unit
+// and default.
 func WriteExample(out io.Writer, role string, schema Schema) error {
 	var text strings.Builder
 	fmt.Fprintf(&text, "# Settings of role %s. Start: quartzdock %s --config FILE\n", role, role)
@@ -36,7 +36,7 @@
 		indent, key = "  ", strings.TrimPrefix(field.Name, section+".")
 	}
 	text.WriteString("\n")
-	for _, line := range wrap(field.Usage+" "+field.facts(), exampleWidth) {
+	for _, line := range wrap(field.Usage+" "+field.describe(), exampleWidth) {
 		fmt.Fprintf(text, "%s# %s\n", indent, line)
 	}
 	value := field.Example
@@ -58,28 +58,29 @@
 	}
 }
 
-// facts returns unit, default, variable and whether a restart is needed.
-func (field *Field) facts() string {
-	var facts []string
+// describe returns the field's unit, default and environment variable, and
+// whether SIGHUP reloads it.
+func (field *Field) describe() string {
+	var sentences []string
 	if field.Unit != "" {
-		facts = append(facts, "Unit: "+field.Unit+".")
+		sentences = append(sentences, "Unit: "+field.Unit+".")
 	}
 	switch {
 	case field.Required:
-		facts = append(facts, "Required.")
+		sentences = append(sentences, "Required.")
 	case field.Default == "":
-		facts = append(facts, "Default: empty.")
+		sentences = append(sentences, "Default: empty.")
 	default:
-		facts = append(facts, "Default: "+field.Default+".")
+		sentences = append(sentences, "Default: "+field.Default+".")
 	}
 	if field.Reloadable {
-		facts = append(facts, "Reread at SIGHUP.")
+		sentences = append(sentences, "Reread at SIGHUP.")
 	}
-	facts = append(facts, "Environment: "+field.EnvironmentVariable()+".")
-	return strings.Join(facts, " ")
+	sentences = append(sentences, "Environment: "+field.EnvironmentVariable()+".")
+	return strings.Join(sentences, " ")
 }
 
-// quoted returns a YAML scalar, with quotes where empty.
+// quoted returns a YAML scalar, with quotes if it is empty.
 func quoted(value string) string {
 	if value == "" {
 		return `""`
--- a/internal/settings/field.go
+++ b/internal/settings/field.go
@@ -4,36 +4,36 @@
 	"strings"
 )
 
-// EnvironmentPrefix starts the name of every environment variable that is
-// read.
+// EnvironmentPrefix is the prefix of all environment variables that are read.
 const EnvironmentPrefix = "QUARTZDOCK"
 
 // Field is the declaration of one setting.
 type Field struct {
 	// Name is dotted, "section.field" or "field".
 	Name string
-	// Usage explains the field to an operator, in whole sentences.
+	// Usage describes the field for operators, in complete sentences.
 	Usage string
-	// Unit of the value, for example "duration" or "connections"; empty for
-	// plain text.
+	// Unit is the unit of the value, for example "connections"; empty for plain
+	// text.
 	Unit string
-	// Default as it would be written in the file.
+	// Default is the default as it would be written in the file.
 	Default string
-	// Example is what the example file shows; empty shows Default.
+	// Example is the value in the example file; empty uses Default.
 	Example string
 	// Required fields have no default.
 	Required bool
-	// Reloadable fields take a new value at SIGHUP; others need a restart.
+	// Reloadable fields are reloaded at SIGHUP; others need a restart.
 	Reloadable bool
-	// List fields take a YAML sequence, or a comma-separated flag.
+	// List fields accept a YAML sequence, or comma-separated values in a flag.
 	List bool
 
-	// assign parses and checks; the error is the problem of a Finding.
+	// assign parses, checks and stores values; the error is the Problem of a
+	// Finding.
 	assign func(values []string) error
 	origin Origin
-	given  bool
+	isSet  bool
 	valid  bool
-	// values as last assigned.
+	// values are the texts that were last assigned.
 	values []string
 }
 
@@ -46,7 +46,7 @@
 
 // set assigns values from an origin and returns the finding, if any.
 func (field *Field) set(origin Origin, values []string) (Finding, bool) {
-	field.origin, field.given, field.values = origin, true, values
+	field.origin, field.isSet, field.values = origin, true, values
 	field.valid = true
 	if err := field.assign(values); err != nil {
 		field.valid = false
@@ -55,11 +55,11 @@
 	return Finding{}, true
 }
 
-// FieldSet is the declared fields of one role, in order.
+// FieldSet holds the declared fields of one role, in order of declaration.
 type FieldSet struct {
 	fields []*Field
 	byName map[string]*Field
-	// checks look at several fields together, after all have been assigned.
+	// checks involve several fields and run after all have been assigned.
 	checks []func(report func(field, problem string))
 }
 
@@ -68,20 +68,20 @@
 	declare(*FieldSet)
 }
 
-// FieldsOf declares the fields of a settings struct, which sets every
-// default in it.
+// FieldsOf declares the fields of a settings struct. It sets all defaults in the
+// struct.
 func FieldsOf(schema Schema) *FieldSet {
 	set := &FieldSet{byName: make(map[string]*Field)}
 	schema.declare(set)
 	return set
 }
 
-// Fields returns the declarations in order.
+// Fields returns the fields in order of declaration.
 func (set *FieldSet) Fields() []*Field { return set.fields }
 
 // add declares a field and assigns its default.
 func (set *FieldSet) add(field *Field) *Field {
-	if _, twice := set.byName[field.Name]; twice {
+	if _, duplicate := set.byName[field.Name]; duplicate {
 		panic("settings: field declared twice: " + field.Name)
 	}
 	set.fields = append(set.fields, field)
@@ -96,13 +96,13 @@
 	return field
 }
 
-// check declares a condition over several fields. Its report takes the field
-// whose place the finding gets.
-func (set *FieldSet) check(condition func(report func(field, problem string))) {
-	set.checks = append(set.checks, condition)
+// check adds a check that involves several fields. It reports each problem with
+// the name of a field, whose origin the finding gets.
+func (set *FieldSet) check(check func(report func(field, problem string))) {
+	set.checks = append(set.checks, check)
 }
 
-// isSection says whether any field lies below the name.
+// isSection reports whether the name is a section with fields.
 func (set *FieldSet) isSection(name string) bool {
 	for _, field := range set.fields {
 		if strings.HasPrefix(field.Name, name+".") {
@@ -114,14 +114,14 @@
 
 // sectionOf returns the part of a field name before the last dot.
 func sectionOf(name string) string {
-	at := strings.LastIndexByte(name, '.')
-	if at < 0 {
+	dot := strings.LastIndexByte(name, '.')
+	if dot < 0 {
 		return ""
 	}
-	return name[:at]
+	return name[:dot]
 }
 
-// splitList splits a comma-separated text where the field is a list.
+// splitList splits a comma-separated text if the field is a list.
 func splitList(text string, list bool) []string {
 	if !list {
 		return []string{text}
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -15,14 +15,15 @@
 	name     string
 	set      *FieldSet
 	findings Findings
-	// seen holds the names found so far with their lines, for repeated keys.
+	// seen maps the names read so far to their lines, to detect duplicate keys.
 	seen map[string]int
 }
 
-// readFile assigns every known field of a file and returns all findings.
+// readFile assigns the fields that a file sets and returns all findings.
 func (set *FieldSet) readFile(name string, text []byte) Findings {
 	reader := &fileReader{name: name, set: set, seen: make(map[string]int)}
-	// Repeated keys are allowed here so that they become findings like others.
+	// The parser accepts duplicate keys, so that they are reported as findings with
+	// all others.
 	file, err := parser.ParseBytes(text, 0, parser.AllowDuplicateMapKey())
 	if err != nil {
 		return Findings{reader.syntaxFinding(err)}
@@ -36,7 +37,7 @@
 	return reader.findings
 }
 
-// syntaxFinding turns a parser's error into a finding.
+// syntaxFinding converts a parser error to a finding.
 func (reader *fileReader) syntaxFinding(err error) Finding {
 	finding := Finding{Origin: Origin{Source: reader.name, Line: 1, Column: 1}, Problem: err.Error()}
 	var positioned yaml.Error
@@ -44,13 +45,14 @@
 		return finding
 	}
 	finding.Problem = "not YAML: " + positioned.GetMessage()
-	if at := positioned.GetToken(); at != nil {
-		finding.Origin = reader.origin(at)
+	if tok := positioned.GetToken(); tok != nil {
+		finding.Origin = reader.origin(tok)
 	}
 	return finding
 }
 
-// readSection reads one mapping. Its prefix is the section's dotted name.
+// readSection reads one mapping. The names of its fields are prefixed with the
+// section's name and a dot.
 func (reader *fileReader) readSection(section string, node ast.Node) {
 	mapping, ok := node.(ast.MapNode)
 	if !ok {
@@ -62,14 +64,14 @@
 	}
 }
 
-// readEntry reads one key and its value or section.
+// readEntry reads one key with its value or section.
 func (reader *fileReader) readEntry(section string, entry *ast.MappingValueNode) {
 	key := entry.Key.GetToken()
 	name := key.Value
 	if section != "" {
 		name = section + "." + name
 	}
-	if line, twice := reader.seen[name]; twice {
+	if line, duplicate := reader.seen[name]; duplicate {
 		reader.report(key, name, fmt.Sprintf("given twice, first on line %d", line))
 		return
 	}
@@ -83,7 +85,7 @@
 			reader.readSection(name, entry.Value)
 		}
 	default:
-		reader.report(key, name, reader.unknownProblem(name))
+		reader.report(key, name, reader.unknownFieldProblem(name))
 	}
 }
 
@@ -104,7 +106,8 @@
 	}
 }
 
-// scalars returns the plain values of a node: one, or those of a sequence.
+// scalars returns the value of a scalar node, or the values of a sequence of
+// scalars.
 func scalars(node ast.Node) ([]string, bool) {
 	switch node := node.(type) {
 	case *ast.NullNode:
@@ -128,24 +131,25 @@
 	}
 }
 
-// unknownProblem names the nearest known field where there is one.
-func (reader *fileReader) unknownProblem(name string) string {
-	if near := reader.set.nearest(name); near != "" {
-		return fmt.Sprintf("unknown field; did you mean %s?", near)
+// unknownFieldProblem describes an unknown field and suggests a known one with a
+// similar name.
+func (reader *fileReader) unknownFieldProblem(name string) string {
+	if suggestion := reader.set.nearestField(name); suggestion != "" {
+		return fmt.Sprintf("unknown field; did you mean %s?", suggestion)
 	}
 	return "unknown field"
 }
 
-// report collects a finding at a token.
-func (reader *fileReader) report(at *token.Token, field, problem string) {
-	finding := Finding{Origin: reader.origin(at), Field: field, Problem: problem}
+// report adds a finding at a token.
+func (reader *fileReader) report(tok *token.Token, field, problem string) {
+	finding := Finding{Origin: reader.origin(tok), Field: field, Problem: problem}
 	reader.findings = append(reader.findings, finding)
 }
 
-// origin returns the place of a token.
-func (reader *fileReader) origin(at *token.Token) Origin {
-	if at == nil || at.Position == nil {
+// origin returns the position of a token; the start of the file if it has none.
+func (reader *fileReader) origin(tok *token.Token) Origin {
+	if tok == nil || tok.Position == nil {
 		return Origin{Source: reader.name, Line: 1, Column: 1}
 	}
-	return Origin{Source: reader.name, Line: at.Position.Line, Column: at.Position.Column}
+	return Origin{Source: reader.name, Line: tok.Position.Line, Column: tok.Position.Column}
 }
--- a/internal/settings/finding.go
+++ b/internal/settings/finding.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Origin is the place that a value came from. Its zero value is the default.
+// Origin is where a value was set. The zero value stands for the default.
 type Origin struct {
 	// Source is a file name, a flag ("--name") or an environment variable.
 	Source string
@@ -30,13 +30,14 @@
 // Finding is one problem in the settings.
 type Finding struct {
 	Origin Origin
-	// Field is the dotted name, empty where the file as a whole is unreadable.
+	// Field is the dotted name; empty if the finding concerns the whole file or an
+	// environment variable.
 	Field string
-	// Problem says what is wrong and what is allowed.
+	// Problem describes what is wrong and what is allowed.
 	Problem string
 }
 
-// String returns "place: field: problem".
+// String returns "origin: field: problem".
 func (finding Finding) String() string {
 	if finding.Field == "" {
 		return fmt.Sprintf("%s: %s", finding.Origin, finding.Problem)
@@ -44,8 +45,8 @@
 	return fmt.Sprintf("%s: %s: %s", finding.Origin, finding.Field, finding.Problem)
 }
 
-// Findings is every problem of one set of settings, in order of place. It is
-// an error.
+// Findings holds all problems of the settings of a process, ordered by origin. It
+// implements error.
 type Findings []Finding
 
 // Error returns one line per finding.
@@ -57,8 +58,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// inOrder sorts findings by source, line, column and field.
-func (findings Findings) inOrder() Findings {
+// sorted sorts findings in place by source, line, column and field.
+func (findings Findings) sorted() Findings {
 	sort.SliceStable(findings, func(i, j int) bool {
 		a, b := findings[i], findings[j]
 		if a.Origin.Source != b.Origin.Source {
--- a/internal/settings/kinds.go
+++ b/internal/settings/kinds.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// unitBool is the unit of a field that is true or false.
+// unitBool is the unit of boolean fields.
 const unitBool = "true or false"
 
-// condition checks one parsed value.
-type condition[T any] func(T) error
+// constraint checks a parsed value.
+type constraint[T any] func(T) error
 
-// declareScalar adds a field of one value to the set.
-func declareScalar[T any](set *FieldSet, target *T, field Field, parse func(string) (T, error), conditions ...condition[T]) {
+// declareScalar declares a field with a single value.
+func declareScalar[T any](set *FieldSet, target *T, field Field, parse func(string) (T, error), constraints ...constraint[T]) {
 	field.assign = func(values []string) error {
 		if len(values) != 1 {
 			return errors.New("one value expected, not a list")
@@ -26,8 +26,8 @@
 		if err != nil {
 			return err
 		}
-		for _, holds := range conditions {
-			if err := holds(value); err != nil {
+		for _, check := range constraints {
+			if err := check(value); err != nil {
 				return err
 			}
 		}
@@ -38,25 +38,26 @@
 }
 
 // text declares a string field.
-func (set *FieldSet) text(target *string, field Field, conditions ...condition[string]) {
+func (set *FieldSet) text(target *string, field Field, constraints ...constraint[string]) {
 	parse := func(text string) (string, error) { return text, nil }
-	declareScalar(set, target, field, parse, conditions...)
+	declareScalar(set, target, field, parse, constraints...)
 }
 
-// texts declares a list of strings.
-func (set *FieldSet) texts(target *[]string, field Field, each ...condition[string]) {
+// texts declares a field with a list of strings. Each constraint applies to every
+// item.
+func (set *FieldSet) texts(target *[]string, field Field, constraints ...constraint[string]) {
 	field.List = true
 	field.assign = func(values []string) error {
 		var problems []error
 		for _, value := range values {
-			for _, holds := range each {
-				if err := holds(value); err != nil {
+			for _, check := range constraints {
+				if err := check(value); err != nil {
 					problems = append(problems, fmt.Errorf("%q: %w", value, err))
 				}
 			}
 		}
 		if len(problems) > 0 {
-			return joinOnOneLine(problems)
+			return joinErrors(problems)
 		}
 		*target = values
 		return nil
@@ -64,39 +65,39 @@
 	set.add(&field)
 }
 
-// duration declares a duration with a unit suffix, for example "500ms".
-func (set *FieldSet) duration(target *time.Duration, field Field, least, most time.Duration) {
-	field.Unit = fmt.Sprintf("duration with unit, %s to %s", least, most)
+// duration declares a duration field with a unit suffix, for example "500ms".
+func (set *FieldSet) duration(target *time.Duration, field Field, minimum, maximum time.Duration) {
+	field.Unit = fmt.Sprintf("duration with unit, %s to %s", minimum, maximum)
 	parse := func(text string) (time.Duration, error) {
 		value, err := time.ParseDuration(text)
 		if err != nil {
 			return 0, fmt.Errorf("%q is not a duration such as 500ms, 2s or 1m", text)
 		}
-		if value < least || value > most {
-			return 0, fmt.Errorf("%s is outside of %s to %s", value, least, most)
+		if value < minimum || value > maximum {
+			return 0, fmt.Errorf("%s is outside of %s to %s", value, minimum, maximum)
 		}
 		return value, nil
 	}
 	declareScalar(set, target, field, parse)
 }
 
-// count declares a whole number.
-func (set *FieldSet) count(target *int, field Field, least, most int) {
-	field.Unit = strings.TrimSpace(fmt.Sprintf("%s, %d to %d", field.Unit, least, most))
+// count declares an integer field.
+func (set *FieldSet) count(target *int, field Field, minimum, maximum int) {
+	field.Unit = strings.TrimSpace(fmt.Sprintf("%s, %d to %d", field.Unit, minimum, maximum))
 	parse := func(text string) (int, error) {
 		value, err := strconv.Atoi(text)
 		if err != nil {
 			return 0, fmt.Errorf("%q is not a whole number", text)
 		}
-		if value < least || value > most {
-			return 0, fmt.Errorf("%d is outside of %d to %d", value, least, most)
+		if value < minimum || value > maximum {
+			return 0, fmt.Errorf("%d is outside of %d to %d", value, minimum, maximum)
 		}
 		return value, nil
 	}
 	declareScalar(set, target, field, parse)
 }
 
-// share declares a part of one, from 0 to 1.
+// share declares a field with a fraction from 0 to 1.
 func (set *FieldSet) share(target *float64, field Field) {
 	field.Unit = "share from 0 to 1"
 	parse := func(text string) (float64, error) {
@@ -109,7 +110,7 @@
 	declareScalar(set, target, field, parse)
 }
 
-// flag declares a field that is true or false.
+// flag declares a boolean field.
 func (set *FieldSet) flag(target *bool, field Field) {
 	field.Unit = unitBool
 	parse := func(text string) (bool, error) {
@@ -124,7 +125,7 @@
 	declareScalar(set, target, field, parse)
 }
 
-// notEmpty refuses empty text.
+// notEmpty rejects blank text.
 func notEmpty(text string) error {
 	if strings.TrimSpace(text) == "" {
 		return errors.New("must not be empty")
@@ -134,9 +135,9 @@
 
 // isName accepts letters, digits, '-', '_' and '.', up to 63 bytes.
 func isName(text string) error {
-	const most = 63
-	if text == "" || len(text) > most {
-		return fmt.Errorf("a name has 1 to %d characters", most)
+	const maxLength = 63
+	if text == "" || len(text) > maxLength {
+		return fmt.Errorf("a name has 1 to %d characters", maxLength)
 	}
 	for _, letter := range text {
 		if !isNameLetter(letter) {
@@ -146,7 +147,7 @@
 	return nil
 }
 
-// isNameLetter says whether a character may stand in a name.
+// isNameLetter reports whether a character is allowed in a name.
 func isNameLetter(letter rune) bool {
 	switch {
 	case letter >= 'a' && letter <= 'z', letter >= 'A' && letter <= 'Z', letter >= '0' && letter <= '9':
@@ -155,18 +156,18 @@
 	return strings.ContainsRune("-_.", letter)
 }
 
-// optional lets empty text pass a condition.
-func optional(holds condition[string]) condition[string] {
+// optional returns a constraint that also accepts empty text.
+func optional(check constraint[string]) constraint[string] {
 	return func(text string) error {
 		if text == "" {
 			return nil
 		}
-		return holds(text)
+		return check(text)
 	}
 }
 
-// isAddress accepts "IP:port" with an IP number, as processes talk by IP
-// numbers only.
+// isAddress accepts "IP:port". Host names are rejected, because processes connect
+// by IP address only.
 func isAddress(text string) error {
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
@@ -178,8 +179,8 @@
 	return nil
 }
 
-// oneOf accepts only the listed texts.
-func oneOf(allowed ...string) condition[string] {
+// oneOf returns a constraint that accepts only the listed texts.
+func oneOf(allowed ...string) constraint[string] {
 	return func(text string) error {
 		for _, one := range allowed {
 			if text == one {
@@ -190,7 +191,7 @@
 	}
 }
 
-// onLoopback says whether an "IP:port" is on loopback.
+// onLoopback reports whether an "IP:port" is a loopback address.
 func onLoopback(address string) bool {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -200,8 +201,8 @@
 	return err == nil && number.IsLoopback()
 }
 
-// joinOnOneLine joins errors with "; ", as a finding is one line.
-func joinOnOneLine(problems []error) error {
+// joinErrors joins errors with "; ", because a finding is a single line.
+func joinErrors(problems []error) error {
 	texts := make([]string, len(problems))
 	for i, problem := range problems {
 		texts[i] = problem.Error()
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// Loader reads the settings of one process; it can be used again at SIGHUP.
+// Loader reads the settings of one process. It can be reused to reload them.
 type Loader struct {
-	// File is the settings file; empty reads none.
+	// File is the path of the settings file; empty reads none.
 	File string
-	// Overrides come from flags and the environment.
+	// Overrides are the values given by flags and the environment.
 	Overrides *Overrides
 }
 
-// Load fills a settings struct. The error is a Findings with every problem,
-// or nil. The struct is not to be used after an error.
+// Load sets the fields of a settings struct. The error is nil or a Findings with
+// every problem; the struct must not be used after an error.
 func (loader *Loader) Load(schema Schema) (*FieldSet, error) {
 	set := FieldsOf(schema)
 	var findings Findings
@@ -30,54 +30,54 @@
 	if loader.Overrides != nil {
 		findings = append(findings, loader.Overrides.apply(set)...)
 	}
-	whole := loader.wholeFile()
-	findings = append(findings, set.missing(whole)...)
-	findings = append(findings, set.runChecks(whole)...)
+	fileOrigin := loader.fileOrigin()
+	findings = append(findings, set.missingFields(fileOrigin)...)
+	findings = append(findings, set.runChecks(fileOrigin)...)
 	if len(findings) > 0 {
-		return nil, findings.inOrder()
+		return nil, findings.sorted()
 	}
 	return set, nil
 }
 
-// wholeFile is the place of findings about fields that were not given.
-func (loader *Loader) wholeFile() Origin {
+// fileOrigin returns the origin of findings about fields that are not set.
+func (loader *Loader) fileOrigin() Origin {
 	if loader.File == "" {
 		return Origin{Source: "no settings file"}
 	}
 	return Origin{Source: loader.File, Line: 1, Column: 1}
 }
 
-// missing reports the required fields that were not given.
-func (set *FieldSet) missing(whole Origin) Findings {
+// missingFields reports the required fields that are not set.
+func (set *FieldSet) missingFields(fileOrigin Origin) Findings {
 	var findings Findings
 	for _, field := range set.fields {
-		if !field.Required || field.given {
+		if !field.Required || field.isSet {
 			continue
 		}
 		problem := fmt.Sprintf("required; give it in the file, as --%s or as %s", field.Name, field.EnvironmentVariable())
-		findings = append(findings, Finding{Origin: whole, Field: field.Name, Problem: problem})
+		findings = append(findings, Finding{Origin: fileOrigin, Field: field.Name, Problem: problem})
 	}
 	return findings
 }
 
-// runChecks evaluates the conditions over several fields.
-func (set *FieldSet) runChecks(whole Origin) Findings {
+// runChecks runs the checks that involve several fields.
+func (set *FieldSet) runChecks(fileOrigin Origin) Findings {
 	var findings Findings
 	report := func(name, problem string) {
 		origin := set.byName[name].origin
 		if origin == (Origin{}) {
-			origin = whole
+			origin = fileOrigin
 		}
 		findings = append(findings, Finding{Origin: origin, Field: name, Problem: problem})
 	}
-	for _, condition := range set.checks {
-		condition(report)
+	for _, check := range set.checks {
+		check(report)
 	}
 	return findings
 }
 
-// Adopt takes newly loaded values of the reloadable fields into the fields in
-// force. It returns the names that changed, and those that differ but need a
+// Adopt replaces the values of reloadable fields by newly loaded ones. It returns
+// the names of the fields that changed, and of those that differ but need a
 // restart.
 func (set *FieldSet) Adopt(loaded *FieldSet) (changed, needRestart []string) {
 	for i, field := range set.fields {
@@ -90,14 +90,14 @@
 			continue
 		}
 		changed = append(changed, field.Name)
-		field.given, field.values, field.origin = next.given, next.values, next.origin
+		field.isSet, field.values, field.origin = next.isSet, next.values, next.origin
 	}
 	return changed, needRestart
 }
 
-// effective returns the values in force: those given, or the default.
+// effective returns the values that were set, or the default.
 func (field *Field) effective() []string {
-	if field.given {
+	if field.isSet {
 		return field.values
 	}
 	return splitList(field.Default, field.List)
--- a/internal/settings/nearest.go
+++ b/internal/settings/nearest.go
@@ -1,12 +1,12 @@
 package settings
 
-// nearestDistance is the largest edit distance at which a name is suggested.
-const nearestDistance = 3
+// maxSuggestionDistance is the largest edit distance at which a name is suggested.
+const maxSuggestionDistance = 3
 
-// nearest returns the known field with the least edit distance to a name, or
-// "" where none is near.
-func (set *FieldSet) nearest(name string) string {
-	best, bestDistance := "", nearestDistance+1
+// nearestField returns the known field with the smallest edit distance to a name,
+// or "" if none is within maxSuggestionDistance.
+func (set *FieldSet) nearestField(name string) string {
+	best, bestDistance := "", maxSuggestionDistance+1
 	for _, field := range set.fields {
 		if distance := editDistance(name, field.Name); distance < bestDistance {
 			best, bestDistance = field.Name, distance
@@ -15,7 +15,7 @@
 	return best
 }
 
-// editDistance returns the Levenshtein distance of two texts, in bytes.
+// editDistance returns the Levenshtein distance between two texts, in bytes.
 func editDistance(a, b string) int {
 	previous := make([]int, len(b)+1)
 	for j := range previous {
--- a/internal/settings/override.go
+++ b/internal/settings/override.go
@@ -9,7 +9,7 @@
 	"github.com/peterbourgon/ff/v4"
 )
 
-// Names of the flags that every role has besides its fields.
+// Names of the flags that every role has in addition to its fields.
 const (
 	flagConfig = "config"
 	flagCheck  = "check"
@@ -20,7 +20,7 @@
 type Overrides struct {
 	// Config is the settings file named by --config.
 	Config string
-	// Check only validates.
+	// Check is set by --check: validate the settings and exit.
 	Check bool
 
 	flags  *ff.FlagSet
@@ -29,14 +29,14 @@
 	environment []string
 }
 
-// rawValue keeps what a flag was set to.
+// rawValue collects the texts that a flag was set to.
 type rawValue struct {
-	texts    []string
-	fallback string
-	isBool   bool
+	texts       []string
+	defaultText string
+	isBool      bool
 }
 
-// Set implements flag.Value and never fails; Load reports problems.
+// Set implements flag.Value. It never fails; Loader.Load reports invalid values.
 func (value *rawValue) Set(text string) error {
 	value.texts = append(value.texts, text)
 	return nil
@@ -45,17 +45,16 @@
 // String implements flag.Value.
 func (value *rawValue) String() string {
 	if len(value.texts) == 0 {
-		return value.fallback
+		return value.defaultText
 	}
 	return strings.Join(value.texts, ",")
 }
 
-// IsBoolFlag lets a flag of a true-or-false field stand without a value.
+// IsBoolFlag allows the flag of a boolean field without a value.
 func (value *rawValue) IsBoolFlag() bool { return value.isBool }
 
 // NewOverrides declares one flag per field of the schema, and --config and
-// --check. The flags are parsed by the ff command that they belong to, with
-// EnvironmentPrefix.
+// --check. The ff command that has the flags parses them, with EnvironmentPrefix.
 func NewOverrides(role string, schema Schema) *Overrides {
 	overrides := &Overrides{
 		flags:       ff.NewFlagSet(role),
@@ -72,7 +71,7 @@
 
 // declare adds the flag of one field.
 func (overrides *Overrides) declare(field *Field) {
-	value := &rawValue{fallback: field.Default, isBool: field.Unit == unitBool}
+	value := &rawValue{defaultText: field.Default, isBool: field.Unit == unitBool}
 	overrides.values[field.Name] = value
 	usage, _, _ := strings.Cut(field.Usage, ". ")
 	_, err := overrides.flags.AddFlag(ff.FlagConfig{
@@ -109,7 +108,7 @@
 	return append(findings, overrides.unknownVariables(set)...)
 }
 
-// sourceOf says whether a value came from the environment or a flag.
+// sourceOf returns the environment variable or the flag that a value came from.
 func (overrides *Overrides) sourceOf(field *Field, value *rawValue) string {
 	entry := field.EnvironmentVariable() + "=" + value.texts[0]
 	if len(value.texts) == 1 && slices.Contains(overrides.environment, entry) {
@@ -118,7 +117,7 @@
 	return "--" + field.Name
 }
 
-// unknownVariables reports variables with our prefix that no role reads.
+// unknownVariables reports variables with EnvironmentPrefix that no role reads.
 func (overrides *Overrides) unknownVariables(set *FieldSet) Findings {
 	known := knownVariables()
 	var findings Findings
@@ -134,7 +133,7 @@
 }
 
 // knownVariables returns the variables of all roles and of the operators'
-// client, as one environment may serve several.
+// client, because one environment may be shared by several.
 func knownVariables() map[string]bool {
 	known := make(map[string]bool)
 	for _, name := range []string{flagConfig, flagCheck} {
@@ -148,7 +147,7 @@
 	return known
 }
 
-// String describes the overrides for messages.
+// String returns a description for messages.
 func (overrides *Overrides) String() string {
 	return fmt.Sprintf("settings file %q", overrides.Config)
 }
--- a/internal/settings/process.go
+++ b/internal/settings/process.go
@@ -7,22 +7,22 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// Bounds of the settings that every role has.
+// Limits of settings that every role has.
 const (
-	maximumGroup       = 1 << 16
-	leastStopTimeout   = time.Second
-	longestStopTimeout = 10 * time.Minute
+	maxGroup       = 1 << 16
+	minStopTimeout = time.Second
+	maxStopTimeout = 10 * time.Minute
 )
 
-// Process is the settings that every role has.
+// Process holds the settings that every role has.
 type Process struct {
-	// Name of the process, unique in the fleet.
+	// Name is unique in the fleet.
 	Name string
-	// Group of controllers that the process belongs to.
+	// Group is the number of the controller group that the process belongs to.
 	Group int
-	// Region, Zone and Rack say where the process runs.
+	// Region, Zone and Rack are the location of the process.
 	Region, Zone, Rack string
-	// StopTimeout bounds a planned stop.
+	// StopTimeout limits the time of a planned stop.
 	StopTimeout time.Duration
 
 	Log Log
@@ -30,7 +30,7 @@
 	TLS TLS
 }
 
-// Location returns where the process runs.
+// Location returns the location of the process.
 func (process *Process) Location() topology.Location {
 	return topology.Location{
 		Region: topology.RegionName(process.Region),
@@ -39,7 +39,7 @@
 	}
 }
 
-// declare adds the fields; opsAddress is the role's default for ops.listen.
+// declare adds the fields to a set. The default of ops.listen depends on the role.
 func (process *Process) declare(set *FieldSet, opsAddress string) {
 	set.text(&process.Name, Field{
 		Name: "name", Required: true, Example: "host-1",
@@ -48,7 +48,7 @@
 	set.count(&process.Group, Field{
 		Name: "group", Default: "1", Unit: "number",
 		Usage: "Group of controllers that this process belongs to. One group carries everything today.",
-	}, 1, maximumGroup)
+	}, 1, maxGroup)
 	set.text(&process.Region, Field{
 		Name: "location.region", Required: true, Example: "se-west",
 		Usage: "Region in which this process runs. Replicas and owners are spread over locations.",
@@ -64,19 +64,19 @@
 	set.duration(&process.StopTimeout, Field{
 		Name: "stop-timeout", Default: "30s",
 		Usage: "Longest time that a planned stop (SIGTERM) waits for requests in progress. After it the process ends with status 1.",
-	}, leastStopTimeout, longestStopTimeout)
+	}, minStopTimeout, maxStopTimeout)
 	process.Log.declare(set)
 	process.Ops.declare(set, opsAddress)
 	process.TLS.declare(set)
 }
 
-// Log is the settings of the log on standard error.
+// Log holds the settings of the log on standard error.
 type Log struct {
 	Level  string
 	Format string
 }
 
-// declare adds the fields.
+// declare adds the fields to a set.
 func (log *Log) declare(set *FieldSet) {
 	set.text(&log.Level, Field{
 		Name: "log.level", Default: "info", Reloadable: true, Unit: "debug, info, warn or error",
@@ -88,13 +88,13 @@
 	}, oneOf("text", "json"))
 }
 
-// Ops is the settings of the listener for monitoring.
+// Ops holds the settings of the monitoring listener.
 type Ops struct {
 	Listen string
 	Pprof  bool
 }
 
-// declare adds the fields.
+// declare adds the fields to a set.
 func (ops *Ops) declare(set *FieldSet, address string) {
 	set.text(&ops.Listen, Field{
 		Name: "ops.listen", Default: address, Unit: "IP:port",
@@ -106,8 +106,7 @@
 	})
 }
 
-// TLS is the settings of certificates. It is off where CertificateFile is
-// empty.
+// TLS holds the settings of certificates. TLS is off if CertificateFile is empty.
 type TLS struct {
 	CertificateFile string
 	KeyFile         string
@@ -117,10 +116,10 @@
 	ReloadInterval  time.Duration
 }
 
-// Enabled says whether internal links and the operators' listener use TLS.
+// Enabled reports whether internal links and the operators' listener use TLS.
 func (tls *TLS) Enabled() bool { return tls.CertificateFile != "" }
 
-// declare adds the fields.
+// declare adds the fields to a set.
 func (tls *TLS) declare(set *FieldSet) {
 	set.text(&tls.CertificateFile, Field{
 		Name: "tls.certificate-file", Unit: "path of a PEM file",
@@ -149,31 +148,32 @@
 	set.check(tls.checkComplete)
 }
 
-// checkComplete reports files that are missing beside others.
+// checkComplete reports a problem if some but not all of the certificate files are
+// given.
 func (tls *TLS) checkComplete(report func(field, problem string)) {
-	files := []struct{ field, file string }{
+	files := []struct{ field, path string }{
 		{"tls.certificate-file", tls.CertificateFile},
 		{"tls.key-file", tls.KeyFile},
 		{"tls.ca-file", tls.CAFile},
 	}
-	given := 0
+	count := 0
 	for _, file := range files {
-		if file.file != "" {
-			given++
+		if file.path != "" {
+			count++
 		}
 	}
-	if given == 0 || given == len(files) {
+	if count == 0 || count == len(files) {
 		return
 	}
 	for _, file := range files {
-		if file.file != "" {
+		if file.path != "" {
 			report(file.field, "tls.certificate-file, tls.key-file and tls.ca-file go together; not all are given")
 		}
 	}
 }
 
-// requireOffLoopback reports each listener off loopback while TLS is off.
-func (tls *TLS) requireOffLoopback(set *FieldSet, listeners ...string) {
+// requireTLSOffLoopback reports each listener that is not on loopback if TLS is off.
+func (tls *TLS) requireTLSOffLoopback(set *FieldSet, listeners ...string) {
 	set.check(func(report func(field, problem string)) {
 		if tls.Enabled() {
 			return
@@ -189,5 +189,5 @@
 	})
 }
 
-// Common returns the settings that every role has.
+// Common returns the part of a role's settings that every role has.
 func (process *Process) Common() *Process { return process }
--- a/internal/settings/router.go
+++ b/internal/settings/router.go
@@ -6,7 +6,7 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// Router is the settings of a router, which takes callers' requests.
+// Router holds the settings of a router, which accepts requests from callers.
 type Router struct {
 	Process
 	Listen                string
@@ -29,7 +29,7 @@
 	StaleAfter            time.Duration
 }
 
-// declare adds the fields.
+// declare implements Schema.
 func (router *Router) declare(set *FieldSet) {
 	router.Process.declare(set, "127.0.0.1:8081")
 	set.text(&router.Listen, Field{
@@ -80,7 +80,7 @@
 		Name: "callers.drain-delay", Default: "1s",
 		Usage: "How long a planned stop goes on taking requests while /readyz says no, so that callers' balancers turn away first.",
 	}, 0, time.Minute)
-	router.declareHolding(set)
+	router.declareHoldLimits(set)
 	set.share(&router.RetryShare, Field{
 		Name: "retries.share", Default: "0.1",
 		Usage: "Part of a service's requests that may be sent again after a failure that is safe to repeat.",
@@ -100,12 +100,12 @@
 			report("callers.drain-delay", "must be less than stop-timeout, "+router.StopTimeout.String())
 		}
 	})
-	router.TLS.requireOffLoopback(set, "ops.listen")
-	requireTLSTowards(set, &router.TLS, "controllers")
+	router.TLS.requireTLSOffLoopback(set, "ops.listen")
+	requireTLSForAddresses(set, &router.TLS, "controllers")
 }
 
-// declareHolding adds the bounds of requests that wait for an owner.
-func (router *Router) declareHolding(set *FieldSet) {
+// declareHoldLimits declares the limits for requests that wait for an owner.
+func (router *Router) declareHoldLimits(set *FieldSet) {
 	set.duration(&router.HoldTimeout, Field{
 		Name: "holding.timeout", Default: "3s",
 		Usage: "Longest time that a request waits for its key to get an owner.",
@@ -120,7 +120,7 @@
 	}, 1, 1<<30)
 }
 
-// declareControllers adds the list of session addresses.
+// declareControllers declares the list of the controllers' session addresses.
 func declareControllers(set *FieldSet, target *[]string) {
 	set.texts(target, Field{
 		Name: "controllers", Required: true, Unit: "IP:port",
@@ -128,15 +128,14 @@
 		Usage:   "The session.listen addresses of the controllers. Any that answers is enough; the leader is found from it.",
 	}, isAddress)
 	set.check(func(report func(field, problem string)) {
-		if set.byName["controllers"].given && len(*target) == 0 && set.byName["controllers"].valid {
+		if set.byName["controllers"].isSet && len(*target) == 0 && set.byName["controllers"].valid {
 			report("controllers", "at least one address is required")
 		}
 	})
 }
 
-// requireTLSTowards reports addresses off loopback that would be reached
-// without TLS.
-func requireTLSTowards(set *FieldSet, tls *TLS, name string) {
+// requireTLSForAddresses reports addresses that are not on loopback if TLS is off.
+func requireTLSForAddresses(set *FieldSet, tls *TLS, name string) {
 	set.check(func(report func(field, problem string)) {
 		if tls.Enabled() {
 			return
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -13,8 +13,9 @@
 	"gotest.tools/v3/golden"
 )
 
-// load parses arguments and environment and loads a file of the given text.
-func load(t *testing.T, schema, fresh Schema, text string, environment []string, arguments ...string) (*FieldSet, error) {
+// load parses arguments and environment and loads a file with the given text. The
+// flags are declared from flagSchema, so that its parsing leaves schema unchanged.
+func load(t *testing.T, schema, flagSchema Schema, text string, environment []string, arguments ...string) (*FieldSet, error) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "settings.yaml")
 	assert.NilError(t, os.WriteFile(file, []byte(text), 0o600))
@@ -22,13 +23,13 @@
 		name, value, _ := strings.Cut(entry, "=")
 		t.Setenv(name, value)
 	}
-	overrides := NewOverrides("role", fresh)
+	overrides := NewOverrides("role", flagSchema)
 	assert.NilError(t, ff.Parse(overrides.Flags(), arguments, ff.WithEnvVarPrefix(EnvironmentPrefix)))
 	set, err := (&Loader{File: file, Overrides: overrides}).Load(schema)
 	return set, withoutFolder(err, filepath.Dir(file)+"/")
 }
 
-// withoutFolder cuts the temporary folder out of findings.
+// withoutFolder removes the temporary folder from the sources of findings.
 func withoutFolder(err error, folder string) error {
 	var findings Findings
 	if !errors.As(err, &findings) {
@@ -48,7 +49,7 @@
 peers: [1=127.0.0.1:7102]
 `
 
-func TestAllFindingsComeTogetherWithTheirPlaces(t *testing.T) {
+func TestAllFindingsAreReportedWithPositions(t *testing.T) {
 	text := `name: "two words"
 location:
   region: se-west
@@ -75,7 +76,7 @@
 	golden.Assert(t, err.Error()+"\n", "findings.golden")
 }
 
-func TestSyntaxErrorHasALine(t *testing.T) {
+func TestSyntaxErrorReportsLine(t *testing.T) {
 	_, err := load(t, &Router{}, &Router{}, "name: r1\nlocation: [\n", nil)
 	assert.ErrorContains(t, err, "settings.yaml:2:")
 	assert.ErrorContains(t, err, "not YAML")
@@ -93,7 +94,7 @@
 	assert.Equal(t, controller.Log.Format, "text")
 }
 
-func TestListsComeFromSequencesAndCommas(t *testing.T) {
+func TestListsAreReadFromSequencesAndCommas(t *testing.T) {
 	var router Router
 	text := "name: r\nlocation: {region: a, zone: b}\ncontrollers:\n- 127.0.0.1:1\n- 127.0.0.2:1\n"
 	_, err := load(t, &router, &Router{}, text, nil)
@@ -113,17 +114,17 @@
 	assert.NilError(t, err)
 }
 
-func TestAdoptTellsReloadableFromRestart(t *testing.T) {
-	inForce, err := load(t, &Controller{}, &Controller{}, validController, nil)
+func TestAdoptSeparatesReloadableFieldsFromRestart(t *testing.T) {
+	current, err := load(t, &Controller{}, &Controller{}, validController, nil)
 	assert.NilError(t, err)
-	after, err := load(t, &Controller{}, &Controller{}, validController+"log: {level: debug}\nstop-timeout: 31s\n", nil)
+	loaded, err := load(t, &Controller{}, &Controller{}, validController+"log: {level: debug}\nstop-timeout: 31s\n", nil)
 	assert.NilError(t, err)
-	changed, needRestart := inForce.Adopt(after)
+	changed, needRestart := current.Adopt(loaded)
 	assert.DeepEqual(t, changed, []string{"log.level"})
 	assert.DeepEqual(t, needRestart, []string{"stop-timeout"})
-	changed, needRestart = inForce.Adopt(after)
+	changed, needRestart = current.Adopt(loaded)
 	assert.Equal(t, len(changed), 0)
-	assert.DeepEqual(t, needRestart, []string{"stop-timeout"}) // still told at the next reread
+	assert.DeepEqual(t, needRestart, []string{"stop-timeout"}) // still reported after the next reload
 }
 
 func TestExamplesExplainEveryFieldAndLoad(t *testing.T) {
@@ -147,7 +148,7 @@
 			set, err := load(t, schemas[1], schemas[0], string(committed), nil)
 			assert.NilError(t, err)
 			for _, field := range set.Fields() {
-				assert.Check(t, field.given, "%s is not in the example", field.Name)
+				assert.Check(t, field.isSet, "%s is not in the example", field.Name)
 				assert.Check(t, field.Required || field.Unit != "" || field.Default == "", "%s has no unit", field.Name)
 			}
 		})
