--- a/internal/hotkeys/reporter_test.go
+++ b/internal/hotkeys/reporter_test.go
@@ -8,9 +8,9 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-func TestReporterNamesHotKeysInSomeReportsAndForgetsOldOnes(t *testing.T) {
+func TestReporterReportsHotKeysPeriodicallyAndForgetsOldOnes(t *testing.T) {
 	reporter := NewReporter()
-	named := func(hot topology.KeyHash) []Frequency {
+	report := func(hot topology.KeyHash) []Frequency {
 		var all []Frequency
 		for number := range 80 {
 			reporter.Add(hot)
@@ -19,19 +19,19 @@
 		}
 		return all
 	}
-	assert.Equal(t, named(1000)[0].Key, topology.KeyHash(1000))
+	assert.Equal(t, report(1000)[0].Key, topology.KeyHash(1000))
 	for range 5 {
-		named(2000)
+		report(2000)
 	}
-	for _, frequency := range named(2000) {
-		assert.Equal(t, frequency.Key, topology.KeyHash(2000), "the former hot key is forgotten")
+	for _, frequency := range report(2000) {
+		assert.Equal(t, frequency.Key, topology.KeyHash(2000), "the previous hot key is forgotten")
 	}
 }
 
-func TestReporterNeedsRequests(t *testing.T) {
+func TestReporterNeedsMinimumRequests(t *testing.T) {
 	reporter := NewReporter()
-	for range 2 * reportEvery {
+	for range 2 * reportInterval {
 		reporter.Add(1)
-		assert.Equal(t, len(reporter.Report(4)), 0, "few requests prove nothing")
+		assert.Equal(t, len(reporter.Report(4)), 0, "too few requests for a report")
 	}
 }
--- a/internal/hotkeys/sketch.go
+++ b/internal/hotkeys/sketch.go
@@ -1,7 +1,7 @@
-// Package hotkeys finds the keys that get the most requests in little memory.
-// It implements Space-Saving (Metwally, Agrawal and El Abbadi, "Efficient
+// Package hotkeys finds the keys with the most requests in bounded memory. It
+// implements Space-Saving (Metwally, Agrawal and El Abbadi, "Efficient
 // Computation of Frequent and Top-k Elements in Data Streams", ICDT 2005): a key
-// with more than 1/capacity of the requests is always among those kept.
+// with more than 1/capacity of the requests is always among the counted ones.
 package hotkeys
 
 import (
@@ -21,18 +21,18 @@
 
 type counter struct {
 	count uint64
-	// excess is how much of count may belong to keys that were replaced.
-	excess uint64
+	// overestimate is the part of count that may belong to keys that were replaced.
+	overestimate uint64
 }
 
 // Frequency is the estimate for one key.
 type Frequency struct {
 	Key topology.KeyHash
-	// Share of all requests, 0 to 1; never an overestimate.
+	// Share of all requests, from 0 to 1. It is a lower bound.
 	Share float64
 }
 
-// New returns a sketch that keeps capacity keys.
+// New returns a sketch that counts at most capacity keys at a time.
 func New(capacity int) *Sketch {
 	return &Sketch{capacity: capacity, counters: make(map[topology.KeyHash]*counter, capacity)}
 }
@@ -40,42 +40,43 @@
 // Add counts one request for key.
 func (s *Sketch) Add(key topology.KeyHash) {
 	s.total++
-	if known, found := s.counters[key]; found {
-		known.count++
+	if counted, found := s.counters[key]; found {
+		counted.count++
 		return
 	}
 	if len(s.counters) < s.capacity {
 		s.counters[key] = &counter{count: 1}
 		return
 	}
-	replaced, least := s.least()
+	replaced, minimum := s.leastFrequent()
 	delete(s.counters, replaced)
-	s.counters[key] = &counter{count: least + 1, excess: least}
+	s.counters[key] = &counter{count: minimum + 1, overestimate: minimum}
 }
 
-// least returns the kept key with the lowest count, the lowest key if several.
-func (s *Sketch) least() (topology.KeyHash, uint64) {
+// leastFrequent returns the counted key with the lowest count and that count. Of
+// several it takes the lowest key.
+func (s *Sketch) leastFrequent() (topology.KeyHash, uint64) {
 	var key topology.KeyHash
 	var count uint64
 	first := true
-	for candidate, known := range s.counters {
-		lower := known.count < count || known.count == count && candidate < key
+	for candidate, counter := range s.counters {
+		lower := counter.count < count || counter.count == count && candidate < key
 		if first || lower {
-			key, count, first = candidate, known.count, false
+			key, count, first = candidate, counter.count, false
 		}
 	}
 	return key, count
 }
 
-// Total returns the number of requests counted.
+// Total returns the number of requests counted since the last reset.
 func (s *Sketch) Total() uint64 { return s.total }
 
-// Top returns the keys with a share of at least minimum, greatest first, at
-// most limit.
+// Top returns the keys with a share of at least minimum, at most limit of them and
+// the largest share first.
 func (s *Sketch) Top(limit int, minimum float64) []Frequency {
 	var result []Frequency
-	for key, known := range s.counters {
-		share := float64(known.count-known.excess) / float64(s.total)
+	for key, counter := range s.counters {
+		share := float64(counter.count-counter.overestimate) / float64(s.total)
 		if share >= minimum {
 			result = append(result, Frequency{Key: key, Share: share})
 		}
@@ -89,7 +90,7 @@
 	return result[:min(limit, len(result))]
 }
 
-// Reset forgets everything.
+// Reset discards all counts.
 func (s *Sketch) Reset() {
 	s.total = 0
 	clear(s.counters)
