--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics makes the Prometheus registry of a process. Metrics are
-// named by the Prometheus conventions: prefix quartzdock_, the unit in the
-// name (seconds, bytes), counters ending in _total.
+// Package metrics creates the Prometheus registry of a process. Metric names
+// follow the Prometheus conventions: prefix quartzdock_, the unit in the name
+// (seconds, bytes), and the suffix _total for counters.
 package metrics
 
 import (
@@ -11,15 +11,15 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 )
 
-// Namespace starts the name of every metric of the product.
+// Namespace is the prefix of every metric name.
 const Namespace = "quartzdock"
 
-// unknownVersion is shown for binaries that were built outside of a module or
-// a repository.
+// unknownVersion is the version of binaries that were built outside of a module
+// or a repository.
 const unknownVersion = "unknown"
 
 // NewRegistry returns a registry with the metrics of the Go runtime, of the
-// process (processor time, memory, descriptors) and of the build.
+// process (CPU time, memory, file descriptors) and of the build.
 func NewRegistry(role, name string) *prometheus.Registry {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(
@@ -37,7 +37,7 @@
 }
 
 // Version returns the version control revision that the binary was built
-// from, with "-modified" where the tree had changes.
+// from, with the suffix "-modified" if the tree had uncommitted changes.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/rapidseed/rapidseed.go
+++ b/internal/rapidseed/rapidseed.go
@@ -1,6 +1,6 @@
-// Package rapidseed gives property tests a fixed seed, so that a run of the
-// tests has the same verdict each time. Test files that use rapid import it
-// for its effect. The flag -rapid.seed still takes another seed, to search on.
+// Package rapidseed sets a fixed seed for property tests, so that they give the
+// same result in each run. Test files that use rapid import it for its side
+// effect. The flag -rapid.seed overrides the seed, to explore other cases.
 package rapidseed
 
 import (
@@ -9,7 +9,7 @@
 	_ "pgregory.net/rapid" // registers the flag
 )
 
-// seed is any number but zero, which rapid takes for a random one.
+// seed is arbitrary but not zero, for which rapid chooses a random seed.
 const seed = "20261202"
 
 func init() {
