--- a/internal/ops/limits.go
+++ b/internal/ops/limits.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// Serve serves on a listener, over TLS where the server has a configuration,
+// Serve serves on a listener, over TLS if the server has a TLS configuration,
 // until the server is shut down.
 func Serve(server *http.Server, listener net.Listener) error {
 	var err error
--- a/internal/ops/signals.go
+++ b/internal/ops/signals.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// ErrStopTimeout says that a planned stop did not finish in time.
+// ErrStopTimeout is returned if a planned stop did not finish in time, or a second
+// signal ended the wait for it.
 var ErrStopTimeout = errors.New("planned stop did not finish in time")
 
 // Lifecycle runs a process from its start to its planned stop.
@@ -26,9 +27,9 @@
 	Log         *slog.Logger
 }
 
-// RunUntilSignal runs a process until Run returns or a planned stop times out. The end of the context,
-// SIGTERM and SIGINT begin a planned stop; a second such signal stops waiting for
-// it. SIGHUP calls Reload.
+// RunUntilSignal runs a process until Run returns or a planned stop times out. The
+// end of the context, SIGTERM and SIGINT begin a planned stop; a second such signal
+// ends the wait for it. SIGHUP calls Reload.
 func RunUntilSignal(ctx context.Context, lifecycle Lifecycle) error {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
--- a/internal/requesthistory/cause.go
+++ b/internal/requesthistory/cause.go
@@ -126,8 +126,9 @@
 	h.markDecisive(h.nearestIndex(known.messages, final))
 }
 
-// unservedCallIndex returns the index of the last other request that was not served
-// before the line at end, or -1.
+// unservedCallIndex returns the index of the last line before end about another request
+// that was not served, or -1. A history has such lines only from the time of a failed
+// run; see isRelevant.
 func (h *History) unservedCallIndex(end int) int {
 	for i := end - 1; i >= 0; i-- {
 		if entry := &h.Entries[i]; !entry.HasRequestID && entry.Message == messageNotServed {
