--- a/docs/metrics_test.go
+++ b/docs/metrics_test.go
@@ -45,7 +45,7 @@
 	registry := metrics.NewRegistry("test", "test")
 	buffer := logbuffer.New(nil, 1)
 	t.Cleanup(func() { buffer.Close(time.Second) })
-	registry.MustRegister(logbuffer.Collectors(buffer, logbuffer.NewLimit(nil, 1))...)
+	registry.MustRegister(logbuffer.Collectors(buffer, logbuffer.NewRateLimitHandler(nil, 1))...)
 	g, err := gateway.Start(gateway.Config{CallerListen: "127.0.0.1:0", PeerListen: "127.0.0.1:0", BackendAddress: "127.0.0.1:1", Registry: registry})
 	assert.NilError(t, err)
 	t.Cleanup(func() { assert.Check(t, g.Stop()) })
