--- a/internal/coordinator/decide.go
+++ b/internal/coordinator/decide.go
@@ -51,7 +51,7 @@
 	if now < c.lastDecisionAt+pause {
 		return false
 	}
-	return now >= c.nextDecisionAt || (c.moveEnded && c.decision.Waiting > 0)
+	return now >= c.nextDecisionAt || (c.moveEnded && c.decision.Deferred > 0)
 }
 
 // The largest share of the time that is spent on placement decisions, in general
--- a/internal/coordinator/input.go
+++ b/internal/coordinator/input.go
@@ -39,19 +39,19 @@
 		Service:         service,
 		Shards:          shards,
 		RecentLoadMoves: c.recentLoadMoves(service.ID, now),
-		Marks:           placementMarks(c.state.LoadShifts(service.ID), now, unixMilli),
+		AnnouncedShifts: announcedShifts(c.state.LoadShifts(service.ID), now, unixMilli),
 	}
 }
 
-// placementMarks converts the marked load shifts that are not over from the wall
+// announcedShifts converts the marked load shifts that are not over from the wall
 // clock to the monotonic clock.
-func placementMarks(shifts []controlstate.LoadShift, now time.Duration, unixMilli int64) []placement.Mark {
-	result := make([]placement.Mark, 0, len(shifts))
+func announcedShifts(shifts []controlstate.LoadShift, now time.Duration, unixMilli int64) []placement.AnnouncedShift {
+	result := make([]placement.AnnouncedShift, 0, len(shifts))
 	for _, shift := range shifts {
 		if shift.EndUnixMilli < unixMilli {
 			continue
 		}
-		result = append(result, placement.Mark{
+		result = append(result, placement.AnnouncedShift{
 			From:  now + time.Duration(shift.StartUnixMilli-unixMilli)*time.Millisecond,
 			Until: now + time.Duration(shift.EndUnixMilli-unixMilli)*time.Millisecond,
 			Keys:  shift.Keys,
--- a/internal/placement/place.go
+++ b/internal/placement/assign.go
@@ -8,10 +8,10 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// place gives an owner to every shard that has none or whose owner is lost
-// beyond its grace. The limits on load moves do not apply: these shards are not
-// served until they have an owner.
-func (planner *planner) place() {
+// assignOwners assigns every shard that has no owner, or whose owner is lost and
+// past its restart grace period. The limits on load moves do not apply: these
+// shards are not served until they have an owner.
+func (planner *planner) assignOwners() {
 	var waiting []int
 	for index := range planner.service.Shards {
 		if planner.needsOwner(&planner.service.Shards[index].Shard) {
@@ -24,13 +24,13 @@
 	planner.byLoadDescending(waiting)
 	candidates := newDestinations(planner)
 	for position, index := range waiting {
-		zone := candidates.least(planner.service.Shards[index].NearZone)
+		zone := candidates.leastUtilised(planner.service.Shards[index].NearZone)
 		if zone < 0 {
 			planner.reportNoOwner(len(waiting) - position)
 			return
 		}
-		planner.takePlacement(index, candidates.node(zone))
-		candidates.changed(zone)
+		planner.addAssignment(index, candidates.leastUtilisedNode(zone))
+		candidates.reorder(zone)
 	}
 }
 
@@ -42,8 +42,8 @@
 	})
 }
 
-// needsOwner says whether a shard is without an owner that serves or will soon
-// serve again.
+// needsOwner reports whether a shard has no owner that serves it or is expected
+// back within its restart grace period.
 func (planner *planner) needsOwner(shard *topology.Shard) bool {
 	if shard.Owner == 0 {
 		return true
@@ -56,19 +56,20 @@
 	if backend.Backend.State == topology.BackendRemoved {
 		return true
 	}
-	return !backend.Live && !planner.inGrace(backend)
+	return !backend.Live && !planner.inRestartGrace(backend)
 }
 
-// inGrace says whether a lost back end announced a restart and may still
-// return in time.
-func (planner *planner) inGrace(backend *BackendInput) bool {
+// inRestartGrace reports whether a lost back end announced a restart and is still
+// within its restart grace period.
+func (planner *planner) inRestartGrace(backend *BackendInput) bool {
 	if !backend.Leaving || backend.Backend.State != topology.BackendActive {
 		return false
 	}
 	return planner.now < max(backend.LeavingAt, backend.LostAt)+EffectiveGrace(planner.policy)
 }
 
-func (planner *planner) takePlacement(index int, destination *node) {
+// addAssignment adds the move of a shard that needs an owner to a destination.
+func (planner *planner) addAssignment(index int, destination *node) {
 	shard := &planner.service.Shards[index].Shard
 	move := Move{
 		Shard: shard.ID,
@@ -83,21 +84,22 @@
 	} else {
 		move.Reason = fmt.Sprintf("owner %d is lost; back end %d is the least utilised", move.From, move.To)
 	}
-	planner.take(index, move)
+	planner.addMove(index, move)
 }
 
-// drain hands over the shards of nodes that leave, within the limit on moves at
-// once: those with the fewest long requests first, as the others would have to
-// wait, then those with the largest load.
+// drain hands over the shards of leaving nodes, within the limit on concurrent
+// moves. Shards with the fewest long-running requests come first, as the handover
+// of the others would have to wait for these requests; then those with the
+// largest load.
 func (planner *planner) drain() {
 	var leaving []int
 	for index := range planner.nodes {
 		node := &planner.nodes[index]
 		switch {
-		case node.input.Live && node.leaves:
-			leaving = append(leaving, node.settled...)
-		case node.input.Live && node.restarts:
-			leaving = planner.appendHot(leaving, node.settled)
+		case node.input.Live && node.evacuating:
+			leaving = append(leaving, node.stableShards...)
+		case node.input.Live && node.restarting:
+			leaving = planner.appendHotShards(leaving, node.stableShards)
 		}
 	}
 	if len(leaving) == 0 {
@@ -113,18 +115,18 @@
 	}
 }
 
-// appendHot appends the shards whose part of the load is so much greater than
-// their part of the keys that waiting for a restart costs more than moving them.
-// For an average shard this is the rule of WaitsForRestart.
-func (planner *planner) appendHot(leaving, shards []int) []int {
+// appendHotShards appends the shards whose share of the load is so much greater
+// than their share of the keys that waiting for a restart costs more than moving
+// them. For an average shard this is the rule of WaitsForRestart.
+func (planner *planner) appendHotShards(leaving, shards []int) []int {
 	var total float64
 	for _, load := range planner.loads {
 		total += load
 	}
 	weights := planner.policy.Weights
 	for _, index := range shards {
-		wait := weights.Unavailable * planner.loads[index] / total * assumedRestart.Seconds()
-		move := weights.Churn * keyShare(planner.service.Shards, index) * churnExchange.Seconds()
+		wait := weights.Unavailable * planner.loads[index] / total * expectedRestartTime.Seconds()
+		move := weights.Churn * keyShare(planner.service.Shards, index) * churnBreakEven.Seconds()
 		if wait > move {
 			leaving = append(leaving, index)
 		}
@@ -138,21 +140,21 @@
 	if planner.planned[index] {
 		return
 	}
-	if planner.full(source) {
-		planner.waiting++
+	if planner.atMoveLimit(source) {
+		planner.deferred++
 		return
 	}
-	zone := candidates.least(shard.NearZone)
-	for zone >= 0 && planner.full(candidates.node(zone)) {
-		candidates.dropFirst(zone)
-		zone = candidates.least(shard.NearZone)
+	zone := candidates.leastUtilised(shard.NearZone)
+	for zone >= 0 && planner.atMoveLimit(candidates.leastUtilisedNode(zone)) {
+		candidates.popLeast(zone)
+		zone = candidates.leastUtilised(shard.NearZone)
 	}
 	if zone < 0 {
-		planner.waiting++
+		planner.deferred++
 		return
 	}
-	destination := candidates.node(zone).input.Backend.ID
-	planner.take(index, Move{
+	destination := candidates.leastUtilisedNode(zone).input.Backend.ID
+	planner.addMove(index, Move{
 		Shard:  shard.Shard.ID,
 		From:   shard.Shard.Owner,
 		To:     destination,
@@ -160,10 +162,11 @@
 		Score:  planner.loads[index],
 		Reason: fmt.Sprintf("owner %d leaves; back end %d is the least utilised", shard.Shard.Owner, destination),
 	})
-	candidates.changed(zone)
+	candidates.reorder(zone)
 }
 
-// full says whether a node has as many moves in progress as the policy allows.
-func (planner *planner) full(node *node) bool {
-	return node.moving >= int(planner.policy.MovesAtOnce)
+// atMoveLimit reports whether a node has as many concurrent moves as the policy
+// allows.
+func (planner *planner) atMoveLimit(node *node) bool {
+	return node.moveCount >= int(planner.policy.MovesAtOnce)
 }
--- a/internal/placement/balance.go
+++ b/internal/placement/balance.go
@@ -8,12 +8,12 @@
 )
 
 // balance moves shards from the most to the least utilised nodes until the
-// imbalance is under the stop threshold or the budget is used up. Where moving a
-// hot key alone is better than moving its whole shard, the shard is first split
-// at the key.
+// imbalance is below the stop threshold or the limit on load moves per minute is
+// reached. If moving a hot key alone is better than moving its whole shard, the
+// shard is split at the key first.
 func (planner *planner) balance() {
 	mean := planner.meanUtilisation()
-	if mean == 0 || planner.joinedJustNow() || planner.imbalance(mean) <= startImbalance {
+	if mean == 0 || planner.recentlyJoined() || planner.imbalance(mean) <= startImbalance {
 		return
 	}
 	exhausted := make([]bool, len(planner.nodes))
@@ -27,39 +27,41 @@
 			exhausted[source] = true
 			continue
 		}
-		planner.takeCandidate(candidate, mean)
+		planner.addCandidate(candidate, mean)
 	}
 }
 
-// joinedJustNow says whether a back end joined so recently that others of the
-// same group may follow; they are then taken into account together.
-func (planner *planner) joinedJustNow() bool {
+// recentlyJoined reports whether a back end joined so recently that others of the
+// same group may follow; balancing then waits, to take all of them into account
+// together.
+func (planner *planner) recentlyJoined() bool {
 	for index := range planner.nodes {
 		since := planner.nodes[index].input.LiveSince
-		if planner.nodes[index].receives && since > 0 && planner.now < since+joinSettle {
+		if planner.nodes[index].eligible && since > 0 && planner.now < since+joinSettleTime {
 			return true
 		}
 	}
 	return false
 }
 
-// imbalance is the greatest utilisation over the mean.
+// imbalance returns the greatest utilisation of an eligible node divided by the
+// mean.
 func (planner *planner) imbalance(mean float64) float64 {
 	greatest := 0.0
 	for index := range planner.nodes {
-		if planner.nodes[index].receives {
+		if planner.nodes[index].eligible {
 			greatest = math.Max(greatest, planner.nodes[index].utilisation())
 		}
 	}
 	return greatest / mean
 }
 
-// mostUtilised returns the most utilised node that serves and is not
+// mostUtilised returns the index of the most utilised eligible node that is not
 // exhausted, or -1.
 func (planner *planner) mostUtilised(exhausted []bool) int {
 	best := -1
 	for index := range planner.nodes {
-		if !planner.nodes[index].receives || exhausted[index] {
+		if !planner.nodes[index].eligible || exhausted[index] {
 			continue
 		}
 		if best < 0 || planner.nodes[index].utilisation() > planner.nodes[best].utilisation() {
@@ -77,126 +79,128 @@
 	destination int
 	load        float64
 	score       float64
-	// hotKey is the key to move alone, if partial.
-	hotKey  topology.KeyHash
-	partial bool
+	// hotKey is the key to move alone, if hotKeyOnly.
+	hotKey     topology.KeyHash
+	hotKeyOnly bool
 }
 
 // bestMove returns the move from source with the greatest benefit per cost. A
-// shard with long requests comes only where there is no other.
+// shard with long-running requests is moved only if there is no other move.
 func (planner *planner) bestMove(source int, mean float64) (candidate, bool) {
 	from := &planner.nodes[source]
-	if planner.full(from) {
-		planner.waiting++
+	if planner.atMoveLimit(from) {
+		planner.deferred++
 		return candidate{}, false
 	}
-	best, busiest := candidate{}, candidate{}
+	best, bestLongRunning := candidate{}, candidate{}
 	destinations := make(map[topology.ZoneName]int, 1)
-	for _, index := range from.settled {
+	for _, index := range from.stableShards {
 		shard := &planner.service.Shards[index]
 		if planner.planned[index] || shard.Shard.Phase != topology.ShardOwned {
 			continue
 		}
 		destination, found := destinations[shard.NearZone]
 		if !found {
-			destination = planner.leastFor(shard.NearZone, source, mean)
+			destination = planner.leastUtilisedFor(shard.NearZone, source, mean)
 			destinations[shard.NearZone] = destination
 		}
 		if destination < 0 {
-			planner.waiting++
+			planner.deferred++
 			return candidate{}, false
 		}
 		if !planner.movable(index, destination, mean) {
 			continue
 		}
-		offer := candidate{shard: index, source: source, destination: destination}
+		option := candidate{shard: index, source: source, destination: destination}
 		if shard.LongRunning > 0 {
-			planner.offerShard(offer, mean, &busiest)
+			planner.considerShard(option, mean, &bestLongRunning)
 		} else {
-			planner.offerShard(offer, mean, &best)
+			planner.considerShard(option, mean, &best)
 		}
-		planner.offerHotKeys(offer, mean, &best)
+		planner.considerHotKeys(option, mean, &best)
 	}
 	if best.score == 0 {
-		best = busiest
+		best = bestLongRunning
 	}
-	if best.partial && planner.splits >= splitsAtOnce {
-		planner.waiting++
+	if best.hotKeyOnly && planner.splits >= maxSplitsPerDecision {
+		planner.deferred++
 		return candidate{}, false
 	}
 	return best, best.score > 0
 }
 
-// offerShard makes a whole shard the best candidate if it scores higher.
-func (planner *planner) offerShard(offer candidate, mean float64, best *candidate) {
-	offer.load = planner.loads[offer.shard]
-	offer.score = planner.score(&offer, planner.cost(offer.shard), mean)
-	if offer.score > best.score {
-		*best = offer
+// considerShard makes a whole shard the best candidate if it scores higher.
+func (planner *planner) considerShard(option candidate, mean float64, best *candidate) {
+	option.load = planner.loads[option.shard]
+	option.score = planner.score(&option, planner.cost(option.shard), mean)
+	if option.score > best.score {
+		*best = option
 	}
 }
 
-// offerHotKeys makes a single hot key the best candidate if it scores higher.
-// A key that is alone in its range is the whole shard.
-func (planner *planner) offerHotKeys(offer candidate, mean float64, best *candidate) {
-	if !planner.belowGrowthLimit() || rangeWidth(planner.service.Shards, offer.shard) < 2 {
+// considerHotKeys makes a single hot key the best candidate if it scores higher.
+// It does nothing if the service has as many shards as it may have, or if the
+// shard covers a single key hash: the key then moves with the whole shard.
+func (planner *planner) considerHotKeys(option candidate, mean float64, best *candidate) {
+	if !planner.belowGrowthLimit() || rangeWidth(planner.service.Shards, option.shard) < 2 {
 		return
 	}
-	for _, hot := range planner.service.Shards[offer.shard].HotKeys {
-		if shardIndex(planner.service.Shards, hot.Key) != offer.shard {
+	for _, hot := range planner.service.Shards[option.shard].HotKeys {
+		if shardIndex(planner.service.Shards, hot.Key) != option.shard {
 			continue
 		}
-		offer.hotKey, offer.partial = hot.Key, true
-		offer.load = math.Min(hot.Load, planner.loads[offer.shard])
-		offer.score = planner.score(&offer, planner.costOfPause(), mean)
-		if offer.score > best.score {
-			*best = offer
+		option.hotKey, option.hotKeyOnly = hot.Key, true
+		option.load = math.Min(hot.Load, planner.loads[option.shard])
+		option.score = planner.score(&option, planner.costOfPause(), mean)
+		if option.score > best.score {
+			*best = option
 		}
 	}
 }
 
-// movable says whether a shard may be moved for its load now. Minimum residence
-// keeps shards from going to and fro; it does not keep a back end empty that has
-// just come back.
+// movable reports whether a shard may be moved for its load now. The minimum
+// residence keeps shards from moving back and forth. It does not apply to moves
+// to an almost empty back end, such as one that has just returned.
 func (planner *planner) movable(index, destination int, mean float64) bool {
 	shard := &planner.service.Shards[index]
-	if planner.changing(index) {
+	if planner.loadUnsettled(index) {
 		return false
 	}
-	if shard.LastMoved == 0 || planner.marked() {
+	if shard.LastMoved == 0 || planner.announcedShiftActive() {
 		return true
 	}
-	if planner.nodes[destination].utilisation() < emptyShare*mean {
+	if planner.nodes[destination].utilisation() < emptyThreshold*mean {
 		return true
 	}
 	return planner.now >= shard.LastMoved+planner.policy.MinimumResidence
 }
 
-// changing says whether a shard's load is not known well, because it has just
-// left what was expected of it.
-func (planner *planner) changing(index int) bool {
+// loadUnsettled reports whether a shard's load is uncertain because it has
+// recently deviated from its expected value.
+func (planner *planner) loadUnsettled(index int) bool {
 	changed := planner.service.Shards[index].LoadChangedAt
-	return changed > 0 && planner.now < changed+loadSettle
+	return changed > 0 && planner.now < changed+loadSettleTime
 }
 
-// marked says whether a marked period is in force; then shards may move
-// before their minimum residence is over.
-func (planner *planner) marked() bool {
-	for _, mark := range planner.service.Marks {
-		if planner.now >= mark.From-markLead && planner.now <= mark.Until {
+// announcedShiftActive reports whether an announced load shift is in progress or
+// about to begin; shards may then move before their minimum residence is over.
+func (planner *planner) announcedShiftActive() bool {
+	for _, shift := range planner.service.AnnouncedShifts {
+		if planner.now >= shift.From-announcedShiftLead && planner.now <= shift.Until {
 			return true
 		}
 	}
 	return false
 }
 
-// leastFor returns the least utilised node that may receive another move, or a
-// node of the near zone that is about as little utilised; -1 if there is none.
-func (planner *planner) leastFor(near topology.ZoneName, source int, mean float64) int {
+// leastUtilisedFor returns the index of the least utilised eligible node below
+// the limit on concurrent moves, or of a node in the near zone whose utilisation
+// is within nearTolerance of it; -1 if there is none.
+func (planner *planner) leastUtilisedFor(near topology.ZoneName, source int, mean float64) int {
 	best, bestNear := -1, -1
 	for index := range planner.nodes {
 		node := &planner.nodes[index]
-		if index == source || !node.receives || planner.full(node) {
+		if index == source || !node.eligible || planner.atMoveLimit(node) {
 			continue
 		}
 		if best < 0 || node.utilisation() < planner.nodes[best].utilisation() {
@@ -218,44 +222,44 @@
 	return best
 }
 
-// score returns the benefit per cost of a move, or 0 if it is not worth while.
-// The benefit is the decrease of the variance of the utilisation over slots,
-// relative to the square of its mean. A move that gains little for the keys it
-// takes along is left, unless its source is intolerably loaded.
-func (planner *planner) score(offer *candidate, cost, mean float64) float64 {
-	from, to := &planner.nodes[offer.source], &planner.nodes[offer.destination]
+// score returns the benefit per cost of a move, or 0 if the move isn't justified.
+// The benefit is the decrease of the variance of the utilisation, weighted by
+// slots, relative to the square of its mean. A move with little benefit for the
+// keys it moves is justified only if its source is overloaded.
+func (planner *planner) score(option *candidate, cost, mean float64) float64 {
+	from, to := &planner.nodes[option.source], &planner.nodes[option.destination]
 	difference := from.utilisation() - to.utilisation()
-	decrease := 2*offer.load*difference - offer.load*offer.load*(1/from.slots+1/to.slots)
-	gain := math.Min(offer.load/from.slots, difference-offer.load/to.slots)
+	decrease := 2*option.load*difference - option.load*option.load*(1/from.slots+1/to.slots)
+	gain := math.Min(option.load/from.slots, difference-option.load/to.slots)
 	if decrease <= 0 || gain < minimumGain*mean {
 		return 0
 	}
-	worth := planner.policy.Weights.Imbalance * decrease / (mean * mean * planner.slots) / cost
-	if worth < minimumWorth && from.utilisation() < intolerable*mean {
+	score := planner.policy.Weights.Imbalance * decrease / (mean * mean * planner.slots) / cost
+	if score < minimumScore && from.utilisation() < overloadThreshold*mean {
 		return 0
 	}
-	return worth
+	return score
 }
 
-// cost weighs the keys that a move of a shard takes along and the pause it
-// brings.
+// cost returns the weighted cost of moving a shard: that of its keys and that of
+// the pause.
 func (planner *planner) cost(index int) float64 {
 	return planner.policy.Weights.Churn*keyShare(planner.service.Shards, index) + planner.costOfPause()
 }
 
-// costOfPause is the weighed cost of one hand-over; at equal weights it is
-// pauseWeight of moving an average shard.
+// costOfPause returns the weighted cost of the pause of one handover. At equal
+// weights it is pauseWeight times the cost of moving an average shard's keys.
 func (planner *planner) costOfPause() float64 {
 	pause := pauseWeight * planner.policy.Weights.Unavailable / float64(max(1, planner.service.Service.InitialShards))
 	return math.Max(pause, math.SmallestNonzeroFloat64)
 }
 
-// takeCandidate records a load move, or the split that it needs first. The
-// nodes' loads then count as if the key had moved, so that nothing else moves
-// in its place.
-func (planner *planner) takeCandidate(best candidate, mean float64) {
-	if best.partial {
-		planner.takeSplit(best, mean)
+// addCandidate adds a load move, or the split that must come before it. After a
+// split, the nodes' loads are updated as if the key had already moved, so that no
+// other shard moves in its place.
+func (planner *planner) addCandidate(best candidate, mean float64) {
+	if best.hotKeyOnly {
+		planner.addHotKeySplit(best, mean)
 		return
 	}
 	from, to := &planner.nodes[best.source], &planner.nodes[best.destination]
@@ -263,7 +267,7 @@
 	reason := fmt.Sprintf("back end %d at %.2f of the mean, back end %d at %.2f; shard carries %.2f slots",
 		shard.Owner, from.utilisation()/mean, to.input.Backend.ID, to.utilisation()/mean, best.load)
 	planner.loadMovesLeft--
-	planner.take(best.shard, Move{
+	planner.addMove(best.shard, Move{
 		Shard:  shard.ID,
 		From:   shard.Owner,
 		To:     to.input.Backend.ID,
@@ -273,15 +277,15 @@
 	})
 }
 
-func (planner *planner) takeSplit(best candidate, mean float64) {
+func (planner *planner) addHotKeySplit(best candidate, mean float64) {
 	shard := &planner.service.Shards[best.shard].Shard
 	position := best.hotKey
 	if position == shard.Start {
 		position++
 	}
 	planner.splits++
-	planner.waiting++
-	planner.take(best.shard, Move{
+	planner.deferred++
+	planner.addMove(best.shard, Move{
 		Shard: shard.ID, From: shard.Owner, To: shard.Owner,
 		Kind: KindSplit, SplitAt: position, Score: best.score,
 		Reason: fmt.Sprintf("back end %d at %.2f of the mean; one key carries %.2f of the shard's %.2f slots and is to move alone",
--- a/internal/placement/rules_test.go
+++ b/internal/placement/balance_test.go
@@ -12,7 +12,7 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-func countKind(moves []placement.Move, kind placement.Kind) int {
+func countKind(moves []placement.Move, kind placement.MoveKind) int {
 	count := 0
 	for _, move := range moves {
 		if move.Kind == kind {
@@ -22,7 +22,8 @@
 	return count
 }
 
-// overloaded returns a cluster whose back end 2 carries four times its part.
+// overloaded returns a cluster in which the shards of back end 2 have four times
+// the load of the others.
 func overloaded() placement.Input {
 	input := cluster(4, 64, 0.25)
 	for index := range input.Services[0].Shards {
@@ -33,7 +34,7 @@
 	return input
 }
 
-func TestJoinWaitsForOthersThatFollow(t *testing.T) {
+func TestBalancingWaitsForFurtherJoins(t *testing.T) {
 	input := overloaded()
 	input.Backends[3].LiveSince = input.Now - 100*time.Millisecond
 	assert.Equal(t, countKind(placement.Decide(input), placement.KindBalance), 0)
@@ -51,26 +52,26 @@
 	assert.Assert(t, countKind(placement.Decide(input), placement.KindBalance) > 0)
 }
 
-func TestMarkedShiftMovesLoadBeforeItComes(t *testing.T) {
+func TestAnnouncedShiftMovesLoadInAdvance(t *testing.T) {
 	input := cluster(4, 64, 0.25)
 	hot := input.Services[0].Shards[9].Shard
-	mark := placement.Mark{
+	shift := placement.AnnouncedShift{
 		From: input.Now + 4*time.Second, Until: input.Now + time.Minute,
 		Keys: []topology.KeyHash{hot.Start + 1}, Load: 3,
 	}
-	input.Services[0].Marks = []placement.Mark{mark}
+	input.Services[0].AnnouncedShifts = []placement.AnnouncedShift{shift}
 	moves := placement.Decide(input)
-	assert.Assert(t, countKind(moves, placement.KindBalance) > 0, "the announced load is not there yet")
+	assert.Assert(t, countKind(moves, placement.KindBalance) > 0, "load is moved before the announced shift begins")
 	for _, move := range moves {
 		assert.Equal(t, move.From, hot.Owner)
 	}
-	input.Services[0].Marks[0].From = input.Now + 30*time.Second
-	assert.Equal(t, len(placement.Decide(input)), 0, "not so far ahead")
-	input.Services[0].Marks[0].From, input.Services[0].Marks[0].Until = 0, input.Now-time.Second
-	assert.Equal(t, len(placement.Decide(input)), 0, "it is over")
+	input.Services[0].AnnouncedShifts[0].From = input.Now + 30*time.Second
+	assert.Equal(t, len(placement.Decide(input)), 0, "the announced shift is too far ahead")
+	input.Services[0].AnnouncedShifts[0].From, input.Services[0].AnnouncedShifts[0].Until = 0, input.Now-time.Second
+	assert.Equal(t, len(placement.Decide(input)), 0, "the announced shift is over")
 }
 
-func TestUnmarkedShiftIsMovedByWhatWasObserved(t *testing.T) {
+func TestUnannouncedShiftIsBalancedByObservedLoad(t *testing.T) {
 	input := cluster(4, 64, 0.25)
 	input.Services[0].Shards[9].Load = 3
 	moves := placement.Decide(input)
@@ -80,7 +81,7 @@
 	}
 }
 
-func TestCooledRangesAreMergedWhenOldEnough(t *testing.T) {
+func TestColdNeighboursAreMergedWhenOldEnough(t *testing.T) {
 	input := cluster(2, 8, 1)
 	service := &input.Services[0]
 	service.Service.InitialShards = 6
@@ -92,22 +93,22 @@
 	for index := range service.Shards {
 		service.Shards[index].LastMoved = input.Now
 	}
-	assert.Equal(t, countKind(placement.Decide(input), placement.KindMerge), 0, "too young")
+	assert.Equal(t, countKind(placement.Decide(input), placement.KindMerge), 0, "the shards are too young")
 	input.Now += 2 * time.Second
 	merge := firstOf(placement.Decide(input), placement.KindMerge)
 	assert.Equal(t, merge.Shard, service.Shards[3].Shard.ID)
 	assert.Equal(t, merge.MergeWith, service.Shards[4].Shard.ID.Shard)
 	service.Shards[4].Load = 1
-	assert.Equal(t, countKind(placement.Decide(input), placement.KindMerge), 0, "one of them is warm")
+	assert.Equal(t, countKind(placement.Decide(input), placement.KindMerge), 0, "one of the shards is not cold")
 }
 
-func TestZoneWithoutWhichTooLittleRemainsIsReported(t *testing.T) {
+func TestInsufficientZoneHeadroomIsReported(t *testing.T) {
 	input := cluster(6, 60, 1)
-	assert.Assert(t, !hasFinding(placement.Evaluate(input), placement.FindingZoneHeadroom), "60 of the 80 that remain")
+	assert.Assert(t, !hasFinding(placement.Evaluate(input), placement.FindingZoneHeadroom), "60 slots are busy, 80 would remain")
 	for index := range input.Services[0].Shards {
 		input.Services[0].Shards[index].Load = 1.5
 	}
-	assert.Assert(t, hasFinding(placement.Evaluate(input), placement.FindingZoneHeadroom), "90 of the 80 that remain")
+	assert.Assert(t, hasFinding(placement.Evaluate(input), placement.FindingZoneHeadroom), "90 slots are busy, 80 would remain")
 }
 
 func TestServiceInOneRackIsReported(t *testing.T) {
@@ -119,7 +120,7 @@
 	assert.Assert(t, hasFinding(placement.Evaluate(input), placement.FindingSingleRack))
 }
 
-func TestFailingBackEndIsGivenNothingNew(t *testing.T) {
+func TestFailingBackendReceivesNoShards(t *testing.T) {
 	input := overloaded()
 	input.Backends[3].FailureShare = 0.8
 	for _, move := range placement.Decide(input) {
@@ -127,9 +128,9 @@
 	}
 }
 
-// Whatever the sizes, a join of some back ends moves at most their part of
-// equally loaded shards, and a drain moves just what the leaver owned.
-func TestJoinAndLeaveMoveNoMoreThanTheyMust(t *testing.T) {
+// For any sizes: when back ends join, at most their fair share of equally loaded
+// shards moves, and a drain moves only shards of the draining back end.
+func TestJoinAndDrainMoveOnlyNecessaryShards(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before := rapid.IntRange(2, 8).Draw(t, "back ends")
 		joined := rapid.IntRange(1, 4).Draw(t, "joined")
@@ -142,7 +143,7 @@
 		input.Services[0].Service.Placement.MovesPerMinute = 1000
 		moves := placement.Decide(input)
 		fair := math.Ceil(float64(before*perNode) * float64(joined) / float64(before+joined))
-		assert.Assert(t, countKind(moves, placement.KindBalance) <= int(fair), "%v; %v are fair", moves, fair)
+		assert.Assert(t, countKind(moves, placement.KindBalance) <= int(fair), "%v; the fair share is %v", moves, fair)
 		for _, move := range moves {
 			assert.Assert(t, move.Kind == placement.KindSplit || move.To > topology.BackendID(before), "%+v", move)
 		}
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// benchmarkInput returns back ends in 19 zones and shards with Zipf loads, dealt
-// out in turn.
+// benchmarkInput returns back ends in 19 zones that own shards in turn, with
+// Zipf-distributed loads.
 func benchmarkInput(shards, backends int) placement.Input {
 	input := cluster(backends, shards, 0)
 	for index := range input.Backends {
@@ -24,8 +24,8 @@
 	return input
 }
 
-// BenchmarkDecide gives the time of one decision at three sizes: with load to
-// even out, after the loss of a zone, and where nothing is to be done.
+// BenchmarkDecide measures one decision at three sizes: with uneven load, after
+// the loss of a zone, and with nothing to do.
 func BenchmarkDecide(b *testing.B) {
 	sizes := []struct{ shards, backends int }{{1000, 15}, {10_000, 147}, {75_000, 1100}}
 	for _, size := range sizes {
--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -7,9 +7,9 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// Decide returns the moves to begin now, most urgent first. No shard is in two
-// of them. Shards that are already moving are left alone unless their owner is
-// lost.
+// Decide returns the moves to begin now, most urgent first. No shard is part of
+// two of them. Shards that are already moving are not changed unless their owner
+// is lost.
 func Decide(input Input) []Move {
 	return Evaluate(input).Moves
 }
@@ -21,19 +21,19 @@
 	for index := range input.Services {
 		service := &input.Services[index]
 		planner := newPlanner(input.Now, service, byService[service.Service.ID])
-		planner.place()
+		planner.assignOwners()
 		planner.drain()
 		planner.balance()
-		planner.divide()
+		planner.reshard()
 		planner.report()
 		decision.Moves = append(decision.Moves, planner.moves...)
 		decision.Findings = append(decision.Findings, planner.findings...)
-		decision.Waiting += planner.waiting
+		decision.Deferred += planner.deferred
 	}
 	return decision
 }
 
-// backendsByService groups back ends and orders each group by identity, so
+// backendsByService groups back ends by service and sorts each group by ID, so
 // that the order of the input has no influence.
 func backendsByService(backends []BackendInput) map[topology.ServiceID][]*BackendInput {
 	groups := make(map[topology.ServiceID][]*BackendInput)
--- a/internal/placement/decide_test.go
+++ b/internal/placement/decide_test.go
@@ -16,8 +16,8 @@
 
 const serviceID topology.ServiceID = 1
 
-// cluster returns a service of count back ends in three zones with shards
-// dealt out in turn, each with the same load.
+// cluster returns a service with back ends in three zones that own shards in
+// turn, each with the same load.
 func cluster(backends, shards int, load float64) placement.Input {
 	input := placement.Input{Now: time.Minute}
 	for number := 1; number <= backends; number++ {
@@ -47,7 +47,7 @@
 	return input
 }
 
-// apply returns the owners and load per back end after the moves.
+// apply returns the load of each back end after the moves.
 func apply(input placement.Input, moves []placement.Move) map[topology.BackendID]float64 {
 	targets := make(map[topology.ShardID]topology.BackendID)
 	for _, move := range moves {
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestJoinTakesOnlyItsShare(t *testing.T) {
+func TestJoinedBackendReceivesOnlyItsShare(t *testing.T) {
 	input := cluster(4, 80, 0.5)
 	input.Services[0].Service.Placement.MovesAtOnce = 100
 	joined := input.Backends[0]
@@ -99,7 +99,7 @@
 	assert.Assert(t, apply(input, moves)[5] >= 0.8*8, "the joined back end carries %v", apply(input, moves)[5])
 }
 
-func TestJoinsAtOnceAreHandledAsOne(t *testing.T) {
+func TestSimultaneousJoinsAreBalancedTogether(t *testing.T) {
 	input := cluster(4, 96, 0.5)
 	input.Services[0].Service.Placement.MovesAtOnce = 100
 	for id := topology.BackendID(5); id <= 8; id++ {
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestLostOwnerIsReplacedAndOthersKeepTheirs(t *testing.T) {
+func TestOnlyShardsOfLostOwnerAreReassigned(t *testing.T) {
 	input := cluster(4, 64, 0.5)
 	input.Backends[1].Live = false
 	input.Backends[1].LostAt = input.Now
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestLostOwnerIsReplacedAlsoWhereRequestsFailedAtAllOthers(t *testing.T) {
+func TestLostOwnerIsReplacedEvenIfAllOthersAreFailing(t *testing.T) {
 	input := cluster(3, 12, 0.5)
 	input.Backends[0].Live = false
 	input.Backends[1].FailureShare, input.Backends[2].FailureShare = 0.9, 0.9
@@ -149,7 +149,7 @@
 	assert.Equal(t, len(placement.Decide(input)), 16)
 }
 
-func TestLossOfAZoneIsSharedByTheOthers(t *testing.T) {
+func TestLoadOfLostZoneIsSpreadOverRemainingZones(t *testing.T) {
 	input := cluster(6, 96, 0.2)
 	for index := range input.Backends {
 		input.Backends[index].Live = input.Backends[index].Backend.Location.Zone != "hall-1"
@@ -189,25 +189,25 @@
 	split := firstOf(decision.Moves, placement.KindSplit)
 	assert.Equal(t, split.SplitAt, key)
 	assert.Assert(t, hasFinding(decision, placement.FindingUndividable))
-	// Once the key is first in its range, the range ends right after it.
+	// Once the key is the first in its range, the shard is split right after it.
 	hot.Shard.Start = key
 	assert.Equal(t, firstOf(placement.Decide(input), placement.KindSplit).SplitAt, key+1)
 }
 
-func TestClaimIsNeverBelieved(t *testing.T) {
-	honest := cluster(4, 64, 0.5)
-	lying := cluster(4, 64, 0.5)
-	for index := range lying.Backends {
-		lying.Backends[index].ObservedLoad = 8
-		lying.Backends[index].ClaimedLoad = 8
-	}
-	lying.Backends[2].ClaimedLoad = 0
-	decision := placement.Evaluate(lying)
-	assert.DeepEqual(t, decision.Moves, placement.Decide(honest))
+func TestClaimedLoadIsNeverUsed(t *testing.T) {
+	withoutClaims := cluster(4, 64, 0.5)
+	withFalseClaim := cluster(4, 64, 0.5)
+	for index := range withFalseClaim.Backends {
+		withFalseClaim.Backends[index].ObservedLoad = 8
+		withFalseClaim.Backends[index].ClaimedLoad = 8
+	}
+	withFalseClaim.Backends[2].ClaimedLoad = 0
+	decision := placement.Evaluate(withFalseClaim)
+	assert.DeepEqual(t, decision.Moves, placement.Decide(withoutClaims))
 	assert.Assert(t, hasFinding(decision, placement.FindingLoadContradicted))
 }
 
-func firstOf(moves []placement.Move, kind placement.Kind) placement.Move {
+func firstOf(moves []placement.Move, kind placement.MoveKind) placement.Move {
 	for _, move := range moves {
 		if move.Kind == kind {
 			return move
@@ -225,7 +225,7 @@
 	return false
 }
 
-// drawInput draws a cluster with random loads, states and phases.
+// drawInput generates a cluster with random loads, states and phases.
 func drawInput(t *rapid.T) placement.Input {
 	backends := rapid.IntRange(1, 9).Draw(t, "backends")
 	shards := rapid.IntRange(1, 64).Draw(t, "shards")
@@ -261,25 +261,25 @@
 	}
 }
 
-func TestEveryDecisionKeepsTheRules(t *testing.T) {
+func TestEveryDecisionKeepsInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		input := drawInput(t)
 		moves := placement.Decide(input)
-		assert.Assert(t, reflect.DeepEqual(moves, placement.Decide(input)), "equal input, other moves")
-		checkShardsOnce(t, moves)
+		assert.Assert(t, reflect.DeepEqual(moves, placement.Decide(input)), "equal inputs give different moves")
+		checkEachShardOnce(t, moves)
 		checkDestinations(t, input, moves)
 		checkBudgets(t, input, moves)
 	})
 }
 
-func checkShardsOnce(t *rapid.T, moves []placement.Move) {
+func checkEachShardOnce(t *rapid.T, moves []placement.Move) {
 	seen := make(map[topology.ShardID]bool)
 	for _, move := range moves {
 		assert.Assert(t, !seen[move.Shard], "two moves of shard %v", move.Shard)
 		seen[move.Shard] = true
 		if move.Kind == placement.KindMerge {
 			other := topology.ShardID{Service: move.Shard.Service, Shard: move.MergeWith}
-			assert.Assert(t, !seen[other], "shard %v ends and moves", other)
+			assert.Assert(t, !seen[other], "shard %v is merged and moved", other)
 			seen[other] = true
 		}
 	}
@@ -292,7 +292,7 @@
 			continue
 		}
 		backend := input.Backends[move.To-1]
-		assert.Assert(t, backend.Live, "move to a dead back end: %+v", move)
+		assert.Assert(t, backend.Live, "move to a back end that is not live: %+v", move)
 		assert.Equal(t, backend.Backend.State, topology.BackendActive)
 		assert.Assert(t, !backend.Leaving, "move to a leaving back end: %+v", move)
 	}
@@ -318,15 +318,16 @@
 		}
 		for _, end := range []topology.BackendID{move.From, move.To} {
 			inProgress[end]++
-			assert.Assert(t, inProgress[end] <= int(policy.MovesAtOnce), "back end %d has %d moves at once", end, inProgress[end])
+			assert.Assert(t, inProgress[end] <= int(policy.MovesAtOnce), "back end %d has %d concurrent moves", end, inProgress[end])
 		}
 	}
 	left := max(0, int(policy.MovesPerMinute)-int(service.RecentLoadMoves))
-	assert.Assert(t, loadMoves <= left, "%d load moves, %d left", loadMoves, left)
+	assert.Assert(t, loadMoves <= left, "%d load moves, %d allowed", loadMoves, left)
 }
 
-// Without this rule a moved shard was unavailable until its exports had ended.
-func TestShardWithLongRequestsMovesOnlyWhereThereIsNoOther(t *testing.T) {
+// A shard that moves while long-running requests (exports) are in progress is
+// unavailable until they have ended.
+func TestShardWithLongRequestsMovesOnlyAsLastChoice(t *testing.T) {
 	input := cluster(2, 8, 1)
 	for index := range input.Services[0].Shards {
 		if index%2 == 0 {
@@ -341,8 +342,9 @@
 	assert.Assert(t, firstOf(placement.Decide(input), placement.KindBalance).Shard != topology.ShardID{})
 }
 
-// Weights used to order moves only; whatever helped at all was moved.
-func TestWeightOfChurnStopsMovesThatGainLittle(t *testing.T) {
+// Guards against using the weights only to order moves: every move with any gain
+// was then made, whatever the weight of churn.
+func TestChurnWeightPreventsMovesOfLittleGain(t *testing.T) {
 	imbalanced := func(churn float64) placement.Input {
 		input := cluster(4, 64, 0.5)
 		input.Services[0].Service.Placement.Weights = topology.PlacementWeights{Imbalance: 1, Churn: churn, Unavailable: 1}
@@ -355,12 +357,12 @@
 	}
 	assert.Assert(t, len(placement.Decide(imbalanced(0.2))) > 0)
 	assert.Equal(t, len(placement.Decide(imbalanced(20))), 0)
-	intolerable := imbalanced(20)
-	intolerable.Services[0].Shards[1].Load = 5
-	assert.Assert(t, len(placement.Decide(intolerable)) > 0)
+	overloaded := imbalanced(20)
+	overloaded.Services[0].Shards[1].Load = 5
+	assert.Assert(t, len(placement.Decide(overloaded)) > 0)
 }
 
-func TestShardWhoseLoadIsChangingStays(t *testing.T) {
+func TestShardWithUnsettledLoadIsNotMoved(t *testing.T) {
 	input := cluster(2, 8, 1)
 	input.Services[0].Shards[1].Load = 4
 	before := firstOf(placement.Decide(input), placement.KindBalance)
@@ -371,7 +373,7 @@
 	assert.Equal(t, len(placement.Decide(input)), 0)
 }
 
-func TestReturnedBackEndIsNotKeptEmptyByResidence(t *testing.T) {
+func TestMinimumResidenceDoesNotKeepReturnedBackendEmpty(t *testing.T) {
 	input := cluster(3, 48, 0.5)
 	for index := range input.Services[0].Shards {
 		shard := &input.Services[0].Shards[index]
@@ -383,7 +385,7 @@
 	assert.Assert(t, firstOf(placement.Decide(input), placement.KindBalance).To == 3)
 }
 
-func TestSplitsLeaveWholeShardsForTheNextDecision(t *testing.T) {
+func TestHotKeySplitsDeferWholeShardMoves(t *testing.T) {
 	input := cluster(2, 32, 0.2)
 	for index := range input.Services[0].Shards {
 		shard := &input.Services[0].Shards[index]
@@ -395,16 +397,16 @@
 	decision := placement.Evaluate(input)
 	assert.Equal(t, firstOf(decision.Moves, placement.KindBalance).To, topology.BackendID(0), "%v", decision.Moves)
 	assert.Assert(t, firstOf(decision.Moves, placement.KindSplit).SplitAt != 0)
-	assert.Assert(t, decision.Waiting > 0)
+	assert.Assert(t, decision.Deferred > 0)
 }
 
-// A budget of 120 moves a minute, whatever the size of the service, left a
-// returned back end empty for half a minute after a loss and a join.
-func TestDefaultBudgetGrowsWithTheService(t *testing.T) {
-	balanceMoves := func(backends int, stated uint32) int {
+// A limit of 120 moves a minute for services of any size left a returned back end
+// empty for half a minute after a loss and a join.
+func TestDefaultMoveBudgetScalesWithBackends(t *testing.T) {
+	balanceMoves := func(backends int, configured uint32) int {
 		input := cluster(backends, 4*backends, 0.5)
 		input.Services[0].RecentLoadMoves = placement.DefaultMovesPerMinute
-		input.Services[0].Service.Placement.MovesPerMinute = stated
+		input.Services[0].Service.Placement.MovesPerMinute = configured
 		input.Services[0].Shards[1].Load = 4
 		count := 0
 		for _, move := range placement.Decide(input) {
@@ -416,5 +418,5 @@
 	}
 	assert.Equal(t, balanceMoves(2, 0), 0)
 	assert.Assert(t, balanceMoves(8, 0) > 0)
-	assert.Equal(t, balanceMoves(8, placement.DefaultMovesPerMinute), 0, "what an operator states holds")
+	assert.Equal(t, balanceMoves(8, placement.DefaultMovesPerMinute), 0, "an explicitly configured limit is not raised")
 }
--- a/internal/placement/destinations.go
+++ b/internal/placement/destinations.go
@@ -8,8 +8,8 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// destinations finds the least utilised node that may receive, in
-// O(zones + log nodes), with a preference for a near zone.
+// destinations finds the least utilised eligible node in O(zones + log nodes),
+// with a preference for a near zone.
 type destinations struct {
 	planner *planner
 	zones   []zoneHeap
@@ -17,7 +17,7 @@
 	mean    float64
 }
 
-// zoneHeap orders the nodes of one zone by utilisation, then identity.
+// zoneHeap is a heap of the nodes of one zone, ordered by utilisation, then ID.
 type zoneHeap struct {
 	nodes   []node
 	members []int
@@ -45,7 +45,7 @@
 func newDestinations(planner *planner) *destinations {
 	result := &destinations{planner: planner, zoneOf: make(map[topology.ZoneName]int), mean: planner.meanUtilisation()}
 	for index := range planner.nodes {
-		if !planner.nodes[index].receives {
+		if !planner.nodes[index].eligible {
 			continue
 		}
 		zone := planner.nodes[index].input.Backend.Location.Zone
@@ -63,12 +63,13 @@
 	return result
 }
 
-// least returns the zone whose first node is the least utilised, or the near
-// zone if its first node is about as little utilised; -1 if there is none.
-func (destinations *destinations) least(near topology.ZoneName) int {
+// leastUtilised returns the index of the zone whose first node is the least
+// utilised, or of the near zone if its first node is within nearTolerance of it;
+// -1 if there is no node.
+func (destinations *destinations) leastUtilised(near topology.ZoneName) int {
 	best, bestUtilisation := -1, 0.0
 	for position := range destinations.zones {
-		utilisation, some := destinations.first(position)
+		utilisation, some := destinations.leastUtilisation(position)
 		if some && (best < 0 || utilisation < bestUtilisation) {
 			best, bestUtilisation = position, utilisation
 		}
@@ -77,14 +78,14 @@
 	if !known || best < 0 {
 		return best
 	}
-	utilisation, some := destinations.first(position)
+	utilisation, some := destinations.leastUtilisation(position)
 	if some && utilisation-bestUtilisation <= nearTolerance*destinations.mean {
 		return position
 	}
 	return best
 }
 
-func (destinations *destinations) first(position int) (utilisation float64, some bool) {
+func (destinations *destinations) leastUtilisation(position int) (utilisation float64, some bool) {
 	zone := &destinations.zones[position]
 	if len(zone.members) == 0 {
 		return 0, false
@@ -92,20 +93,19 @@
 	return zone.nodes[zone.members[0]].utilisation(), true
 }
 
-// node returns the first node of a zone.
-func (destinations *destinations) node(position int) *node {
+// leastUtilisedNode returns the first, least utilised node of a zone.
+func (destinations *destinations) leastUtilisedNode(position int) *node {
 	zone := &destinations.zones[position]
 	return &zone.nodes[zone.members[0]]
 }
 
-// changed restores the order after the load of a zone's first node changed.
-func (destinations *destinations) changed(position int) { heap.Fix(&destinations.zones[position], 0) }
+// reorder restores the heap order after the load of a zone's first node changed.
+func (destinations *destinations) reorder(position int) { heap.Fix(&destinations.zones[position], 0) }
 
-// dropFirst takes a zone's first node out of consideration.
-func (destinations *destinations) dropFirst(position int) { heap.Pop(&destinations.zones[position]) }
+// popLeast removes the first node of a zone from the destinations.
+func (destinations *destinations) popLeast(position int) { heap.Pop(&destinations.zones[position]) }
 
-// byLoadDescending orders shard indices by load, largest first, then by
-// position.
+// byLoadDescending sorts shard indices by load, largest first, then by index.
 func (planner *planner) byLoadDescending(shards []int) {
 	slices.SortFunc(shards, func(left, right int) int {
 		if order := cmp.Compare(planner.loads[right], planner.loads[left]); order != 0 {
--- a/internal/placement/input.go
+++ b/internal/placement/input.go
@@ -6,9 +6,10 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// Input is everything a decision depends on.
+// Input holds everything that a decision depends on.
 type Input struct {
-	// Now is the caller's monotonic clock; all other times are readings of it.
+	// Now is the current reading of the caller's monotonic clock, to which all
+	// other times refer.
 	Now      time.Duration
 	Services []ServiceInput
 	// Backends of all services, in any order.
@@ -18,19 +19,20 @@
 // ServiceInput is one service and its shards.
 type ServiceInput struct {
 	Service topology.Service
-	// Shards ordered by Start.
+	// Shards are ordered by Start.
 	Shards []ShardInput
-	// RecentLoadMoves counts the load moves begun within the last minute.
+	// RecentLoadMoves is the number of load moves begun within the last minute.
 	RecentLoadMoves uint32
-	// Marks are shifts of load that the operator announced.
-	Marks []Mark
+	// AnnouncedShifts are load shifts that the operator announced.
+	AnnouncedShifts []AnnouncedShift
 }
 
-// Mark announces that keys will be hot for a while.
-type Mark struct {
+// AnnouncedShift is a load shift that an operator announced: some keys will be
+// hot during a period.
+type AnnouncedShift struct {
 	// From and Until bound the hot period.
 	From, Until time.Duration
-	// Keys that will be hot.
+	// Keys are those that will be hot.
 	Keys []topology.KeyHash
 	// Load is the load expected on each of Keys, in slots.
 	Load float64
@@ -39,74 +41,76 @@
 // ShardInput is one shard and what was observed of it.
 type ShardInput struct {
 	Shard topology.Shard
-	// Load in slots, as agents observed it.
+	// Load is the load that agents observed, in slots.
 	Load float64
-	// LoadChangedAt is when Load last left what was expected of it; zero is
-	// never.
+	// LoadChangedAt is when Load last deviated from its expected value; zero
+	// means never.
 	LoadChangedAt time.Duration
-	// LastMoved is when the shard last changed owner; zero is never.
+	// LastMoved is when the shard last changed owner; zero means never.
 	LastMoved time.Duration
-	// CreatedAt is when a split or merge made the shard; zero is at first
-	// set-up.
+	// CreatedAt is when a split or merge created the shard; zero means that it
+	// was created along with its service.
 	CreatedAt time.Duration
-	// HotKeys are the hottest keys, hottest first; may be empty.
+	// HotKeys are the keys with the highest load, in decreasing order; it may be
+	// empty.
 	HotKeys []HotKey
-	// LongRunning counts requests for which a hand-over that began now would
-	// have to wait noticeably.
+	// LongRunning is the number of requests that would noticeably delay a
+	// handover that began now.
 	LongRunning uint32
-	// NearZone is where most requests for the shard come from; empty where
+	// NearZone is the zone that most requests for the shard come from; empty if
 	// unknown.
 	NearZone topology.ZoneName
 }
 
-// HotKey is a key that carries a notable part of its shard's load.
+// HotKey is a key with a large part of its shard's load.
 type HotKey struct {
 	Key topology.KeyHash
-	// Load in slots.
+	// Load is in slots.
 	Load float64
 }
 
-// BackendInput is one back end and what is known of it.
+// BackendInput is one back end and what was observed of it.
 type BackendInput struct {
 	Backend topology.Backend
-	// Live says that the back end's lease has not expired.
+	// Live says that the back end holds a lease that has not expired.
 	Live bool
-	// LiveSince is when it got its present lease; zero is long ago.
+	// LiveSince is when the back end became live; zero means long ago.
 	LiveSince time.Duration
-	// LostAt is when the lease expired or was given back, where not Live.
+	// LostAt is when the lease expired or was released, if the back end is not
+	// live.
 	LostAt time.Duration
 	// Leaving says that the back end announced a planned stop or restart, at
 	// LeavingAt.
 	Leaving   bool
 	LeavingAt time.Duration
-	// ObservedLoad is the load that agents and routers saw, in slots. Zero
+	// ObservedLoad is the load that agents and routers observed, in slots. Zero
 	// with no shard load reported counts as unknown.
 	ObservedLoad float64
-	// ClaimedLoad is the load endpoint's own word, in slots. It is compared,
-	// never used.
+	// ClaimedLoad is the load that the back end's load endpoint reports, in
+	// slots. It is only compared with ObservedLoad, never used for placement.
 	ClaimedLoad float64
 	// FailureShare is the share of requests that failed or timed out at
-	// routers, 0 to 1. A back end above maximumFailureShare is given nothing
-	// new.
+	// routers, 0 to 1. A back end above maximumFailureShare receives no shards
+	// while there are others.
 	FailureShare float64
 }
 
-// Kind says what a move does and why.
-type Kind uint8
+// MoveKind classifies moves by their effect and cause.
+type MoveKind uint8
 
-// Kinds of move.
+// Kinds of moves.
 const (
 	// KindAssign gives an unassigned shard its owner.
-	KindAssign Kind = iota + 1
+	KindAssign MoveKind = iota + 1
 	// KindRecover gives a shard of a lost back end a new owner.
 	KindRecover
-	// KindDrain hands over a shard of a back end that leaves.
+	// KindDrain hands over a shard of a back end that is leaving.
 	KindDrain
-	// KindBalance hands over a shard to even out load.
+	// KindBalance hands over a shard to balance the load.
 	KindBalance
-	// KindSplit divides a shard at SplitAt; the owner stays.
+	// KindSplit splits a shard at SplitAt; its owner keeps both parts.
 	KindSplit
-	// KindMerge joins a shard with MergeWith, its right neighbour of the same
+	// KindMerge merges a shard with MergeWith, its right neighbour with the same
 	// owner.
 	KindMerge
 )
@@ -114,47 +118,49 @@
 var kindNames = [...]string{"", "assign", "recover", "drain", "balance", "split", "merge"}
 
 // String returns the kind in lower case.
-func (kind Kind) String() string {
+func (kind MoveKind) String() string {
 	if int(kind) < len(kindNames) {
 		return kindNames[kind]
 	}
 	return "unknown"
 }
 
-// Move is one decided change.
+// Move is one decided change to a shard.
 type Move struct {
 	Shard topology.ShardID
-	// From is the present owner, zero for KindAssign.
+	// From is the current owner, zero for KindAssign.
 	From topology.BackendID
 	// To is the new owner; equal to From for KindSplit and KindMerge.
 	To   topology.BackendID
-	Kind Kind
-	// SplitAt is the first position of the new right part; KindSplit only.
+	Kind MoveKind
+	// SplitAt is the first key hash of the new right part; KindSplit only.
 	SplitAt topology.KeyHash
-	// MergeWith is the shard that ends; KindMerge only.
+	// MergeWith is the shard that is merged into Shard and ceases to exist;
+	// KindMerge only.
 	MergeWith topology.ShardNumber
-	// Score is benefit per cost; only its order counts.
+	// Score ranks the move: depending on its kind, it is a measure of the shard's
+	// load or the benefit per cost. Only the order of scores matters.
 	Score float64
-	// Reason in words, for the operator.
+	// Reason is an explanation for the operator.
 	Reason string
 }
 
-// FindingKind classifies what the operator must know.
+// FindingKind classifies findings.
 type FindingKind uint8
 
-// Kinds of finding.
+// Kinds of findings.
 const (
-	// FindingUndividable: one key alone needs more than a whole back end.
-	// Its requests are shed fairly; no placement helps.
+	// FindingUndividable: a single key needs almost all slots of a back end or
+	// more. Its excess requests are shed fairly; placement can't help.
 	FindingUndividable FindingKind = iota + 1
-	// FindingZoneHeadroom: the loss of the largest zone leaves too few slots.
+	// FindingZoneHeadroom: the loss of the largest zone would leave too few slots.
 	FindingZoneHeadroom
-	// FindingSingleRack: all live back ends stand in one rack.
+	// FindingSingleRack: all live back ends are in one rack.
 	FindingSingleRack
-	// FindingLoadContradicted: a back end's claim differs from what was
-	// observed; the claim is not used.
+	// FindingLoadContradicted: the load that a back end claims differs from the
+	// observed load. The claim is not used.
 	FindingLoadContradicted
-	// FindingNoOwner: shards wait because no back end can take them.
+	// FindingNoOwner: shards have no owner because no back end is eligible.
 	FindingNoOwner
 )
 
@@ -168,7 +174,7 @@
 	return "unknown"
 }
 
-// Finding is reported to the operator beside the moves.
+// Finding is a condition that the operator should know about.
 type Finding struct {
 	Kind    FindingKind
 	Service topology.ServiceID
@@ -179,12 +185,13 @@
 	Text    string
 }
 
-// Decision is the outcome of Evaluate.
+// Decision is the result of Evaluate.
 type Decision struct {
-	// Moves in the order in which to begin them.
+	// Moves are in the order in which to begin them.
 	Moves    []Move
 	Findings []Finding
-	// Waiting counts moves that are wanted and wait only for the limit on moves
-	// at once; it is worth while to decide again when a move ends.
-	Waiting int
+	// Deferred counts useful moves that are put off only by a limit on concurrent
+	// moves or on splits, or until a hot key is split off. Deciding again when a
+	// move ends may begin them.
+	Deferred int
 }
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -7,11 +7,12 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// priorShare is the part of a service's load that is spread over its key space
-// regardless of what was observed, so that shards without load still spread.
-const priorShare = 0.01
+// priorLoadShare is the fraction of a service's load that is added evenly over
+// its key space, so that shards without observed load are also spread over the
+// back ends.
+const priorLoadShare = 0.01
 
-// planner decides one service.
+// planner holds the state of the decision for one service.
 type planner struct {
 	now     time.Duration
 	service *ServiceInput
@@ -19,41 +20,42 @@
 	nodes   []node
 	// nodeOf finds a node by back end.
 	nodeOf map[topology.BackendID]int
-	// slots of all nodes that receive.
+	// slots is the sum over all eligible nodes.
 	slots float64
-	// loads of the shards, with marks and prior.
+	// loads holds the load of each shard, with announced shifts and prior load.
 	loads []float64
-	// planned marks shards that have a move in this decision.
+	// planned tells which shards have a move in this decision.
 	planned  []bool
 	moves    []Move
 	findings []Finding
-	// loadMovesLeft is what remains of the budget per minute.
+	// loadMovesLeft is how many load moves the limit per minute still allows.
 	loadMovesLeft int
 	// splits counts the splits decided.
 	splits int
-	// waiting counts wanted moves that the limit on moves at once holds back.
-	waiting int
+	// deferred counts the moves of Decision.Deferred.
+	deferred int
 }
 
-// node is a back end during a decision.
+// node is the state of a back end during a decision.
 type node struct {
 	input *BackendInput
 	slots float64
-	// load includes shards that are on their way to the node, and leaves out
-	// those on their way from it.
+	// load includes shards that are moving to the node and excludes those that
+	// are moving away from it.
 	load float64
-	// settled are the shards that the node owns and that are not moving.
-	settled []int
-	// moving counts moves in progress and decided from or to the node.
-	moving int
-	// receives says that the node may be given shards.
-	receives bool
-	// leaves says that the node's shards are to be handed over; restarts that
-	// those are which would lose more by waiting for the node to return.
-	leaves, restarts bool
+	// stableShards are the shards that the node owns and that are not moving.
+	stableShards []int
+	// moveCount counts moves from or to the node, in progress or decided.
+	moveCount int
+	// eligible says that the node may receive shards.
+	eligible bool
+	// evacuating says that all shards of the node are to be handed over;
+	// restarting, that only those are for which waiting until the node is back
+	// would cost more.
+	evacuating, restarting bool
 }
 
-// utilisation is load over slots.
+// utilisation returns load divided by slots.
 func (node *node) utilisation() float64 { return node.load / node.slots }
 
 func newPlanner(now time.Duration, service *ServiceInput, backends []*BackendInput) *planner {
@@ -73,14 +75,14 @@
 	for _, backend := range backends {
 		planner.addNode(backend)
 	}
-	planner.receiveSomewhere()
+	planner.allowFailingDestinations()
 	for index := range planner.nodes {
-		if planner.nodes[index].receives {
+		if planner.nodes[index].eligible {
 			planner.slots += planner.nodes[index].slots
 		}
 	}
 	planner.loads = shardLoads(now, service)
-	planner.settleShards()
+	planner.attributeShardLoads()
 	return planner
 }
 
@@ -89,33 +91,35 @@
 	leaves := backend.Backend.State == topology.BackendDraining || backend.Leaving && !waits
 	planner.nodeOf[backend.Backend.ID] = len(planner.nodes)
 	planner.nodes = append(planner.nodes, node{
-		input:  backend,
-		slots:  math.Max(1, float64(backend.Backend.Slots)),
-		leaves: leaves, restarts: backend.Leaving && !leaves,
-		receives: mayReceive(backend) && !leaves && backend.FailureShare <= maximumFailureShare,
+		input:      backend,
+		slots:      math.Max(1, float64(backend.Backend.Slots)),
+		evacuating: leaves, restarting: backend.Leaving && !leaves,
+		eligible: isEligible(backend) && !leaves && backend.FailureShare <= maximumFailureShare,
 	})
 }
 
-func mayReceive(backend *BackendInput) bool {
+func isEligible(backend *BackendInput) bool {
 	return backend.Live && !backend.Leaving && backend.Backend.State == topology.BackendActive
 }
 
-// receiveSomewhere lets nodes receive whose requests failed, where there are no
-// others: they may have recovered, and without an owner every request fails.
-func (planner *planner) receiveSomewhere() {
+// allowFailingDestinations makes nodes with a high share of failed requests
+// eligible if there are no others: they may have recovered, and without an owner
+// every request fails.
+func (planner *planner) allowFailingDestinations() {
 	for index := range planner.nodes {
-		if planner.nodes[index].receives {
+		if planner.nodes[index].eligible {
 			return
 		}
 	}
 	for index := range planner.nodes {
 		node := &planner.nodes[index]
-		node.receives = mayReceive(node.input) && !node.leaves
+		node.eligible = isEligible(node.input) && !node.evacuating
 	}
 }
 
-// shardLoads returns the load of each shard: what was observed, raised to what
-// a mark announces, plus a prior in proportion to the keys.
+// shardLoads returns the load of each shard: the observed load, raised to the
+// load of announced shifts, plus prior load in proportion to the shard's part of
+// the key space.
 func shardLoads(now time.Duration, service *ServiceInput) []float64 {
 	loads := make([]float64, len(service.Shards))
 	var total float64
@@ -123,8 +127,8 @@
 		loads[index] = math.Max(0, service.Shards[index].Load)
 		total += loads[index]
 	}
-	raiseMarked(now, service, loads)
-	prior := priorShare * total
+	raiseAnnouncedLoads(now, service, loads)
+	prior := priorLoadShare * total
 	if total == 0 {
 		prior = 1
 	}
@@ -134,15 +138,16 @@
 	return loads
 }
 
-// raiseMarked raises the loads of shards whose keys are marked as hot.
-func raiseMarked(now time.Duration, service *ServiceInput, loads []float64) {
-	for _, mark := range service.Marks {
-		if now < mark.From-markLead || now > mark.Until {
+// raiseAnnouncedLoads raises the loads of shards with keys of announced load
+// shifts to the load expected on these keys.
+func raiseAnnouncedLoads(now time.Duration, service *ServiceInput, loads []float64) {
+	for _, shift := range service.AnnouncedShifts {
+		if now < shift.From-announcedShiftLead || now > shift.Until {
 			continue
 		}
 		expected := make(map[int]float64)
-		for _, key := range mark.Keys {
-			expected[shardIndex(service.Shards, key)] += mark.Load
+		for _, key := range shift.Keys {
+			expected[shardIndex(service.Shards, key)] += shift.Load
 		}
 		for index, load := range expected {
 			if index >= 0 {
@@ -152,8 +157,9 @@
 	}
 }
 
-// settleShards attributes each shard's load to the node that owns it or will.
-func (planner *planner) settleShards() {
+// attributeShardLoads adds each shard's load to the node that owns it or that it
+// is moving to.
+func (planner *planner) attributeShardLoads() {
 	for index := range planner.service.Shards {
 		shard := &planner.service.Shards[index].Shard
 		owner, owned := planner.nodeOf[shard.Owner]
@@ -162,12 +168,12 @@
 		}
 		if !isMoving(shard) {
 			planner.nodes[owner].load += planner.loads[index]
-			planner.nodes[owner].settled = append(planner.nodes[owner].settled, index)
+			planner.nodes[owner].stableShards = append(planner.nodes[owner].stableShards, index)
 			continue
 		}
-		planner.nodes[owner].moving++
+		planner.nodes[owner].moveCount++
 		if target, known := planner.nodeOf[shard.Target]; known {
-			planner.nodes[target].moving++
+			planner.nodes[target].moveCount++
 			planner.nodes[target].load += planner.loads[index]
 		}
 	}
@@ -177,13 +183,13 @@
 	return shard.Phase == topology.ShardWarming || shard.Phase == topology.ShardReleasing
 }
 
-// keyShare returns the part of the key space that a shard covers.
+// keyShare returns the fraction of the key space that a shard covers.
 func keyShare(shards []ShardInput, index int) float64 {
 	return float64(rangeWidth(shards, index)) / math.MaxUint64
 }
 
-// rangeWidth returns the number of positions in a shard's range. The whole
-// space counts as the greatest number.
+// rangeWidth returns the number of key hashes in a shard's range. For the whole
+// key space it returns the greatest number, which is one less.
 func rangeWidth(shards []ShardInput, index int) uint64 {
 	start := uint64(shards[index].Shard.Start)
 	if index+1 < len(shards) {
@@ -195,7 +201,7 @@
 	return -start
 }
 
-// shardIndex returns the shard that holds a key, or -1.
+// shardIndex returns the index of the shard that holds a key, or -1.
 func shardIndex(shards []ShardInput, key topology.KeyHash) int {
 	low, high := 0, len(shards)
 	for low < high {
@@ -209,28 +215,28 @@
 	return low - 1
 }
 
-// take records a move and its effect on the nodes' loads.
-func (planner *planner) take(index int, move Move) {
+// addMove adds a move to the decision and updates the loads of its nodes.
+func (planner *planner) addMove(index int, move Move) {
 	planner.planned[index] = true
 	planner.moves = append(planner.moves, move)
 	if from, known := planner.nodeOf[move.From]; known && move.From != move.To {
 		planner.nodes[from].load -= planner.loads[index]
-		planner.nodes[from].moving++
+		planner.nodes[from].moveCount++
 	}
 	if to, known := planner.nodeOf[move.To]; known && move.From != move.To {
 		planner.nodes[to].load += planner.loads[index]
-		planner.nodes[to].moving++
+		planner.nodes[to].moveCount++
 	}
 }
 
-// meanUtilisation is the service's load over the slots of the nodes that may
-// receive, or 0 if there are none.
+// meanUtilisation returns the service's load divided by the slots of the
+// eligible nodes, or 0 if there are none.
 func (planner *planner) meanUtilisation() float64 {
 	var load, slots float64
 	for index := range planner.nodes {
 		node := &planner.nodes[index]
 		load += node.load
-		if node.receives {
+		if node.eligible {
 			slots += node.slots
 		}
 	}
--- a/internal/placement/policy.go
+++ b/internal/placement/policy.go
@@ -10,50 +10,54 @@
 const (
 	DefaultMinimumResidence = 10 * time.Second
 	DefaultMovesPerMinute   = 120
-	// DefaultMovesPerBackend raises DefaultMovesPerMinute for services with many
-	// back ends.
+	// DefaultMovesPerBackend is the limit on moves per minute and back end that
+	// applies where it is higher than DefaultMovesPerMinute.
 	DefaultMovesPerBackend = 60
 	DefaultMovesAtOnce     = 4
 	DefaultRestartGrace    = 10 * time.Second
 )
 
-// Thresholds of the load balance.
+// Thresholds of load balancing. Imbalance is the greatest utilisation divided by
+// the mean; relative utilisation is utilisation divided by the mean.
 const (
 	// startImbalance is the imbalance above which load moves begin.
 	startImbalance = 1.08
-	// stopImbalance is the imbalance at which they end.
+	// stopImbalance is the imbalance at which load moves stop.
 	stopImbalance = 1.03
-	// minimumGain is the least decrease, relative to the mean, of the greater
-	// utilisation of its two ends that makes a move worth while.
+	// minimumGain is the least decrease of the greater relative utilisation of
+	// source and destination that justifies a move.
 	minimumGain = 0.01
-	// minimumWorth is the least decrease of the relative variance of
-	// utilisation per weighed share of the keys that makes a move worth while.
-	minimumWorth = 0.06
-	// intolerable is the relative utilisation from which any move that helps is
-	// worth while.
-	intolerable = 1.20
+	// minimumScore is the least decrease of the relative variance of utilisation,
+	// per weighted share of the keys moved, that justifies a move.
+	minimumScore = 0.06
+	// overloadThreshold is the relative utilisation of the source from which any
+	// move with the minimum gain is justified, whatever its score.
+	overloadThreshold = 1.20
 	// nearTolerance is the difference in relative utilisation within which
-	// destinations count as equal, so that the nearer is preferred.
+	// destinations count as equal, so that the one in the near zone is preferred.
 	nearTolerance = 0.05
-	// maximumFailureShare excludes a back end as a destination.
+	// maximumFailureShare is the share of failed requests above which a back end
+	// is no destination for moves.
 	maximumFailureShare = 0.5
-	// markLead is how long before a marked period its load is counted.
-	markLead = 5 * time.Second
-	// churnExchange is how long the whole service would have to be unavailable
+	// announcedShiftLead is how long before the start of an announced load shift
+	// its load is taken into account.
+	announcedShiftLead = 5 * time.Second
+	// churnBreakEven is how long the whole service would have to be unavailable
 	// to cost as much as moving all its keys once, at equal weights.
-	churnExchange = 5 * time.Second
-	// pauseWeight is how much one hand-over costs, in average shards moved, at
-	// equal weights.
+	churnBreakEven = 5 * time.Second
+	// pauseWeight is the cost of the pause of one handover at equal weights, as a
+	// multiple of the cost of moving the keys of an average shard.
 	pauseWeight = 0.25
-	// loadSettle is how long a shard stays where it is after a change of its
-	// load was noticed: until then its load is underestimated or overestimated.
-	loadSettle = 1500 * time.Millisecond
-	// emptyShare is the utilisation, relative to the mean, under which a back
-	// end counts as empty.
-	emptyShare = 0.5
-	// joinSettle is how long load moves wait after a back end joined, so that
-	// joins at about the same time are handled as one.
-	joinSettle = 300 * time.Millisecond
+	// loadSettleTime is how long a shard is not moved for its load after a change
+	// of the load was noticed: until then the load is underestimated or
+	// overestimated.
+	loadSettleTime = 1500 * time.Millisecond
+	// emptyThreshold is the relative utilisation under which a back end counts as
+	// almost empty.
+	emptyThreshold = 0.5
+	// joinSettleTime is how long load moves wait after a back end joined, so that
+	// joins at about the same time are balanced together.
+	joinSettleTime = 300 * time.Millisecond
 )
 
 // WithDefaults returns the policy with zero fields replaced by defaults.
@@ -76,26 +80,28 @@
 	return policy
 }
 
-// EffectiveGrace returns how long the shards of a back end that announced a
-// restart wait for it. It is the time at which the unavailable time weighs as
-// much as moving the keys (the break-even rule of ski rental, Karlin et al.
-// 1988), but never more than the policy's RestartGrace.
+// EffectiveGrace returns the restart grace period: how long the shards of a back
+// end that announced a restart wait for its return. It is the time after which
+// being unavailable has cost as much as moving the keys (the break-even rule of
+// the ski rental problem, Karlin et al. 1988), but at most the policy's
+// RestartGrace.
 func EffectiveGrace(policy topology.PlacementPolicy) time.Duration {
 	policy = WithDefaults(policy)
 	if policy.Weights.Unavailable <= 0 {
 		return policy.RestartGrace
 	}
 	ratio := policy.Weights.Churn / policy.Weights.Unavailable
-	breakEven := time.Duration(float64(churnExchange) * ratio)
+	breakEven := time.Duration(float64(churnBreakEven) * ratio)
 	return min(breakEven, policy.RestartGrace)
 }
 
-// WaitsForRestart says whether the shards of a back end that announced a
-// restart wait for it. Otherwise it is emptied first, because waiting would cost
-// more than moving its keys away; its agent then stops once it owns nothing.
+// WaitsForRestart reports whether the shards of a back end that announced a
+// restart wait for its return. Otherwise they are moved away first, because
+// waiting would cost more than moving the keys; its agent then stops once the
+// back end owns no shards.
 func WaitsForRestart(policy topology.PlacementPolicy) bool {
-	return EffectiveGrace(policy) >= assumedRestart
+	return EffectiveGrace(policy) >= expectedRestartTime
 }
 
-// assumedRestart is how long a planned restart is expected to take.
-const assumedRestart = 2 * time.Second
+// expectedRestartTime is how long a planned restart is expected to take.
+const expectedRestartTime = 2 * time.Second
--- a/internal/placement/report.go
+++ b/internal/placement/report.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// undividableShare is the part of a back end's slots above which a single
-	// key is reported.
+	// undividableShare is the fraction of a back end's slots from which the load
+	// of a single key is reported.
 	undividableShare = 0.9
-	// contradictionSlots and contradictionShare bound the difference between
-	// claimed and observed load that counts as agreement.
-	contradictionSlots = 2
-	contradictionShare = 0.5
+	// Claimed and observed load contradict each other if they differ by more than
+	// contradictionMinSlots and by more than contradictionShare of the observed
+	// load.
+	contradictionMinSlots = 2
+	contradictionShare    = 0.5
 )
 
-// report adds the findings about the service's state.
+// report adds the findings on the service's load and back ends.
 func (planner *planner) report() {
 	planner.reportUndividable()
 	planner.reportContradictions()
@@ -61,22 +62,22 @@
 	}
 }
 
-// Contradicts says whether a claimed load differs from the observed by more
-// than sampling explains. Both are in slots; a claim of zero with load observed
-// counts.
+// Contradicts reports whether a claimed load differs from the observed load by
+// more than sampling errors explain. Both are in slots; a claim of zero is
+// compared like any other.
 func Contradicts(claimed, observed float64) bool {
-	return math.Abs(claimed-observed) > math.Max(contradictionSlots, contradictionShare*observed)
+	return math.Abs(claimed-observed) > math.Max(contradictionMinSlots, contradictionShare*observed)
 }
 
-// reportHeadroom reports if the loss of the zone with most slots would leave
-// less slots than are busy now.
+// reportHeadroom adds a finding if the loss of the zone with the most slots would
+// leave fewer slots than are busy now.
 func (planner *planner) reportHeadroom() {
 	zones := make(map[topology.ZoneName]float64)
 	var load, slots, largest float64
 	for index := range planner.nodes {
 		node := &planner.nodes[index]
 		load += node.load
-		if !node.receives {
+		if !node.eligible {
 			continue
 		}
 		slots += node.slots
@@ -97,7 +98,7 @@
 	places := make(map[topology.Location]int)
 	count := 0
 	for index := range planner.nodes {
-		if planner.nodes[index].receives {
+		if planner.nodes[index].eligible {
 			places[planner.nodes[index].input.Backend.Location]++
 			count++
 		}
--- a/internal/placement/divide.go
+++ b/internal/placement/reshard.go
@@ -9,29 +9,28 @@
 
 // Limits of splitting and merging.
 const (
-	// splitShare is the part of a node's mean load above which a shard is
+	// splitShare is the fraction of the mean load per node from which a shard is
 	// split: a larger shard is too coarse to balance with.
 	splitShare = 0.20
-	// blindSplitAfter is how long the hot keys of a shard that is new or whose
-	// load has changed are waited for before it is split in the middle.
-	blindSplitAfter = 3 * time.Second
-	// mergeShare is the part of a node's mean load below which two neighbours
-	// may be merged.
-	mergeShare = 0.02
-	// splitsAtOnce and mergesAtOnce bound one decision.
-	splitsAtOnce = 4
-	mergesAtOnce = 4
-	// mergeAfter is how long a shard exists before it may be merged, in units
-	// of the minimum residence.
-	mergeAfter = 6
-	// maximumGrowth bounds the number of shards, as a multiple of the first
-	// set-up.
-	maximumGrowth = 4
+	// hotKeyWait is how long a shard that is new or whose load has changed waits
+	// for a report of its hot keys before it is split in the middle.
+	hotKeyWait = 3 * time.Second
+	// mergeShare is the fraction of the mean load per node below which two
+	// neighbours may be merged.
+	mergeShare           = 0.02
+	maxSplitsPerDecision = 4
+	maxMergesPerDecision = 4
+	// mergeMinimumAge is the least age of a shard that may be merged, as a
+	// multiple of the minimum residence.
+	mergeMinimumAge = 6
+	// maxGrowthFactor bounds the number of shards, as a multiple of the initial
+	// number.
+	maxGrowthFactor = 4
 )
 
-// divide splits shards that are too hot to balance with and merges cold
+// reshard splits shards that are too hot to balance with and merges cold
 // neighbours. Neither changes an owner.
-func (planner *planner) divide() {
+func (planner *planner) reshard() {
 	perNode := planner.meanNodeLoad()
 	if perNode == 0 {
 		return
@@ -40,13 +39,13 @@
 	planner.merge(perNode)
 }
 
-// meanNodeLoad is the service's load per receiving node.
+// meanNodeLoad returns the service's load per eligible node.
 func (planner *planner) meanNodeLoad() float64 {
 	var load float64
 	count := 0
 	for index := range planner.nodes {
 		load += planner.nodes[index].load
-		if planner.nodes[index].receives {
+		if planner.nodes[index].eligible {
 			count++
 		}
 	}
@@ -56,21 +55,21 @@
 	return load / float64(count)
 }
 
-// mayGrow says whether this decision may split one more shard.
-func (planner *planner) mayGrow() bool {
-	return planner.splits < splitsAtOnce && planner.belowGrowthLimit()
+// maySplit reports whether this decision may split one more shard.
+func (planner *planner) maySplit() bool {
+	return planner.splits < maxSplitsPerDecision && planner.belowGrowthLimit()
 }
 
-// belowGrowthLimit says whether the service may have more shards.
+// belowGrowthLimit reports whether the service may have more shards.
 func (planner *planner) belowGrowthLimit() bool {
-	limit := maximumGrowth * int(max(1, planner.service.Service.InitialShards))
+	limit := maxGrowthFactor * int(max(1, planner.service.Service.InitialShards))
 	return len(planner.service.Shards)+planner.splits < limit
 }
 
 func (planner *planner) split(perNode float64) {
 	for index := range planner.service.Shards {
 		shard := &planner.service.Shards[index]
-		if !planner.mayGrow() {
+		if !planner.maySplit() {
 			return
 		}
 		tooHot := shard.Load >= splitShare*perNode
@@ -81,7 +80,7 @@
 		if !divisible {
 			continue
 		}
-		planner.take(index, Move{
+		planner.addMove(index, Move{
 			Shard: shard.Shard.ID, From: shard.Shard.Owner, To: shard.Shard.Owner,
 			Kind: KindSplit, SplitAt: position, Score: shard.Load / perNode,
 			Reason: fmt.Sprintf("carries %.2f slots, %.0f%% of a back end's mean load", shard.Load, 100*shard.Load/perNode),
@@ -90,8 +89,9 @@
 	}
 }
 
-// splitPosition returns where to divide a shard: before its hottest key, or
-// after it if the key is first in the range, or else in the middle.
+// splitPosition returns the key hash at which to split a shard, if it can be
+// split now: the hottest key, or the one after it if that key is the first in the
+// range, or the middle if no hot keys are reported.
 func (planner *planner) splitPosition(index int) (topology.KeyHash, bool) {
 	width := rangeWidth(planner.service.Shards, index)
 	if width < 2 {
@@ -110,7 +110,7 @@
 	}
 	shard := &planner.service.Shards[index]
 	since := max(shard.CreatedAt, shard.LoadChangedAt)
-	if since > 0 && planner.now < since+blindSplitAfter {
+	if since > 0 && planner.now < since+hotKeyWait {
 		return 0, false
 	}
 	return start + topology.KeyHash(width/2), true
@@ -120,13 +120,13 @@
 	shards := planner.service.Shards
 	excess := len(shards) - int(planner.service.Service.InitialShards)
 	merges := 0
-	for index := 0; index+1 < len(shards) && merges < min(excess, mergesAtOnce); index++ {
+	for index := 0; index+1 < len(shards) && merges < min(excess, maxMergesPerDecision); index++ {
 		if !planner.mergeable(index, perNode) {
 			continue
 		}
 		left, right := &shards[index].Shard, &shards[index+1].Shard
 		planner.planned[index+1] = true
-		planner.take(index, Move{
+		planner.addMove(index, Move{
 			Shard: left.ID, From: left.Owner, To: left.Owner,
 			Kind: KindMerge, MergeWith: right.ID.Shard,
 			Reason: "both neighbours are cold",
@@ -135,8 +135,8 @@
 	}
 }
 
-// mergeable says whether a shard and its right neighbour are settled at the
-// same owner, cold and old enough.
+// mergeable reports whether a shard and its right neighbour have the same owner,
+// are not moving, and are cold and old enough to be merged.
 func (planner *planner) mergeable(index int, perNode float64) bool {
 	left, right := &planner.service.Shards[index], &planner.service.Shards[index+1]
 	if planner.planned[index] || planner.planned[index+1] || left.Shard.Owner != right.Shard.Owner {
@@ -146,7 +146,7 @@
 		return false
 	}
 	youngest := max(left.CreatedAt, right.CreatedAt)
-	if youngest == 0 || planner.now < youngest+mergeAfter*planner.policy.MinimumResidence {
+	if youngest == 0 || planner.now < youngest+mergeMinimumAge*planner.policy.MinimumResidence {
 		return false
 	}
 	return planner.loads[index]+planner.loads[index+1] < mergeShare*perNode
--- a/internal/placement/restart_test.go
+++ b/internal/placement/restart_test.go
@@ -19,9 +19,9 @@
 	return input
 }
 
-func TestAnnouncedRestartHandsOverOnlyHotShards(t *testing.T) {
+func TestAnnouncedRestartDrainsOnlyHotShards(t *testing.T) {
 	input := restarting(topology.PlacementWeights{Imbalance: 1, Churn: 3, Unavailable: 2})
-	assert.Equal(t, len(placement.Decide(input)), 0, "every shard waits")
+	assert.Equal(t, len(placement.Decide(input)), 0, "every shard waits for the restart")
 	hot := &input.Services[0].Shards[1]
 	assert.Equal(t, hot.Shard.Owner, topology.BackendID(2))
 	hot.Load = 5
@@ -31,7 +31,7 @@
 	assert.Equal(t, moves[0].Shard, hot.Shard.ID)
 }
 
-func TestWeightsDecideBetweenWaitingAndHandOver(t *testing.T) {
+func TestWeightsChooseBetweenWaitingAndHandover(t *testing.T) {
 	waiting := restarting(topology.PlacementWeights{Imbalance: 1, Churn: 3, Unavailable: 2})
 	leaving := restarting(topology.PlacementWeights{Imbalance: 1, Churn: 1, Unavailable: 3})
 	leaving.Services[0].Service.Placement.MovesAtOnce = 16
@@ -39,7 +39,7 @@
 	assert.Equal(t, len(placement.Decide(leaving)), 16)
 }
 
-func TestGraceOfARestartIsBounded(t *testing.T) {
+func TestRestartGraceExpires(t *testing.T) {
 	input := restarting(topology.PlacementWeights{Imbalance: 1, Churn: 3, Unavailable: 2})
 	input.Backends[1].Live = false
 	input.Backends[1].LostAt = input.Now
@@ -50,8 +50,9 @@
 	assert.Equal(t, len(placement.Decide(input)), 16)
 }
 
-// The time that running requests took to end used to count against the grace.
-func TestGraceBeginsWhenTheLeaseEnds(t *testing.T) {
+// Guards against counting the time that running requests take to end as part of
+// the restart grace period.
+func TestRestartGraceBeginsWhenLeaseEnds(t *testing.T) {
 	input := restarting(topology.PlacementWeights{Imbalance: 1, Churn: 3, Unavailable: 2})
 	input.Now += 15 * time.Second
 	input.Backends[1].Live = false
