--- a/internal/distribution/distribution_test.go
+++ b/internal/distribution/distribution_test.go
@@ -18,17 +18,17 @@
 
 var totals = distribution.Totals{Services: 1, Backends: 10, Shards: fleetShards}
 
-// history is a log with the snapshot at its begin.
+// history is a log along with the snapshot at its first revision.
 type history struct {
-	log   *distribution.Log
-	first wire.RoutingSnapshot
-	last  topology.Revision
+	log      *distribution.Log
+	snapshot wire.RoutingSnapshot
+	last     topology.Revision
 }
 
 func newHistory(window int) *history {
 	h := &history{log: distribution.NewLog(window), last: 1}
 	h.log.Reset(1)
-	h.first = wire.RoutingSnapshot{Revision: 1}
+	h.snapshot = wire.RoutingSnapshot{Revision: 1}
 	routes := wire.ServiceRoutes{Service: topology.Service{ID: 1, Name: "s"}}
 	for number := range fleetShards {
 		routes.Shards = append(routes.Shards, topology.Shard{
@@ -36,9 +36,9 @@
 			Start: topology.KeyHash(number) << 40, Phase: topology.ShardOwned, Owner: 1, Epoch: 1,
 		})
 	}
-	h.first.Services = append(h.first.Services, routes)
+	h.snapshot.Services = append(h.snapshot.Services, routes)
 	for id := range 10 {
-		h.first.Backends = append(h.first.Backends, backend(id+1))
+		h.snapshot.Backends = append(h.snapshot.Backends, backend(id+1))
 	}
 	return h
 }
@@ -57,7 +57,7 @@
 	}}}, totals)
 }
 
-func TestFewMissedChangesAreOneDelta(t *testing.T) {
+func TestMissedChangesAreMergedIntoOneDelta(t *testing.T) {
 	h := newHistory(0)
 	for change := range 300 {
 		h.move(topology.ShardNumber(change%20+1), topology.BackendID(change%10+1))
@@ -65,16 +65,16 @@
 	delta, ok := h.log.View().Since(1)
 	assert.Assert(t, ok)
 	assert.Equal(t, delta.To, h.last)
-	assert.Equal(t, len(delta.Shards), 20, "each object once, in its last state")
+	assert.Equal(t, len(delta.Shards), 20, "each object appears once, in its last state")
 }
 
-func TestSnapshotIsTakenWhereItIsSmaller(t *testing.T) {
+func TestSnapshotIsPreferredWhereSmaller(t *testing.T) {
 	h := newHistory(0)
 	for number := range fleetShards {
 		h.move(topology.ShardNumber(number+1), 2)
 	}
 	_, ok := h.log.View().Since(1)
-	assert.Assert(t, ok, "every shard moved once: still no larger than a snapshot with its back ends")
+	assert.Assert(t, ok, "a delta of all shards is no larger than a snapshot, which also has the back ends")
 	var services []topology.Service
 	for id := range 20 {
 		services = append(services, topology.Service{ID: topology.ServiceID(id + 1)})
@@ -84,30 +84,30 @@
 	assert.Assert(t, !ok)
 }
 
-func TestOldDeltasAreForgottenAndGapsRefused(t *testing.T) {
+func TestTrimmedAndUnknownRevisionsNeedSnapshot(t *testing.T) {
 	h := newHistory(100)
 	for change := range 300 {
 		h.move(topology.ShardNumber(change%20+1), 2)
 	}
 	_, ok := h.log.View().Since(1)
-	assert.Assert(t, !ok, "no longer kept")
+	assert.Assert(t, !ok, "the deltas are no longer kept")
 	_, ok = h.log.View().Since(h.last - 10)
 	assert.Assert(t, ok)
 	_, ok = h.log.View().Since(h.last + 5)
-	assert.Assert(t, !ok, "a revision that this controller does not have")
+	assert.Assert(t, !ok, "the revision is newer than the log")
 }
 
-// TestMergedDeltaHasTheEffectOfAll applies random changes one by one to a table
-// and merged to another.
-func TestMergedDeltaHasTheEffectOfAll(t *testing.T) {
+// Applies random changes to one table one by one and to another as one merged
+// delta.
+func TestMergedDeltaEqualsSequentialDeltas(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		h := newHistory(0)
-		table, err := routing.FromSnapshot(h.first)
+		table, err := routing.FromSnapshot(h.snapshot)
 		assert.NilError(r, err)
 		merged := table
 		for range rapid.IntRange(1, 30).Draw(r, "changes") {
 			before := h.last
-			h.anyChange(r)
+			h.randomChange(r)
 			delta, ok := h.log.View().Since(before)
 			assert.Assert(r, ok)
 			table, err = table.Apply(delta)
@@ -117,11 +117,11 @@
 		assert.Assert(r, ok)
 		merged, err = merged.Apply(delta)
 		assert.NilError(r, err)
-		compare(r, table, merged)
+		assertTablesEqual(r, table, merged)
 	})
 }
 
-func (h *history) anyChange(r *rapid.T) {
+func (h *history) randomChange(r *rapid.T) {
 	number := topology.ShardNumber(rapid.IntRange(1, 30).Draw(r, "shard"))
 	if rapid.IntRange(0, 3).Draw(r, "back end") > 0 {
 		h.move(number, topology.BackendID(rapid.IntRange(1, 10).Draw(r, "owner")))
@@ -134,7 +134,7 @@
 	h.log.Append(wire.RoutingDelta{From: from, To: h.last, Backends: []topology.Backend{changed}}, totals)
 }
 
-func compare(r *rapid.T, one, other *routing.Table) {
+func assertTablesEqual(r *rapid.T, one, other *routing.Table) {
 	assert.Equal(r, one.Revision(), other.Revision())
 	for number := range fleetShards {
 		first, ok := one.Lookup(1, topology.KeyHash(number)<<40)
--- a/internal/distribution/merge.go
+++ b/internal/distribution/merge.go
@@ -7,8 +7,8 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// merge returns one delta with the effect of several that lie end to end: of
-// each object its last state, and of removed objects only the removal.
+// merge returns one delta with the effect of several contiguous ones: the last
+// state of each object, and for removed objects only the removal.
 func merge(deltas []wire.RoutingDelta) wire.RoutingDelta {
 	last := deltas[len(deltas)-1]
 	if len(deltas) == 1 {
@@ -16,9 +16,9 @@
 	}
 	merged := wire.RoutingDelta{Group: last.Group, From: deltas[0].From, To: last.To}
 	removed := collectRemoved(deltas)
-	services := newLatest(func(s topology.Service) topology.ServiceID { return s.ID })
-	backends := newLatest(func(b topology.Backend) topology.BackendID { return b.ID })
-	shards := newLatest(func(s topology.Shard) topology.ShardID { return s.ID })
+	services := newLatestStates(func(s topology.Service) topology.ServiceID { return s.ID })
+	backends := newLatestStates(func(b topology.Backend) topology.BackendID { return b.ID })
+	shards := newLatestStates(func(s topology.Shard) topology.ShardID { return s.ID })
 	for index := range deltas {
 		services.add(deltas[index].Services)
 		backends.add(deltas[index].Backends)
@@ -37,7 +37,8 @@
 	return merged
 }
 
-// removals are the objects that any of several deltas removes.
+// removals holds the objects that any of several deltas removes, as sets and in
+// the order of the deltas.
 type removals struct {
 	services     map[topology.ServiceID]bool
 	backends     map[topology.BackendID]bool
@@ -71,29 +72,30 @@
 	return set
 }
 
-// latest keeps the last state of each object, in the order of first mention.
-type latest[K comparable, T any] struct {
-	keyOf func(T) K
-	index map[K]int
-	all   []T
+// latestStates keeps the last state of each object, in the order of its first
+// appearance.
+type latestStates[K comparable, T any] struct {
+	keyOf  func(T) K
+	index  map[K]int
+	states []T
 }
 
-func newLatest[K comparable, T any](keyOf func(T) K) *latest[K, T] {
-	return &latest[K, T]{keyOf: keyOf, index: make(map[K]int)}
+func newLatestStates[K comparable, T any](keyOf func(T) K) *latestStates[K, T] {
+	return &latestStates[K, T]{keyOf: keyOf, index: make(map[K]int)}
 }
 
-func (l *latest[K, T]) add(changed []T) {
+func (l *latestStates[K, T]) add(changed []T) {
 	for _, object := range changed {
 		key := l.keyOf(object)
 		if at, seen := l.index[key]; seen {
-			l.all[at] = object
+			l.states[at] = object
 			continue
 		}
-		l.index[key] = len(l.all)
-		l.all = append(l.all, object)
+		l.index[key] = len(l.states)
+		l.states = append(l.states, object)
 	}
 }
 
-func (l *latest[K, T]) without(gone func(T) bool) []T {
-	return slices.DeleteFunc(l.all, gone)
+func (l *latestStates[K, T]) without(gone func(T) bool) []T {
+	return slices.DeleteFunc(l.states, gone)
 }
--- a/internal/distribution/since_test.go
+++ b/internal/distribution/since_test.go
@@ -14,9 +14,9 @@
 	return topology.Shard{ID: topology.ShardID{Service: service, Shard: number}, Epoch: epoch}
 }
 
-// TestSinceOfSomeServicesIsTheFilteredWhole: filtering before the merge, which
-// spares most of its work, must not change what a subscriber gets.
-func TestSinceOfSomeServicesIsTheFilteredWhole(t *testing.T) {
+// Deltas are filtered before they are merged, which saves most of the work. This
+// must not change what a subscriber gets.
+func TestSinceWithServicesEqualsFilteredSince(t *testing.T) {
 	log := NewLog(0)
 	totals := Totals{Services: 2, Backends: 4, Shards: 100}
 	log.Append(wire.RoutingDelta{From: 1, To: 3, Shards: []topology.Shard{shardAt(1, 1, 1), shardAt(2, 1, 1)}}, totals)
@@ -28,16 +28,16 @@
 		assert.Assert(t, ok)
 		some, ok := view.Since(1, services...)
 		assert.Assert(t, ok)
-		assert.Equal(t, fmt.Sprint(some), fmt.Sprint(Filter(whole, services)), "empty and missing lists are the same on the wire")
+		assert.Equal(t, fmt.Sprint(some), fmt.Sprint(Filter(whole, services)), "compared as text: nil and empty lists are the same on the wire")
 	}
 	_, ok := view.Since(2)
-	assert.Assert(t, !ok, "no delta begins there")
+	assert.Assert(t, !ok, "no delta begins at this revision")
 	assert.Assert(t, view.LeadsOn(3) && view.LeadsOn(6) && !view.LeadsOn(2))
 }
 
-// TestOldSnapshotIsNotLedOnByHalfOfItself: restarted agents were sent a snapshot
-// of before the first assignment, and the whole assignment after it.
-func TestOldSnapshotIsNotLedOnByHalfOfItself(t *testing.T) {
+// Guards against sending restarted agents a snapshot from before the first
+// assignment of shards, followed by a delta with the whole assignment.
+func TestOldSnapshotIsNotExtendedByLargeDeltas(t *testing.T) {
 	log := NewLog(0)
 	totals := Totals{Services: 1, Backends: 2, Shards: 100}
 	var assigned []topology.Shard
@@ -50,5 +50,5 @@
 	assert.Assert(t, !view.LeadsOn(1))
 	assert.Assert(t, view.LeadsOn(2) && view.LeadsOn(3))
 	_, ok := view.Since(1)
-	assert.Assert(t, ok, "a subscriber that is at 1 still gets the delta")
+	assert.Assert(t, ok, "a subscriber at revision 1 still gets the delta")
 }
