--- a/internal/routeconfig/document.go
+++ b/internal/routeconfig/document.go
@@ -1,36 +1,39 @@
-// Package routeconfig is the configuration that operators give a fleet as one
-// versioned document: which requests go to which service, and how services
-// are reached. It is pure: documents and patches go in, a new document or
-// findings come out.
+// Package routeconfig holds the route configuration of a fleet, which operators
+// provide as one versioned document: which requests go to which service, and how
+// services are reached. The package does no input or output; it validates
+// documents and applies patches to them.
 //
-// A document is never changed in place; Patch.Apply returns another one.
+// Documents are immutable; Patch.Apply returns a new one.
 package routeconfig
 
 import "time"
 
-// Version numbers documents. It only grows; zero is no document.
+// Version is the version number of a document. It only increases; zero means that
+// there is no document.
 type Version uint64
 
-// Repetition says how often a request may run.
+// Repetition says whether requests may be executed more than once.
 type Repetition uint8
 
-// Kinds of repetition.
+// Values of Repetition.
 const (
-	// NonRepeatable requests run at most once for each attempt of a caller.
+	// NonRepeatable requests are executed at most once for each attempt of a
+	// caller.
 	NonRepeatable Repetition = iota
-	// Repeatable requests may run any number of times.
+	// Repeatable requests may be executed any number of times (idempotent).
 	Repeatable
-	// RepeatableTransfer is Repeatable with a large answer.
+	// RepeatableTransfer requests are Repeatable and have large responses.
 	RepeatableTransfer
 )
 
-// MayRepeat says that a request may run more than once.
+// MayRepeat reports whether a request may be executed more than once.
 func (r Repetition) MayRepeat() bool { return r != NonRepeatable }
 
-// Destination is one service of a route with its share.
+// Destination is a service of a route with its weight.
 type Destination struct {
 	Service string
-	// Weight is the destination's part of the sum of its route's weights.
+	// Weight determines the destination's share of requests, in proportion to the
+	// sum of the route's weights.
 	Weight uint32
 }
 
@@ -39,70 +42,76 @@
 	// Name is unique in a document.
 	Name string
 	Host string
-	// PathPrefix begins and ends with a slash; the longest that begins a path
-	// wins.
+	// PathPrefix begins and ends with a slash. The matching route with the longest
+	// prefix is used.
 	PathPrefix string
 	Repetition Repetition
-	// Timeout is the longest that a request is held.
+	// Timeout is the longest time that a request may take.
 	Timeout time.Duration
-	// TargetLatency is the time within which an answer is worth most.
+	// TargetLatency is the time within which a response is most useful to the
+	// caller.
 	TargetLatency time.Duration
-	// Priority ranks routes; 0 is the most urgent.
+	// Priority is the priority of the route's requests; 0 is the highest.
 	Priority int
-	// Attempts is the most back ends that one request may be sent to.
+	// Attempts is the largest number of back ends that one request is sent to.
 	Attempts     int
 	Destinations []Destination
-	// Source is the operator's own text of the route, kept to be read back.
+	// Source is the operator's original text of the route, kept so that it can be
+	// read back.
 	Source []byte
 }
 
-// GrantMode says how the back ends of a keyed service are told which keys they
-// hold.
+// GrantMode says how the back ends of a keyed service learn which keys they own.
 type GrantMode uint8
 
-// Modes.
+// Values of GrantMode.
 const (
-	// GrantByCall: the gateway beside a back end calls it.
+	// GrantByCall: the gateway next to the back end calls it.
 	GrantByCall GrantMode = iota
-	// GrantByHeartbeat: the answer to a back end's heartbeat tells it.
+	// GrantByHeartbeat: the response to the back end's heartbeat tells it.
 	GrantByHeartbeat
 )
 
 // Service is a group of back ends that serve the same requests.
 type Service struct {
 	Name string
-	// HealthPath answers whether a back end considers itself healthy.
+	// HealthPath is the path of the back ends' health check.
 	HealthPath string
-	// MaxConnections is what one back end accepts from all callers together.
+	// MaxConnections is how many connections one back end accepts from all callers
+	// together.
 	MaxConnections int
 	// Keyed services divide the key space among their back ends.
 	Keyed bool
-	// Grants is how the back ends of a keyed service get their keys.
+	// Grants is how the back ends of a keyed service learn which keys they own.
 	Grants GrantMode
-	// Warm is how long keys are slow that came without a handover.
+	// Warm is how long requests for a key are slow after a back end got the key
+	// without a handover.
 	Warm time.Duration
-	// WarmupRate is how many requests a second a cold back end bears; zero is any
-	// number. Warmup is how long one is cold after its start.
+	// WarmupRate limits the requests a second that a back end gets during its
+	// warmup; zero means no limit. Warmup is the duration of the warmup after the
+	// start of a back end.
 	WarmupRate float64
 	Warmup     time.Duration
-	// Source is the operator's own text of the service, kept to be read back.
+	// Source is the operator's original text of the service, kept so that it can
+	// be read back.
 	Source []byte
 }
 
-// Limits bound what callers may send.
+// Limits are the limits on callers' requests and connections.
 type Limits struct {
-	// MaxHeaderBytes and MaxBodyBytes of a request.
+	// MaxHeaderBytes and MaxBodyBytes limit the size of a request.
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
-	// HeaderTimeout bounds the reading of a header, IdleTimeout the rest of a
-	// kept connection.
+	// HeaderTimeout limits the time to read a request header, IdleTimeout the idle
+	// time of a kept-alive connection.
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
-	// Source is the operator's own text of the limits, kept to be read back.
+	// Source is the operator's original text of the limits, kept so that it can be
+	// read back.
 	Source []byte
 }
 
-// Document is a whole configuration.
+// Document is a complete route configuration.
 type Document struct {
 	Version  Version
 	Limits   Limits
@@ -110,7 +119,7 @@
 	Services []Service
 }
 
-// Service returns the service of a name.
+// Service returns the service with a name.
 func (d *Document) Service(name string) (*Service, bool) {
 	for i := range d.Services {
 		if d.Services[i].Name == name {
--- a/internal/routeconfig/patch.go
+++ b/internal/routeconfig/patch.go
@@ -1,20 +1,21 @@
 package routeconfig
 
-// Patch changes named items of a document.
+// Patch adds, replaces and removes named items of a document.
 type Patch struct {
 	Version Version
-	// Limits replaces the limits where it is set.
+	// Limits replaces the limits of the document, unless it is nil.
 	Limits *Limits
-	// UpsertRoutes and UpsertServices are added, or replace those of their name.
+	// UpsertRoutes and UpsertServices are added, or replace items with the same
+	// name.
 	UpsertRoutes   []Route
 	UpsertServices []Service
-	// RemoveRoutes and RemoveServices are names.
+	// RemoveRoutes and RemoveServices are the names of items to remove.
 	RemoveRoutes   []string
 	RemoveServices []string
 }
 
-// Apply returns the document with the changes of the patch. Names to remove that
-// are not there are passed over; the result is not validated.
+// Apply returns a copy of the document with the changes of the patch. Names to
+// remove that do not exist are ignored. The result is not validated.
 func (p *Patch) Apply(base *Document) *Document {
 	next := &Document{Version: p.Version, Limits: base.Limits}
 	if p.Limits != nil {
@@ -27,18 +28,18 @@
 	return next
 }
 
-// merge returns the items without the removed, with the changed ones in the
-// place of those of their name, and new ones at the end.
+// merge returns the items without the removed ones. Upserted items replace those
+// with the same name in place, or are appended.
 func merge[Item any](items, upserted []Item, removed []string, name func(*Item) string) []Item {
-	gone := make(map[string]bool, len(removed))
+	toRemove := make(map[string]bool, len(removed))
 	for _, name := range removed {
-		gone[name] = true
+		toRemove[name] = true
 	}
 	position := make(map[string]int, len(items)+len(upserted))
 	result := make([]Item, 0, len(items)+len(upserted))
 	for i := range items {
 		key := name(&items[i])
-		if gone[key] {
+		if toRemove[key] {
 			continue
 		}
 		position[key] = len(result)
--- a/internal/routeconfig/routeconfig_test.go
+++ b/internal/routeconfig/routeconfig_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestEachFaultIsFound(t *testing.T) {
+func TestValidateFindsEachFault(t *testing.T) {
 	assert.Equal(t, len(valid().Validate(1)), 0)
 	faults := map[string]func(*routeconfig.Document){
 		"version":       func(d *routeconfig.Document) { d.Version = 1 },
@@ -37,15 +37,15 @@
 		"twice":         func(d *routeconfig.Document) { d.Routes[1].Name = "short" },
 		"another route": func(d *routeconfig.Document) { d.Routes[1].PathPrefix = "/x/" },
 	}
-	for word, breakIt := range faults {
+	for word, introduceFault := range faults {
 		document := valid()
-		breakIt(document)
+		introduceFault(document)
 		findings := document.Validate(1)
 		assert.Assert(t, len(findings) > 0 && strings.Contains(findings.Error(), word), "%s: %v", word, findings)
 	}
 }
 
-func TestTheLongestPrefixWins(t *testing.T) {
+func TestLongestPrefixWins(t *testing.T) {
 	table := routeconfig.NewTable(valid())
 	assert.Equal(t, table.Find("h", "/x/y/z").Name, "long")
 	assert.Equal(t, table.Find("h:80", "/x/z").Name, "short")
@@ -62,7 +62,7 @@
 	assert.Equal(t, picked.Pick(0.999), "a")
 }
 
-func TestAPatchReplacesByNameAndKeepsTheRest(t *testing.T) {
+func TestPatchReplacesByNameAndKeepsOtherItems(t *testing.T) {
 	base := valid()
 	changed := route("short", "/new/")
 	patch := routeconfig.Patch{Version: 3, UpsertRoutes: []routeconfig.Route{changed, route("added", "/added/")}, RemoveRoutes: []string{"long"}}
@@ -70,5 +70,5 @@
 	assert.Equal(t, len(next.Routes), 2)
 	assert.Equal(t, next.Routes[0].PathPrefix, "/new/")
 	assert.Equal(t, next.Routes[1].Name, "added")
-	assert.Equal(t, base.Routes[0].PathPrefix, "/x/", "the base stays as it was")
+	assert.Equal(t, base.Routes[0].PathPrefix, "/x/", "the base document is unchanged")
 }
--- a/internal/routeconfig/table.go
+++ b/internal/routeconfig/table.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// Table finds the route of a request. It is immutable.
+// Table is an immutable index of a document, to find the route of a request.
 type Table struct {
 	document *Document
-	// hosts has the routes of each host, longest prefix first.
+	// hosts holds the routes of each host, longest prefix first.
 	hosts    map[string][]*Route
 	services map[string]*Service
 }
 
-// NewTable compiles a document, which must not change any more.
+// NewTable returns the table of a document, which must not be modified afterwards.
 func NewTable(document *Document) *Table {
 	table := &Table{
 		document: document,
@@ -33,13 +33,13 @@
 	return table
 }
 
-// Document returns what the table was made from.
+// Document returns the document that the table was made from.
 func (t *Table) Document() *Document { return t.document }
 
-// Service returns the service of a name, or nil.
+// Service returns the service with a name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Find returns the route of a host and path, or nil. A port in the host is
+// Find returns the route for a host and path, or nil. A port in the host is
 // ignored.
 func (t *Table) Find(host, path string) *Route {
 	if at := strings.LastIndexByte(host, ':'); at >= 0 {
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// Pick returns the destination at a point of the route's weights; point is
-// evenly drawn from [0, 1).
+// Pick returns the service of a destination chosen by weight. point must be
+// uniformly distributed in [0, 1).
 func (r *Route) Pick(point float64) string {
 	var sum float64
 	for _, destination := range r.Destinations {
--- a/internal/routeconfig/validate.go
+++ b/internal/routeconfig/validate.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// maxTargetBeyondTimeout is the least by which a target latency must not
-// exceed its route's timeout.
-const maxTargetBeyondTimeout = time.Minute
+// targetLatencyExcessLimit: a target latency must exceed its route's timeout by
+// less than this.
+const targetLatencyExcessLimit = time.Minute
 
-// Finding is one fault of a document, with the field that has it.
+// Finding is an error in a document, with the field that has it.
 type Finding struct {
 	// Field is a path in the document, for example "routes[2].timeout".
 	Field  string
 	Reason string
 }
 
-// Findings lists every fault of a document.
+// Findings lists all errors in a document.
 type Findings []Finding
 
-// Error implements error.
+// Error returns all findings on one line.
 func (f Findings) Error() string {
 	lines := make([]string, 0, len(f))
 	for _, finding := range f {
@@ -34,22 +34,23 @@
 	*f = append(*f, Finding{Field: field, Reason: fmt.Sprintf(format, arguments...)})
 }
 
-// Validate returns every fault of a document that is to follow a version.
+// Validate returns all errors in a document that is to replace the one of version
+// current.
 func (d *Document) Validate(current Version) Findings {
 	var findings Findings
 	if d.Version <= current {
 		findings.add("version", "%d does not exceed the current %d", d.Version, current)
 	}
-	known := make(map[string]bool, len(d.Services))
+	services := make(map[string]bool, len(d.Services))
 	for i, service := range d.Services {
 		field := fmt.Sprintf("services[%d].name", i)
 		if service.Name == "" {
 			findings.add(field, "not given")
 		}
-		if known[service.Name] {
+		if services[service.Name] {
 			findings.add(field, "%q stands twice", service.Name)
 		}
-		known[service.Name] = true
+		services[service.Name] = true
 		if service.WarmupRate < 0 || math.IsNaN(service.WarmupRate) || math.IsInf(service.WarmupRate, 0) {
 			findings.add(fmt.Sprintf("services[%d].warmupRate", i), "%v requests a second is no rate", service.WarmupRate)
 		}
@@ -58,19 +59,19 @@
 		}
 	}
 	names := make(map[string]bool, len(d.Routes))
-	places := make(map[string]bool, len(d.Routes))
+	matches := make(map[string]bool, len(d.Routes))
 	for i := range d.Routes {
-		d.Routes[i].validate(fmt.Sprintf("routes[%d]", i), known, &findings)
+		d.Routes[i].validate(fmt.Sprintf("routes[%d]", i), services, &findings)
 		route := &d.Routes[i]
 		if names[route.Name] {
 			findings.add(fmt.Sprintf("routes[%d].name", i), "%q stands twice", route.Name)
 		}
 		names[route.Name] = true
-		place := route.Host + route.PathPrefix
-		if places[place] {
-			findings.add(fmt.Sprintf("routes[%d]", i), "another route has %s", place)
+		match := route.Host + route.PathPrefix
+		if matches[match] {
+			findings.add(fmt.Sprintf("routes[%d]", i), "another route has %s", match)
 		}
-		places[place] = true
+		matches[match] = true
 	}
 	return findings
 }
@@ -85,7 +86,7 @@
 	if r.Timeout <= 0 {
 		findings.add(field+".timeout", "must be above zero")
 	}
-	if r.TargetLatency >= r.Timeout+maxTargetBeyondTimeout {
+	if r.TargetLatency >= r.Timeout+targetLatencyExcessLimit {
 		findings.add(field+".targetLatency", "exceeds the timeout by a minute or more")
 	}
 	if r.Attempts <= 0 {
