--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -96,7 +96,8 @@
 	loads  *loadtable.Table
 	// routerReports holds when each router last reported.
 	routerReports map[string]time.Duration
-	// onLeavingMachine holds the back ends on machines that are to be shut down.
+	// onLeavingMachine holds the back ends on machines that the platform lists as
+	// leaving.
 	onLeavingMachine map[topology.BackendID]bool
 
 	// backendRemovedAt is when a back end was last removed; zero means never. If
--- a/internal/coordinator/decide.go
+++ b/internal/coordinator/decide.go
@@ -15,8 +15,8 @@
 const loadMoveWindow = time.Minute
 
 // Tick returns the next batch to propose, if there is one. The caller calls
-// BatchDone for each batch. unixMilli is the wall-clock time, by which marked
-// load shifts are scheduled.
+// BatchDone for each batch. unixMilli is the wall-clock time, in which announced
+// load shifts are specified.
 func (c *Coordinator) Tick(now time.Duration, unixMilli int64) (controlstate.Command, bool) {
 	if !c.leading {
 		return controlstate.Command{}, false
--- a/internal/coordinator/input.go
+++ b/internal/coordinator/input.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// announcedShifts converts the marked load shifts that are not over from the wall
-// clock to the monotonic clock.
+// announcedShifts converts the announced load shifts that are not over from the
+// wall clock to the monotonic clock.
 func announcedShifts(shifts []controlstate.LoadShift, now time.Duration, unixMilli int64) []placement.AnnouncedShift {
 	result := make([]placement.AnnouncedShift, 0, len(shifts))
 	for _, shift := range shifts {
--- a/internal/coordinator/moves.go
+++ b/internal/coordinator/moves.go
@@ -10,8 +10,8 @@
 )
 
 // progress returns the progress of a shard's move, which is reset in each new
-// phase and epoch. now is the start time of a phase that was not known; after
-// zero, nextStep sets the start time.
+// phase and epoch. now is recorded as the start time of a new phase; if it is
+// zero, nextStep sets the start time later.
 func (c *Coordinator) progress(shard topology.Shard, now time.Duration) *move {
 	known, ok := c.moves[shard.ID]
 	if ok && known.epoch == shard.Epoch && known.phase == shard.Phase {
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -20,7 +20,7 @@
 	nodes   []node
 	// nodeOf finds a node by back end.
 	nodeOf map[topology.BackendID]int
-	// slots is the sum over all eligible nodes.
+	// slots is the total number of slots of the eligible nodes.
 	slots float64
 	// loads holds the load of each shard, with announced shifts and prior load.
 	loads []float64
@@ -49,8 +49,8 @@
 	moveCount int
 	// eligible says that the node may receive shards.
 	eligible bool
-	// evacuating says that all shards of the node are to be handed over;
-	// restarting, that only those are for which waiting until the node is back
+	// evacuating says that all shards of the node are to be handed over.
+	// restarting says that only those are for which waiting for the node's restart
 	// would cost more.
 	evacuating, restarting bool
 }
@@ -189,7 +189,7 @@
 }
 
 // rangeWidth returns the number of key hashes in a shard's range. For the whole
-// key space it returns the greatest number, which is one less.
+// key space it returns math.MaxUint64, which is one less than the number.
 func rangeWidth(shards []ShardInput, index int) uint64 {
 	start := uint64(shards[index].Shard.Start)
 	if index+1 < len(shards) {
--- a/internal/placement/policy.go
+++ b/internal/placement/policy.go
@@ -10,8 +10,8 @@
 const (
 	DefaultMinimumResidence = 10 * time.Second
 	DefaultMovesPerMinute   = 120
-	// DefaultMovesPerBackend is the limit on moves per minute and back end that
-	// applies where it is higher than DefaultMovesPerMinute.
+	// DefaultMovesPerBackend times the number of back ends is the default limit on
+	// moves per minute if that is more than DefaultMovesPerMinute.
 	DefaultMovesPerBackend = 60
 	DefaultMovesAtOnce     = 4
 	DefaultRestartGrace    = 10 * time.Second
