--- a/internal/admission/estimate.go
+++ b/internal/admission/estimate.go
@@ -6,8 +6,9 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// refusalOnArrival says why a request should not even wait. It returns nil
-// while nothing waits and a slot is free.
+// refusalOnArrival returns a refusal for a request that is not expected to meet
+// its deadline, and nil for one that may wait. While nothing waits and a slot is
+// free, it refuses only requests whose deadline has passed.
 func (q *Queue) refusalOnArrival(now time.Duration, request *Request) *Refusal {
 	if request.Deadline == 0 {
 		return nil
@@ -19,13 +20,14 @@
 	if q.root.waiting == 0 && q.eligible()[request.Class] {
 		return nil
 	}
-	if q.estimatedWait(request)+q.cautiousCost(request.Class) > left {
+	if q.estimatedWait(request)+q.conservativeCost(request.Class) > left {
 		return &Refusal{Reason: wire.ReasonShed, RetryAfter: q.RetryAfter()}
 	}
 	return nil
 }
 
-// queuedWork is the slot time that waiting requests are expected to use.
+// queuedWork returns the slot time that the requests waiting at and below a node
+// are expected to use.
 func (q *Queue) queuedWork(at *node) time.Duration {
 	var work time.Duration
 	for class, count := range at.queued {
@@ -34,29 +36,29 @@
 	return work
 }
 
-// estimatedWait is the expected time until a request offered now would start.
-// It waits for the work before it in its own queue, and meanwhile for an equal
-// share of work of each other queue that competes; never for more than all
-// that waits.
+// estimatedWait returns the expected time until a request offered now starts. It
+// counts the work ahead in the request's own queue and an equal amount for each
+// competing queue, but never more than all queued work.
 func (q *Queue) estimatedWait(request *Request) time.Duration {
 	all := q.queuedWork(&q.root)
-	way := q.order(request)
+	path := q.policy(request)
 	at := &q.root
 	competing := 1
-	for _, k := range way.keys[:way.count] {
-		competing *= competitors(at, k)
+	for _, k := range path.keys[:path.count] {
+		competing *= competingChildren(at, k)
 		next, present := at.children[k]
 		if !present {
-			return q.overSlots(min(all, q.cost[request.Class]*time.Duration(competing)))
+			return q.dividedBySlots(min(all, q.cost[request.Class]*time.Duration(competing)))
 		}
 		at = next
 	}
 	own := q.queuedWork(at) + q.cost[request.Class]
-	return q.overSlots(min(all, own*time.Duration(competing)))
+	return q.dividedBySlots(min(all, own*time.Duration(competing)))
 }
 
-// competitors counts the active children of a node, with the one named.
-func competitors(at *node, k key) int {
+// competingChildren counts the active children of a node, including child k
+// whether it is active or not.
+func competingChildren(at *node, k key) int {
 	count := len(at.active)
 	if child, present := at.children[k]; !present || child.waiting == 0 {
 		count++
@@ -64,6 +66,7 @@
 	return count
 }
 
-func (q *Queue) overSlots(work time.Duration) time.Duration {
+// dividedBySlots returns the time in which all slots together do the work.
+func (q *Queue) dividedBySlots(work time.Duration) time.Duration {
 	return work / time.Duration(q.config.Slots)
 }
--- a/internal/admission/gate/gate.go
+++ b/internal/admission/gate/gate.go
@@ -1,4 +1,5 @@
-// Package gate lets many goroutines wait for the slots of an admission.Queue.
+// Package gate makes an admission.Queue safe for concurrent use and lets
+// goroutines block until they get a slot.
 package gate
 
 import (
@@ -11,8 +12,8 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// Gate is a Queue with a lock and a clock. Acquire blocks only while a
-// request waits.
+// Gate guards a Queue with a mutex and gives it the time. Acquire blocks only
+// while its request waits for a slot.
 type Gate struct {
 	clock   func() time.Duration
 	mutex   sync.Mutex
@@ -24,12 +25,12 @@
 type Slot struct {
 	ticket admission.Ticket
 	gate   *Gate
-	// decided receives the fate of a waiting request.
+	// decided receives the decision on a waiting request; nil means that it runs.
 	decided chan *admission.Refusal
 }
 
-// New makes a Gate. Clock is a monotonic reading, the same that requests'
-// deadlines are given in.
+// New creates a Gate. The argument clock returns a monotonic reading, on the same
+// scale as the deadlines of requests.
 func New(config admission.Config, clock func() time.Duration) (*Gate, error) {
 	queue, err := admission.New(config)
 	if err != nil {
@@ -38,8 +39,8 @@
 	return &Gate{clock: clock, queue: queue, waiters: make(map[*admission.Ticket]*Slot)}, nil
 }
 
-// Acquire waits for a slot. The error is an *admission.Refusal, or the
-// context's error where the caller went away. The slot must be released.
+// Acquire waits for a slot, which the caller must release. The error is an
+// *admission.Refusal, or the context's error if the context was canceled.
 func (g *Gate) Acquire(ctx context.Context, request admission.Request) (*Slot, error) {
 	slot := &Slot{gate: g}
 	refusal, waits, latestStart := g.offer(slot, request)
@@ -52,7 +53,7 @@
 	return slot.wait(ctx, latestStart)
 }
 
-// Release gives the slot back. It may be called once.
+// Release frees the slot. It must be called only once.
 func (s *Slot) Release() {
 	s.gate.mutex.Lock()
 	defer s.gate.mutex.Unlock()
@@ -60,14 +61,14 @@
 	s.gate.deliver(nil)
 }
 
-// Waiting is how many requests wait.
+// Waiting returns the number of waiting requests.
 func (g *Gate) Waiting() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.queue.Waiting()
 }
 
-// Running is how many slots are taken.
+// Running returns the number of slots in use.
 func (g *Gate) Running() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -82,8 +83,8 @@
 	g.deliver(nil)
 }
 
-// offer puts the request to the queue and says whether it has to wait, and
-// for how long that makes sense.
+// offer offers the request to the queue and returns whether it has to wait, and
+// until when it can still start in time.
 func (g *Gate) offer(slot *Slot, request admission.Request) (refusal *admission.Refusal, waits bool, latestStart time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -97,8 +98,8 @@
 	return nil, true, g.queue.LatestStart(&request)
 }
 
-// deliver hands the queue's decisions to the goroutines that wait for them,
-// except the decision on own, which it returns.
+// deliver sends the queue's decisions to the goroutines that wait for them. It
+// returns the decision on own instead of sending it.
 func (g *Gate) deliver(own *admission.Ticket) (decided bool, refusal *admission.Refusal) {
 	for _, decision := range g.queue.Decisions() {
 		if decision.Ticket == own {
@@ -112,8 +113,8 @@
 	return decided, refusal
 }
 
-// wait blocks until the request may run, is refused, can no longer meet its
-// deadline or has lost its caller.
+// wait blocks until the request may run, is refused, has passed its latest start
+// time, or its context is done.
 func (s *Slot) wait(ctx context.Context, latestStart time.Duration) (*Slot, error) {
 	var tooLate <-chan time.Time
 	if latestStart != 0 {
@@ -134,13 +135,14 @@
 	}
 }
 
-// shed is the answer to a request that will not start in time.
+// shed returns the refusal of a request that will not start in time.
 func (g *Gate) shed() *admission.Refusal {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return &admission.Refusal{Reason: wire.ReasonShed, RetryAfter: g.queue.RetryAfter()}
 }
 
+// outcome returns the slot, or the refusal as an error.
 func (s *Slot) outcome(refusal *admission.Refusal) (*Slot, error) {
 	if refusal != nil {
 		return nil, refusal
@@ -148,8 +150,9 @@
 	return s, nil
 }
 
-// withdraw leaves the queue. A decision that was made in the meantime stands,
-// unless nobody is there to use the slot.
+// withdraw takes the request out of the queue. Where a decision was made in the
+// meantime, it stands; but a slot that was granted after the context was done is
+// released.
 func (s *Slot) withdraw(reason error) (*Slot, error) {
 	s.gate.mutex.Lock()
 	if s.gate.queue.Withdraw(&s.ticket) {
--- a/internal/admission/gate/gate_test.go
+++ b/internal/admission/gate/gate_test.go
@@ -19,13 +19,14 @@
 	t.Helper()
 	begin := time.Now()
 	clock := func() time.Duration { return time.Since(begin) }
-	made, err := gate.New(config, clock)
+	g, err := gate.New(config, clock)
 	assert.NilError(t, err)
-	return made, clock
+	return g, clock
 }
 
-// Half of the callers give up while they wait; no slot may be lost or doubled.
-func TestNoSlotIsLostWhenCallersGoAway(t *testing.T) {
+// Half of the callers cancel while they wait or run; no slot may leak or be
+// granted twice.
+func TestNoSlotLeaksWhenCallersCancel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const slots = 4
 		g, _ := newGate(t, admission.Config{Slots: slots, QueueLimit: 1000})
@@ -61,9 +62,9 @@
 	})
 }
 
-// A request that cannot start in time is answered when that is known, and not
-// held back until its deadline.
-func TestRequestIsRefusedAtItsLatestStart(t *testing.T) {
+// A request that cannot start in time is refused at its latest start time, not
+// only at its deadline.
+func TestRequestIsRefusedAtLatestStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, clock := newGate(t, admission.Config{Slots: 1})
 		slot, err := g.Acquire(t.Context(), admission.Request{Caller: "a"})
@@ -73,7 +74,7 @@
 		assert.Assert(t, errors.As(err, &refusal))
 		assert.Equal(t, refusal.Reason, wire.ReasonShed)
 		assert.Assert(t, refusal.RetryAfter > 0)
-		assert.Equal(t, clock(), 95*time.Millisecond, "5 ms of service time are not left any more")
+		assert.Equal(t, clock(), 95*time.Millisecond, "less than 5 ms of service time are left")
 		slot.Release()
 	})
 }
--- a/internal/admission/node.go
+++ b/internal/admission/node.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// node is a queue (without children) or a group of queues.
+// node is a queue (a leaf of the tree) or a group of queues.
 type node struct {
 	parent   *node
 	key      key
@@ -10,10 +10,10 @@
 	// active are the children with waiting requests, in the order in which
 	// they began to wait.
 	active []*node
-	// virtual is the virtual start time of the child served last.
-	virtual time.Duration
-	// start is this node's own virtual start time within its parent.
-	start time.Duration
+	// virtualTime is the largest start tag of a child that was served.
+	virtualTime time.Duration
+	// startTag is the node's virtual start time within its parent.
+	startTag time.Duration
 	// queued counts waiting requests of each class at and below the node.
 	queued  [classCount]int
 	waiting int
@@ -22,28 +22,28 @@
 	first, last *Ticket
 }
 
-// child finds or makes a child.
+// child returns the child with the key and creates it where there is none.
 func (n *node) child(k key) *node {
 	if found, present := n.children[k]; present {
 		return found
 	}
-	made := &node{parent: n, key: k, start: n.virtual}
+	created := &node{parent: n, key: k, startTag: n.virtualTime}
 	if n.children == nil {
 		n.children = make(map[key]*node)
 	}
-	n.children[k] = made
-	return made
+	n.children[k] = created
+	return created
 }
 
-// append puts a ticket at the end of the node's list and counts it up to the
-// root.
+// append adds a ticket to the end of the node's list and to the counts of the
+// node and its ancestors.
 func (n *node) append(t *Ticket) {
 	t.queue = n
-	t.before, t.after = n.last, nil
+	t.prevTicket, t.nextTicket = n.last, nil
 	if n.last == nil {
 		n.first = t
 	} else {
-		n.last.after = t
+		n.last.nextTicket = t
 	}
 	n.last = t
 	for at := n; at != nil; at = at.parent {
@@ -55,19 +55,20 @@
 	}
 }
 
-// remove takes a ticket out of the node's list.
+// remove takes a ticket out of the node's list and out of the counts of the node
+// and its ancestors.
 func (n *node) remove(t *Ticket) {
-	if t.before == nil {
-		n.first = t.after
+	if t.prevTicket == nil {
+		n.first = t.nextTicket
 	} else {
-		t.before.after = t.after
+		t.prevTicket.nextTicket = t.nextTicket
 	}
-	if t.after == nil {
-		n.last = t.before
+	if t.nextTicket == nil {
+		n.last = t.prevTicket
 	} else {
-		t.after.before = t.before
+		t.nextTicket.prevTicket = t.prevTicket
 	}
-	t.before, t.after = nil, nil
+	t.prevTicket, t.nextTicket = nil, nil
 	for at := n; at != nil; at = at.parent {
 		at.queued[t.request.Class]--
 		at.waiting--
@@ -77,13 +78,16 @@
 	}
 }
 
-// activate lets a node that had nothing waiting compete again. It keeps the
-// debt of a start time ahead of the others and gets no credit for idleness.
+// activate adds a node that had nothing waiting to its parent's active children.
+// A start tag ahead of the parent's virtual time stays, so that slot time used
+// in advance is still paid for; one behind it is raised, so that an idle node
+// earns no credit.
 func (n *node) activate() {
-	n.start = max(n.start, n.parent.virtual)
+	n.startTag = max(n.startTag, n.parent.virtualTime)
 	n.parent.active = append(n.parent.active, n)
 }
 
+// deactivate removes a node from its parent's active children.
 func (n *node) deactivate() {
 	siblings := n.parent.active
 	for i, sibling := range siblings {
@@ -96,36 +100,38 @@
 	}
 }
 
-// charge counts a started request and the slot time it is expected to use.
+// charge counts a started request and adds its expected slot time to the start
+// tags of the node and its ancestors.
 func (n *node) charge(cost time.Duration) {
 	for at := n; at != nil; at = at.parent {
 		at.running++
 		if at.parent != nil {
-			at.parent.virtual = max(at.parent.virtual, at.start)
-			at.start += cost
+			at.parent.virtualTime = max(at.parent.virtualTime, at.startTag)
+			at.startTag += cost
 		}
 	}
 }
 
-// settle counts an ended request and corrects what it was charged.
-func (n *node) settle(correction time.Duration) {
+// correctCharge counts an ended request and adds the difference between its
+// actual and its expected slot time to the start tags.
+func (n *node) correctCharge(correction time.Duration) {
 	for at := n; at != nil; at = at.parent {
 		at.running--
 		if at.parent != nil {
-			at.start += correction
+			at.startTag += correction
 		}
 	}
 }
 
-// next returns the first ticket of the queue whose turn it is, of an eligible
-// class. The scan over active children is bounded by the limit on waiting
-// requests.
+// next returns the first ticket of an eligible class in the queue that is reached
+// by following the smallest start tags. The scan over active children is bounded
+// by the limit on waiting requests.
 func (n *node) next(eligible [classCount]bool) *Ticket {
 	at := n
 	for len(at.active) > 0 {
 		var best *node
 		for _, child := range at.active {
-			if child.holds(eligible) && (best == nil || child.start < best.start) {
+			if child.hasWaiting(eligible) && (best == nil || child.startTag < best.startTag) {
 				best = child
 			}
 		}
@@ -134,7 +140,7 @@
 		}
 		at = best
 	}
-	for t := at.first; t != nil; t = t.after {
+	for t := at.first; t != nil; t = t.nextTicket {
 		if eligible[t.request.Class] {
 			return t
 		}
@@ -142,8 +148,9 @@
 	return nil
 }
 
-// holds says whether a request of an eligible class waits at or below the node.
-func (n *node) holds(eligible [classCount]bool) bool {
+// hasWaiting reports whether a request of an eligible class waits at or below the
+// node.
+func (n *node) hasWaiting(eligible [classCount]bool) bool {
 	for class, count := range n.queued {
 		if eligible[class] && count > 0 {
 			return true
@@ -152,7 +159,8 @@
 	return false
 }
 
-// longest returns the queue reached by following the most waiting requests.
+// longest returns the queue that is reached by following the child with the most
+// waiting requests.
 func (n *node) longest() *node {
 	at := n
 	for len(at.active) > 0 {
@@ -167,16 +175,17 @@
 	return at
 }
 
-// idle says whether nothing waits or runs at or below the node.
+// idle reports whether nothing waits or runs at or below the node.
 func (n *node) idle() bool { return n.waiting == 0 && n.running == 0 }
 
-// forgetIdle drops idle children that owe nothing, or all idle ones.
-func (n *node) forgetIdle(all bool) {
+// removeIdle removes idle descendants whose start tag is not ahead of their
+// parent's virtual time, or all idle ones.
+func (n *node) removeIdle(all bool) {
 	for k, child := range n.children {
-		if child.idle() && (all || child.start <= n.virtual) {
+		if child.idle() && (all || child.startTag <= n.virtualTime) {
 			delete(n.children, k)
 			continue
 		}
-		child.forgetIdle(all)
+		child.removeIdle(all)
 	}
 }
--- a/internal/admission/orders_test.go
+++ b/internal/admission/policies_test.go
@@ -1,33 +1,33 @@
 package admission
 
-// The orders that the bench compares. Those that lost stand only here; see
-// docs/decisions/010-queues-and-fairness.md.
+// The queueing policies that BenchmarkFairness compares. Those that were not
+// chosen exist only here; see docs/decisions/010-queues-and-fairness.md.
 
-// firstCome has a single queue.
+// firstCome has a single first-come, first-served queue.
 func firstCome(*Request) path { return path{} }
 
 // perCaller divides by the caller's whole name.
 func perCaller(request *Request) path {
-	var way path
-	way.push(key{caller: request.Caller})
-	return way
+	var p path
+	p.push(key{caller: request.Caller})
+	return p
 }
 
 // perCallerAndClass divides by the caller's whole name, then by class.
 func perCallerAndClass(request *Request) path {
-	way := perCaller(request)
-	way.push(key{class: request.Class + 1})
-	return way
+	p := perCaller(request)
+	p.push(key{class: request.Class + 1})
+	return p
 }
 
 // perClass has a queue for each class.
 func perClass(request *Request) path {
-	var way path
-	way.push(key{class: request.Class + 1})
-	return way
+	var p path
+	p.push(key{class: request.Class + 1})
+	return p
 }
 
-var orders = []struct {
+var policies = []struct {
 	name   string
 	policy policy
 }{
@@ -35,5 +35,5 @@
 	{"per-caller-and-class", perCallerAndClass}, {"nested", nested},
 }
 
-// chosen is the order of the product.
-var chosen = nested
+// defaultPolicy is the policy that New sets.
+var defaultPolicy = nested
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -9,39 +9,39 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// Config bounds a Queue.
+// Config sets the limits of a Queue.
 type Config struct {
-	// Slots is how many requests run at once.
+	// Slots is the number of requests that run at once.
 	Slots int
-	// QueueLimit is how many requests wait at once, at most. The default is
-	// ten times Slots.
+	// QueueLimit is the maximum number of waiting requests. The default is ten
+	// times Slots.
 	QueueLimit int
-	// Reserved is how many slots are kept for each class, indexed by Class.
-	// The zero value reserves DefaultReserved.
+	// Reserved is the number of slots reserved for each class, indexed by Class.
+	// The zero value means DefaultReserved.
 	Reserved [classCount]int
 }
 
-// Defaults.
+// Defaults and limits.
 const (
 	defaultQueuePerSlot = 10
-	// initialCost is the slot time expected of a class before any was seen.
+	// initialCost is the slot time expected of a class before one is measured.
 	initialCost = 5 * time.Millisecond
 	// costSmoothing is the weight of a new sample in the moving average.
 	costSmoothing = 0.1
-	// cautiousDeviations is how many deviations are allowed for.
-	cautiousDeviations = 2
-	// minimumRetryAfter is the least time after which asking again is worth it.
-	minimumRetryAfter = 100 * time.Millisecond
-	// sweepInterval is after how many offers the queues of callers that are
-	// gone are dropped; it bounds their memory.
-	sweepInterval = 4096
-	// lookupHeadroom times the slots that look-ups used of late are kept for
-	// them, but never more than maximumLookupShare percent of all, together
-	// with those for writes.
-	lookupHeadroom     = 1.5
-	maximumLookupShare = 80
-	// usedWindow is the time over which used slots are averaged.
-	usedWindow = time.Second
+	// deviationFactor is the number of mean deviations that conservativeCost adds.
+	deviationFactor = 2
+	// minRetryAfter is the shortest wait that a refusal suggests before a retry.
+	minRetryAfter = 100 * time.Millisecond
+	// idleRemovalInterval is the number of offers between removals of idle
+	// queues, which bound the memory that former callers take.
+	idleRemovalInterval = 4096
+	// Bulk leaves to look-ups lookupHeadroom times the slots that they used
+	// recently, but not so many that the slots for look-ups and the reserved
+	// slots for writes exceed maxLookupPercent percent of all.
+	lookupHeadroom   = 1.5
+	maxLookupPercent = 80
+	// averagingWindow is the time constant of the average number of used slots.
+	averagingWindow = time.Second
 )
 
 // DefaultReserved keeps a quarter of the slots for look-ups and a tenth each
@@ -54,7 +54,7 @@
 	return reserved
 }
 
-// withDefaults fills what is not set.
+// withDefaults replaces zero values by the defaults.
 func (c Config) withDefaults() Config {
 	if c.QueueLimit == 0 {
 		c.QueueLimit = defaultQueuePerSlot * c.Slots
@@ -66,51 +66,51 @@
 }
 
 func (c Config) validate() error {
-	var findings []error
+	var errs []error
 	if c.Slots < 1 {
-		findings = append(findings, fmt.Errorf("slots: %d, need at least 1", c.Slots))
+		errs = append(errs, fmt.Errorf("slots: %d, need at least 1", c.Slots))
 	}
 	if c.QueueLimit < 0 {
-		findings = append(findings, fmt.Errorf("queue limit: %d is negative", c.QueueLimit))
+		errs = append(errs, fmt.Errorf("queue limit: %d is negative", c.QueueLimit))
 	}
 	total := 0
 	for class, count := range c.Reserved {
 		if count < 0 {
-			findings = append(findings, fmt.Errorf("reserved slots of class %s: %d is negative", Class(class), count))
+			errs = append(errs, fmt.Errorf("reserved slots of class %s: %d is negative", Class(class), count))
 		}
 		total += count
 	}
 	if total > c.Slots {
-		findings = append(findings, fmt.Errorf("reserved slots: %d in all, there are %d slots", total, c.Slots))
+		errs = append(errs, fmt.Errorf("reserved slots: %d in all, there are %d slots", total, c.Slots))
 	}
-	return errors.Join(findings...)
+	return errors.Join(errs...)
 }
 
-// ticketState is where a ticket stands.
+// ticketState is the state of a ticket in its queue.
 type ticketState uint8
 
 const (
 	ticketNew ticketState = iota
 	ticketWaiting
 	ticketRunning
-	ticketOver
+	ticketDone
 )
 
 // Ticket is one request's place in a Queue. Its zero value may be offered;
 // after Finish, Withdraw or a refusal it may be offered again.
 type Ticket struct {
-	request       Request
-	state         ticketState
-	queue         *node
-	before, after *Ticket
-	startedAt     time.Duration
-	charged       time.Duration
+	request                Request
+	state                  ticketState
+	queue                  *node
+	prevTicket, nextTicket *Ticket
+	startedAt              time.Duration
+	charged                time.Duration
 }
 
-// Running says that the request holds a slot.
+// Running reports whether the request holds a slot.
 func (t *Ticket) Running() bool { return t.state == ticketRunning }
 
-// Decision is the fate of a ticket that was offered: it runs now, or it is
+// Decision is the outcome for a ticket that was offered: it runs now, or it is
 // refused.
 type Decision struct {
 	Ticket *Ticket
@@ -118,155 +118,157 @@
 	Refusal *Refusal
 }
 
-// Queue holds the slots and the waiting requests. It is not safe for use by
-// several goroutines at once; see subpackage gate.
+// Queue holds the slots and the waiting requests. It is not safe for concurrent
+// use; see subpackage gate.
 type Queue struct {
 	config Config
-	// order divides the waiting requests; tests compare others.
-	order   policy
+	// policy divides the waiting requests into queues; benchmarks replace it.
+	policy  policy
 	root    node
 	running [classCount]int
 	cost    [classCount]time.Duration
-	// deviation is the moving average of how far slot times lie from cost.
+	// deviation is the moving average of the distance of slot times from cost.
 	deviation [classCount]time.Duration
-	// learned says that a class's slot time was seen.
-	learned [classCount]bool
-	// used are moving averages of running, as of observedAt.
-	used       [classCount]float64
-	observedAt time.Duration
-	// offers since the last sweep.
+	// costMeasured is set for classes whose slot time was measured at least once.
+	costMeasured [classCount]bool
+	// averageRunning holds moving averages of running, as of averagedAt.
+	averageRunning [classCount]float64
+	averagedAt     time.Duration
+	// offers counts the offers since idle queues were last removed.
 	offers    int
 	decisions []Decision
 }
 
-// New makes a Queue. All findings on the configuration are joined in the
-// error.
+// New creates a Queue. The error joins all problems of the configuration.
 func New(config Config) (*Queue, error) {
 	config = config.withDefaults()
 	if err := config.validate(); err != nil {
 		return nil, fmt.Errorf("admission: %w", err)
 	}
-	q := &Queue{config: config, order: nested}
+	q := &Queue{config: config, policy: nested}
 	for class := range q.cost {
 		q.cost[class] = initialCost
 	}
 	return q, nil
 }
 
-// Offer asks for a slot. What becomes of the ticket, and of others, is in
-// Decisions, now or after a later call.
+// Offer asks for a slot. Decisions returns the outcome for the ticket, and for
+// others, after this call or a later one.
 func (q *Queue) Offer(now time.Duration, t *Ticket, request Request) {
 	*t = Ticket{request: request}
-	q.sweep()
+	q.removeIdleQueues()
 	if refusal := q.refusalOnArrival(now, &request); refusal != nil {
 		q.refuse(t, refusal)
 		return
 	}
 	t.state = ticketWaiting
 	q.queueOf(&request).append(t)
-	q.start(now)
-	q.dropExcess()
+	q.dispatch(now)
+	q.shedExcess()
 }
 
-// Finish returns a running ticket's slot.
+// Finish frees the slot of a running ticket.
 func (q *Queue) Finish(now time.Duration, t *Ticket) {
 	if t.state != ticketRunning {
 		return
 	}
-	t.state = ticketOver
+	t.state = ticketDone
 	class := t.request.Class
 	used := max(now-t.startedAt, 0)
-	q.observe(now)
+	q.updateAverages(now)
 	q.running[class]--
-	q.learn(class, used)
-	t.queue.settle(used - t.charged)
-	q.start(now)
+	q.updateCost(class, used)
+	t.queue.correctCharge(used - t.charged)
+	q.dispatch(now)
 }
 
-// learn takes a sample of a class's slot time. The first one stands for all, as
-// in RFC 6298, since the initial cost is a guess.
-func (q *Queue) learn(class Class, used time.Duration) {
-	if !q.learned[class] {
-		q.learned[class] = true
+// updateCost adds a sample to the averages of a class's slot time. The first
+// sample replaces the initial cost, which is a guess, as in RFC 6298.
+func (q *Queue) updateCost(class Class, used time.Duration) {
+	if !q.costMeasured[class] {
+		q.costMeasured[class] = true
 		q.cost[class], q.deviation[class] = used, used/2
 		return
 	}
-	off := used - q.cost[class]
-	q.cost[class] += time.Duration(costSmoothing * float64(off))
-	q.deviation[class] += time.Duration(costSmoothing * float64(off.Abs()-q.deviation[class]))
+	difference := used - q.cost[class]
+	q.cost[class] += time.Duration(costSmoothing * float64(difference))
+	q.deviation[class] += time.Duration(costSmoothing * float64(difference.Abs()-q.deviation[class]))
 }
 
-// cautiousCost is the slot time that most requests of a class stay below: the
-// mean and some deviations, as in TCP's timeout (RFC 6298).
-func (q *Queue) cautiousCost(class Class) time.Duration {
-	return q.cost[class] + cautiousDeviations*q.deviation[class]
+// conservativeCost is the slot time that most requests of a class stay below:
+// the mean plus deviationFactor mean deviations, as in TCP's retransmission
+// timeout (RFC 6298).
+func (q *Queue) conservativeCost(class Class) time.Duration {
+	return q.cost[class] + deviationFactor*q.deviation[class]
 }
 
-// Withdraw takes back a waiting ticket, because its caller is gone or its
-// latest start has passed. It says whether the ticket still waited.
+// Withdraw removes a waiting ticket, because its caller is gone or its latest
+// start time has passed. It reports whether the ticket was still waiting.
 func (q *Queue) Withdraw(t *Ticket) bool {
 	if t.state != ticketWaiting {
 		return false
 	}
 	t.queue.remove(t)
-	t.state = ticketOver
+	t.state = ticketDone
 	return true
 }
 
-// LatestStart is the last moment at which a request can start and be expected
-// to meet its deadline; zero means any.
+// LatestStart returns the latest time at which a request can start and is still
+// expected to meet its deadline; zero means that it has no deadline.
 func (q *Queue) LatestStart(request *Request) time.Duration {
 	if request.Deadline == 0 {
 		return 0
 	}
-	return request.Deadline - q.cautiousCost(request.Class)
+	return request.Deadline - q.conservativeCost(request.Class)
 }
 
-// SetSlots changes the number of slots. Running requests keep theirs.
+// SetSlots changes the number of slots and reserves DefaultReserved of them.
+// Running requests keep their slots.
 func (q *Queue) SetSlots(now time.Duration, slots int) {
 	if slots < 1 || slots == q.config.Slots {
 		return
 	}
 	q.config.Slots = slots
 	q.config.Reserved = DefaultReserved(slots)
-	q.start(now)
+	q.dispatch(now)
 }
 
-// Decisions returns and forgets what was decided since the last call. The
-// slice is valid until the next call of any method.
+// Decisions returns the decisions made since its last call. The slice is valid
+// until the next call of any method.
 func (q *Queue) Decisions() []Decision {
 	decided := q.decisions
 	q.decisions = q.decisions[:0]
 	return decided
 }
 
-// RetryAfter is the time in which what waits now will have been served.
+// RetryAfter returns the estimated time until all requests that wait now are
+// served, but at least minRetryAfter.
 func (q *Queue) RetryAfter() time.Duration {
-	return max(q.overSlots(q.queuedWork(&q.root)), minimumRetryAfter)
+	return max(q.dividedBySlots(q.queuedWork(&q.root)), minRetryAfter)
 }
 
-// Waiting is how many requests wait.
+// Waiting returns the number of waiting requests.
 func (q *Queue) Waiting() int { return q.root.waiting }
 
-// Running is how many requests hold a slot.
+// Running returns the number of requests that hold a slot.
 func (q *Queue) Running() int { return q.root.running }
 
-// Cost is the present estimate of the slot time of a class.
+// Cost returns the estimated slot time of a class.
 func (q *Queue) Cost(class Class) time.Duration { return q.cost[class] }
 
-// queueOf finds or makes the queue that a request belongs to.
+// queueOf returns the queue of a request and creates it where there is none.
 func (q *Queue) queueOf(request *Request) *node {
-	way := q.order(request)
+	path := q.policy(request)
 	at := &q.root
-	for _, k := range way.keys[:way.count] {
+	for _, k := range path.keys[:path.count] {
 		at = at.child(k)
 	}
 	return at
 }
 
-// start gives free slots to waiting requests. A request that can no longer
-// meet its deadline is refused in place of being started.
-func (q *Queue) start(now time.Duration) {
+// dispatch gives free slots to waiting requests. A request whose deadline has
+// passed is refused instead of being started.
+func (q *Queue) dispatch(now time.Duration) {
 	for q.root.waiting > 0 && q.root.running < q.config.Slots {
 		t := q.root.next(q.eligible())
 		if t == nil {
@@ -283,7 +285,7 @@
 
 func (q *Queue) run(now time.Duration, t *Ticket) {
 	class := t.request.Class
-	q.observe(now)
+	q.updateAverages(now)
 	t.state = ticketRunning
 	t.startedAt = now
 	t.charged = q.cost[class]
@@ -293,12 +295,12 @@
 }
 
 func (q *Queue) refuse(t *Ticket, refusal *Refusal) {
-	t.state = ticketOver
+	t.state = ticketDone
 	q.decisions = append(q.decisions, Decision{Ticket: t, Refusal: refusal})
 }
 
-// eligible says for each class whether it may take a free slot: the slots
-// that other classes have reserved and do not use must stay free.
+// eligible returns for each class whether it may take a free slot: the unused
+// reserved slots of the other classes must stay free.
 func (q *Queue) eligible() [classCount]bool {
 	free := q.config.Slots - q.root.running
 	reserved := q.config.Reserved
@@ -310,34 +312,35 @@
 	result[ClassWrite] = free > unusedLookups+unusedBulk
 	result[ClassBulk] = free > unusedWrites+unusedLookups
 	if unusedBulk == 0 {
-		// Beyond its own slots, which nobody else can use.
-		result[ClassBulk] = free > unusedWrites+max(q.lookupsAgainstBulk()-q.running[ClassLookup], 0)
+		// Bulk has filled the slots reserved for it, which no other class may
+		// use, and asks for more.
+		result[ClassBulk] = free > unusedWrites+max(q.slotsKeptFromBulk()-q.running[ClassLookup], 0)
 	}
 	return result
 }
 
-// lookupsAgainstBulk is how many slots bulk leaves to look-ups: what those used
-// of late and some more, because a slot that bulk took is not free again within
-// a look-up's time.
-func (q *Queue) lookupsAgainstBulk() int {
-	recent := int(math.Ceil(lookupHeadroom * q.used[ClassLookup]))
-	most := q.config.Slots*maximumLookupShare/100 - q.config.Reserved[ClassWrite]
-	return max(q.config.Reserved[ClassLookup], min(recent, most))
+// slotsKeptFromBulk returns the number of slots that bulk leaves to look-ups:
+// their recent use and some headroom, because a slot taken by bulk does not
+// become free again within the time of a look-up.
+func (q *Queue) slotsKeptFromBulk() int {
+	recent := int(math.Ceil(lookupHeadroom * q.averageRunning[ClassLookup]))
+	limit := q.config.Slots*maxLookupPercent/100 - q.config.Reserved[ClassWrite]
+	return max(q.config.Reserved[ClassLookup], min(recent, limit))
 }
 
-// observe brings the averages of used slots up to now. It is called before the
-// number of running requests changes.
-func (q *Queue) observe(now time.Duration) {
-	weight := 1 - math.Exp(-(now-q.observedAt).Seconds()/usedWindow.Seconds())
+// updateAverages advances the averages of used slots to now. It is called before
+// the number of running requests changes.
+func (q *Queue) updateAverages(now time.Duration) {
+	weight := 1 - math.Exp(-(now-q.averagedAt).Seconds()/averagingWindow.Seconds())
 	for class, running := range q.running {
-		q.used[class] += weight * (float64(running) - q.used[class])
+		q.averageRunning[class] += weight * (float64(running) - q.averageRunning[class])
 	}
-	q.observedAt = now
+	q.averagedAt = now
 }
 
-// dropExcess refuses the newest request of the longest queue while more wait
-// than allowed.
-func (q *Queue) dropExcess() {
+// shedExcess refuses the newest request of the longest queue until no more than
+// QueueLimit requests wait.
+func (q *Queue) shedExcess() {
 	for q.root.waiting > q.config.QueueLimit {
 		t := q.root.longest().last
 		t.queue.remove(t)
@@ -345,12 +348,12 @@
 	}
 }
 
-// sweep drops the queues of callers that are gone, now and then.
-func (q *Queue) sweep() {
+// removeIdleQueues removes idle queues once every idleRemovalInterval offers.
+func (q *Queue) removeIdleQueues() {
 	q.offers++
-	if q.offers < sweepInterval {
+	if q.offers < idleRemovalInterval {
 		return
 	}
 	q.offers = 0
-	q.root.forgetIdle(q.root.idle())
+	q.root.removeIdle(q.root.idle())
 }
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -48,7 +48,7 @@
 		const slots, limit = 6, 9
 		queue, err := admission.New(admission.Config{Slots: slots, QueueLimit: limit})
 		assert.NilError(t, err)
-		fates := make(map[*admission.Ticket]int)
+		decisionCounts := make(map[*admission.Ticket]int)
 		var running, all []*admission.Ticket
 		for step := range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now := time.Duration(step) * ms
@@ -66,7 +66,7 @@
 				all = append(all, offer(queue, now, request))
 			}
 			for _, decision := range queue.Decisions() {
-				fates[decision.Ticket]++
+				decisionCounts[decision.Ticket]++
 				if decision.Refusal == nil {
 					running = append(running, decision.Ticket)
 				}
@@ -76,10 +76,10 @@
 			assert.Assert(t, queue.Waiting() <= limit)
 		}
 		for _, ticket := range all {
-			if fates[ticket] == 0 {
+			if decisionCounts[ticket] == 0 {
 				assert.Assert(t, queue.Withdraw(ticket), "an undecided ticket must still wait")
 			}
-			assert.Assert(t, fates[ticket] <= 1, "a ticket is decided once")
+			assert.Assert(t, decisionCounts[ticket] <= 1, "a ticket is decided once")
 		}
 		assert.Equal(t, queue.Waiting(), 0)
 	})
@@ -107,7 +107,8 @@
 	assert.Assert(t, offer(queue, 0, admission.Request{Caller: "desk", Class: admission.ClassWrite}).Running())
 }
 
-// A caller that sends much waits behind its own requests, not before others'.
+// Requests of a caller that floods the queue wait behind each other, not ahead of
+// other callers.
 func TestCallersShareSlotTimeEvenly(t *testing.T) {
 	queue := mustQueue(t, admission.Config{Slots: 1, QueueLimit: 100, Reserved: [3]int{1, 0, 0}})
 	running := offer(queue, 0, lookup("flood"))
@@ -127,8 +128,8 @@
 	}
 }
 
-// Two instances of one calling service get the share of one service.
-func TestNestedSharesByServiceBeforeInstance(t *testing.T) {
+// Several instances of one calling service together get the share of one service.
+func TestSlotTimeIsSharedByServiceBeforeInstance(t *testing.T) {
 	queue := mustQueue(t, admission.Config{Slots: 1, QueueLimit: 300, Reserved: [3]int{1, 0, 0}})
 	running := offer(queue, 0, lookup("warm-up"))
 	callers := make(map[*admission.Ticket]string)
@@ -152,7 +153,7 @@
 	assert.Equal(t, served["tiles/3"], 10)
 }
 
-func TestFullQueueRefusesTheNewestOfTheLongest(t *testing.T) {
+func TestFullQueueShedsNewestRequestOfLongestQueue(t *testing.T) {
 	queue := mustQueue(t, admission.Config{Slots: 1, QueueLimit: 3})
 	offer(queue, 0, lookup("flood"))
 	offer(queue, 0, lookup("flood"))
@@ -185,9 +186,9 @@
 	assert.Assert(t, queue.Withdraw(offer(queue, 0, inTime)), "it waits")
 }
 
-// After one slow period the estimates are far too high; they must not refuse
-// everything for ever.
-func TestWrongEstimateDoesNotRefuseWhileASlotIsFree(t *testing.T) {
+// After a slow period the estimates are far too high. They must not refuse every
+// request from then on, since without new samples they would never recover.
+func TestWrongEstimateDoesNotRefuseWhileSlotIsFree(t *testing.T) {
 	queue := mustQueue(t, admission.Config{Slots: 1})
 	now := time.Duration(0)
 	for range 50 {
@@ -200,7 +201,7 @@
 	assert.Assert(t, offer(queue, now, request).Running())
 }
 
-func TestExpiredRequestsGetNoSlot(t *testing.T) {
+func TestExpiredRequestIsNotStarted(t *testing.T) {
 	queue := mustQueue(t, admission.Config{Slots: 1})
 	first := offer(queue, 0, lookup("app"))
 	request := lookup("app")
@@ -214,14 +215,14 @@
 	assert.Equal(t, queue.Running(), 0)
 }
 
-func TestConfigFindingsAreReportedTogether(t *testing.T) {
+func TestConfigErrorsAreJoined(t *testing.T) {
 	_, err := admission.New(admission.Config{Slots: 0, QueueLimit: -1, Reserved: [3]int{1, -1, 1}})
 	assert.ErrorContains(t, err, "slots: 0, need at least 1")
 	assert.ErrorContains(t, err, "queue limit: -1 is negative")
 	assert.ErrorContains(t, err, "reserved slots of class write: -1 is negative")
 }
 
-func TestRetryBudgetIsAShareOfTraffic(t *testing.T) {
+func TestRetryBudgetBoundsRetriesToShareOfTraffic(t *testing.T) {
 	budget := admission.NewRetryBudget(0.1, 5)
 	granted := 0
 	for range 1000 {
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -14,11 +14,11 @@
 
 // Classes of requests.
 const (
-	// ClassLookup is short work that a person waits for.
+	// ClassLookup is for short requests that a person waits for.
 	ClassLookup Class = iota
-	// ClassWrite is non-repeatable work: closures, settlements.
+	// ClassWrite is for non-repeatable requests, such as closures and settlements.
 	ClassWrite
-	// ClassBulk is long work: map packs, exports.
+	// ClassBulk is for long requests, such as map packs and exports.
 	ClassBulk
 
 	classCount = 3
@@ -37,8 +37,8 @@
 	return fmt.Sprintf("class(%d)", uint8(c))
 }
 
-// ClassOf gives the class of a request. Bulk work stays bulk when it is
-// non-repeatable, since it holds a slot for as long.
+// ClassOf returns the class of a request. Non-repeatable bulk requests count as
+// bulk, since they hold a slot for as long as other bulk requests.
 func ClassOf(class topology.RequestClass, nonRepeatable bool) Class {
 	if class == topology.ClassBulk {
 		return ClassBulk
@@ -49,16 +49,16 @@
 	return ClassLookup
 }
 
-// Request is what a Queue needs to know of a request.
+// Request describes a request to a Queue.
 type Request struct {
 	// Service that the request is for.
 	Service topology.ServiceID
-	// Caller is who sends it. A name may be divided by "/" into levels, such
-	// as "wayfinder/instance-3"; each level is treated fairly among its kind.
+	// Caller names the sender. "/" divides a name into levels, such as
+	// "wayfinder/instance-3"; siblings at each level get equal shares.
 	Caller string
 	Class  Class
-	// Deadline is the monotonic reading after which the answer is of no use;
-	// zero is none.
+	// Deadline is the monotonic reading after which the answer is useless; zero
+	// means none.
 	Deadline time.Duration
 }
 
@@ -66,7 +66,7 @@
 type Refusal struct {
 	// Reason is wire.ReasonShed or wire.ReasonExpired.
 	Reason wire.Reason
-	// RetryAfter is when it is worth asking again; zero for expired requests.
+	// RetryAfter is how long to wait before a retry; zero for expired requests.
 	RetryAfter time.Duration
 }
 
@@ -82,14 +82,15 @@
 	maxLevels    = callerLevels + 2
 )
 
-// key names a child of a tree node. One of its fields is set.
+// key identifies a child of a tree node. One of its fields is set; class holds
+// the class plus one, so that it is never zero.
 type key struct {
 	service topology.ServiceID
 	caller  string
 	class   Class
 }
 
-// path is the way from the root to a request's queue.
+// path lists the keys from the root to a request's queue.
 type path struct {
 	keys  [maxLevels]key
 	count int
@@ -100,29 +101,29 @@
 	p.count++
 }
 
-// policy divides the waiting requests into queues: it gives a request's way
-// through the tree and allocates nothing.
+// policy divides the waiting requests into queues: it returns the path of a
+// request's queue in the tree. It allocates nothing.
 type policy func(*Request) path
 
 // nested divides by service, by each level of the caller's name and by class.
 func nested(request *Request) path {
-	var way path
-	way.push(key{service: request.Service})
-	pushCaller(&way, request.Caller)
-	way.push(key{class: request.Class + 1})
-	return way
+	var p path
+	p.push(key{service: request.Service})
+	pushCaller(&p, request.Caller)
+	p.push(key{class: request.Class + 1})
+	return p
 }
 
-// pushCaller adds one key for each part of a caller's name; what is left
-// after callerLevels parts stays together.
-func pushCaller(way *path, caller string) {
+// pushCaller adds one key for each part of a caller's name; the last
+// of callerLevels keys holds the rest of the name.
+func pushCaller(p *path, caller string) {
 	for range callerLevels - 1 {
 		first, rest, divided := strings.Cut(caller, "/")
 		if !divided {
 			break
 		}
-		way.push(key{caller: first})
+		p.push(key{caller: first})
 		caller = rest
 	}
-	way.push(key{caller: caller})
+	p.push(key{caller: caller})
 }
--- a/internal/admission/retry.go
+++ b/internal/admission/retry.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// RetryBudget bounds retries to a share of the traffic, so that retries do not
-// multiply an overload. Each first attempt earns Share of a retry; at most
-// Burst retries are saved up. The zero value allows none.
+// RetryBudget limits retries to a share of the traffic, so that retries do not
+// amplify an overload. Each first attempt earns Share of a retry; at most Burst
+// retries accumulate. The zero value allows none.
 type RetryBudget struct {
-	// Share of first attempts that may be retried, for example 0.1.
+	// Share is the fraction of first attempts that may be retried, for example 0.1.
 	Share float64
-	// Burst is the number of retries that can be saved up.
+	// Burst is the number of retries that can accumulate.
 	Burst float64
 	saved float64
 }
@@ -26,7 +26,7 @@
 	b.saved = math.Min(b.saved+b.Share, b.Burst)
 }
 
-// Spend takes one retry from the budget, if there is one.
+// Spend takes one retry from the budget and reports whether there was one.
 func (b *RetryBudget) Spend() bool {
 	if b.saved < 1 {
 		return false
@@ -35,7 +35,7 @@
 	return true
 }
 
-// Backoff is the wait before a retry, with full jitter: evenly drawn between
+// Backoff computes the wait before a retry, with full jitter: uniform between
 // zero and an exponentially growing bound (Brooker, "Exponential Backoff and
 // Jitter", 2015).
 type Backoff struct {
@@ -45,8 +45,8 @@
 	Maximum time.Duration
 }
 
-// Wait gives the wait before retry number retry, counted from 0. Random is
-// evenly drawn from [0, 1).
+// Wait returns the wait before the given retry, counted from 0. The argument
+// random is drawn uniformly from [0, 1).
 func (b Backoff) Wait(retry int, random float64) time.Duration {
 	bound := math.Min(float64(b.Initial)*math.Exp2(float64(retry)), float64(b.Maximum))
 	return time.Duration(random * bound)
