--- a/internal/subscription/client.go
+++ b/internal/subscription/client.go
@@ -16,10 +16,11 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// NeverFresh is the Freshness of a client that never had a proof.
+// NeverFresh is the Freshness of a client that never had a proof of freshness.
 const NeverFresh = time.Duration(math.MaxInt64)
 
-// ErrNoSession says that no session is open; the message was not kept.
+// ErrNoSession is returned by Send when no session is open. The message is not
+// queued.
 var ErrNoSession = errors.New("no controller session")
 
 // Client keeps a session with a controller until Stop.
@@ -36,29 +37,29 @@
 	backend atomic.Uint32
 	counts  counters
 
-	// The rest belongs to the receiving goroutine.
-	state     statechart.State
-	conn      *transport.Conn
-	welcome   wire.Welcome
-	greetedAt topology.Revision // that the last Hello named as in force
-	named     string            // address of the leader that a controller named
-	turn      int               // place in config.Controllers of the next attempt
-	redirects int               // in a row, without a useful session
-	failures  int               // in a row
-	// askWhole makes the next Hello ask for a snapshot; gapSeen says that the
-	// last session ended at a gap and nothing was applied since.
-	askWhole bool
-	gapSeen  bool
+	// The fields below belong to the receiving goroutine.
+	state          statechart.State
+	conn           *transport.Conn
+	welcome        wire.Welcome
+	helloRevision  topology.Revision // applied revision in the last Hello
+	leaderAddress  string            // leader address from the last Welcome or Redirect
+	nextController int               // index into config.Controllers for the next attempt, modulo its length
+	redirects      int               // consecutive, without a useful session
+	failures       int               // consecutive
+	// requestSnapshot makes the next Hello request a snapshot. gapSeen is set
+	// when a session ended at a revision gap, until a table is applied.
+	requestSnapshot bool
+	gapSeen         bool
 }
 
-// Start checks the configuration and begins to connect.
+// Start validates the configuration and begins to connect.
 func Start(config Config) (*Client, error) {
 	if err := config.validate(); err != nil {
 		return nil, fmt.Errorf("subscription: %w", err)
 	}
 	c := &Client{config: config.withDefaults(), done: make(chan struct{})}
 	c.random = rand.New(rand.NewPCG(c.config.Seed, 0))
-	c.turn = c.random.IntN(len(config.Controllers))
+	c.nextController = c.random.IntN(len(config.Controllers))
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	c.state = sessionTable.Initial()
 	go c.run()
@@ -66,21 +67,21 @@
 }
 
 // Stop ends the session and waits for the client's goroutines. It does not
-// release the lease: for that, Report says so in a Renew before Stop.
+// release the lease: a Renew from Report must announce the release before Stop.
 func (c *Client) Stop() {
 	c.cancel()
 	<-c.done
 }
 
-// Table is the newest routing table, nil before the first.
+// Table returns the newest routing table, nil before the first.
 func (c *Client) Table() *routing.Table { return c.table.Load() }
 
-// Backend is the agent's identity as the controllers last told it; zero for a
-// router and before the first session.
+// Backend returns the back end's ID from the last Welcome; zero for a router and
+// before the first session.
 func (c *Client) Backend() topology.BackendID { return topology.BackendID(c.backend.Load()) }
 
-// Freshness is the age at now, a reading of Config.Now, of the last proof that
-// the table was the newest.
+// Freshness returns the age, at now, of the last proof that the table was the
+// newest. The argument is a reading of Config.Now.
 func (c *Client) Freshness(now time.Duration) time.Duration {
 	stored := c.freshAt.Load()
 	if stored == 0 {
@@ -89,19 +90,20 @@
 	return max(now-time.Duration(stored-1), 0)
 }
 
-// provedFresh records a proof of the given time; proofs never go back.
-func (c *Client) provedFresh(at time.Duration) {
+// recordFreshness records a proof of freshness of the given time, unless a later
+// one is recorded already.
+func (c *Client) recordFreshness(at time.Duration) {
 	stored := int64(max(at, 0)) + 1
 	for {
-		earlier := c.freshAt.Load()
-		if earlier >= stored || c.freshAt.CompareAndSwap(earlier, stored) {
+		current := c.freshAt.Load()
+		if current >= stored || c.freshAt.CompareAndSwap(current, stored) {
 			return
 		}
 	}
 }
 
-// Send queues a message on the open session. It may be lost with the session:
-// the caller repeats it until the routing table shows its effect.
+// Send queues a message on the open session. The message may be lost with the
+// session: the caller repeats it until the routing table shows its effect.
 func (c *Client) Send(message wire.ToController) error {
 	open := c.session.Load()
 	if open == nil {
@@ -111,15 +113,15 @@
 	return nil
 }
 
-// RenewNow sends a Renew at once, for a release or an announced stop. Without
-// a session it does nothing.
+// RenewNow sends a Renew at once, for example to announce a release or a stop.
+// Without a session it does nothing.
 func (c *Client) RenewNow() {
 	if open := c.session.Load(); open != nil {
 		open.outbox.renewNow()
 	}
 }
 
-// run interprets session.chart until its last state.
+// run executes session.chart until the state stopped.
 func (c *Client) run() {
 	defer close(c.done)
 	event := eventStart
@@ -148,7 +150,7 @@
 	}
 }
 
-// backOff waits a random part of a limit that doubles with each failure.
+// backOff waits for a random time below a limit that doubles with each failure.
 func (c *Client) backOff() statechart.Event {
 	limit := c.config.BackOffFirst << min(c.failures, 16)
 	if limit <= 0 || limit > c.config.BackOffLimit {
--- a/internal/subscription/config.go
+++ b/internal/subscription/config.go
@@ -16,12 +16,12 @@
 // Defaults of Config.
 const (
 	// DefaultConnectTimeout bounds a dial and the wait for Welcome. It allows
-	// for a round trip between far regions.
+	// for a round trip between distant regions.
 	DefaultConnectTimeout = 500 * time.Millisecond
 	// DefaultSilenceLimit ends a session on which nothing arrives.
 	DefaultSilenceLimit = time.Second
-	// DefaultLeaderContactLimit is how long a controller may have been without
-	// a leader before a router tries another one.
+	// DefaultLeaderContactLimit is how long a controller may be without contact
+	// with a leader before a router tries another one.
 	DefaultLeaderContactLimit = 2 * time.Second
 	// DefaultPingInterval is how often a router asks whether its table is the
 	// newest.
@@ -32,59 +32,61 @@
 	DefaultBackOffLimit = 500 * time.Millisecond
 )
 
-// LeaseHolder takes what the leader grants; ownership.Holder is one.
+// LeaseHolder receives the leases that the leader grants. ownership.Holder
+// implements it.
 type LeaseHolder interface {
-	// Granted says that a lease of the given length was granted, counted from
-	// sentAt on the process's monotonic clock.
+	// Granted is called with the length of a lease that was granted, counted
+	// from sentAt on the process's monotonic clock.
 	Granted(sentAt, granted time.Duration)
 }
 
-// TableBuilder makes routing tables. A process with many clients gives one that
-// shares equal tables among them.
+// TableBuilder builds routing tables. A process with many clients can pass one
+// that shares equal tables among them.
 type TableBuilder interface {
 	FromSnapshot(snapshot wire.RoutingSnapshot) (*routing.Table, error)
 	Apply(table *routing.Table, delta wire.RoutingDelta) (*routing.Table, error)
 }
 
-// Config of a Client.
+// Config configures a Client.
 type Config struct {
-	// Group of controllers that the client follows.
+	// Group is the controller group that the client subscribes to.
 	Group topology.GroupID
 	// Role is RoleRouter or RoleAgent.
 	Role topology.Role
-	// Name of the router, or of the back end beside the agent.
+	// Name of the router, or of the back end that the agent serves.
 	Name     string
 	Location topology.Location
-	// Boot is a number drawn at random at each start of the process; zero
+	// Boot is a random number that identifies this run of the process; zero
 	// draws one.
 	Boot uint64
-	// Address is where the process takes requests.
+	// Address at which the process accepts requests.
 	Address string
-	// Controllers lists session addresses, "IP:port". At least one.
+	// Controllers lists at least one session address, "IP:port".
 	Controllers []string
-	// Transport options, of which the timeouts are set by the client.
+	// Transport options; the client sets the timeouts among them.
 	Transport transport.Options
-	// Services limits the routing data; empty asks for all.
+	// Services restricts the routing data to these services; empty means all.
 	Services []topology.ServiceID
 
 	// Lease is required for an agent and nil for a router.
 	Lease LeaseHolder
-	// Report returns what the next Renew says of load, release and leaving. It
+	// Report returns the load, release and leaving fields of the next Renew. It
 	// is called on the sending goroutine. Nil reports nothing.
 	Report func() wire.Renew
 	// OnTable is called with each new table, in order of revision, before the
-	// revision is confirmed as applied. Nil ignores it.
+	// revision is confirmed as applied. It may be nil.
 	OnTable func(*routing.Table)
-	// OnWelcome is called when a session opens or the identity changes.
+	// OnWelcome is called with each Welcome: when a session opens, and when the
+	// agent's ID changes. It may be nil.
 	OnWelcome func(wire.Welcome)
 
-	// Now is the process's monotonic clock; nil takes the time since Start.
+	// Now is the process's monotonic clock; nil means the time since Start.
 	Now func() time.Duration
 	// Tables builds routing tables; nil uses package routing directly.
 	Tables TableBuilder
-	// Log takes a line for each session that opens or closes; nil discards.
+	// Log receives a line for each session that opens or ends; nil discards.
 	Log *slog.Logger
-	// Seed of the jitter and the order of controllers; zero draws one.
+	// Seed of the jitter and of the first controller to try; zero draws one.
 	Seed uint64
 
 	// ConnectTimeout bounds a dial and the wait for Welcome.
@@ -92,32 +94,33 @@
 	// SilenceLimit ends a session on which nothing arrives. Zero is three
 	// renewal intervals for an agent, DefaultSilenceLimit for a router.
 	SilenceLimit time.Duration
-	// LeaderContactLimit is how long the controller of a router may have been
-	// without a leader.
+	// LeaderContactLimit is how long a router's controller may be without contact
+	// with a leader.
 	LeaderContactLimit time.Duration
-	// PingInterval between a router's questions whether its table is the newest.
+	// PingInterval is the interval at which a router asks whether its table is
+	// the newest.
 	PingInterval time.Duration
-	// BackOffFirst is the longest first wait after a failure; it doubles up to
-	// BackOffLimit.
+	// BackOffFirst bounds the wait after the first failure. The bound doubles
+	// with each further failure, up to BackOffLimit.
 	BackOffFirst time.Duration
 	BackOffLimit time.Duration
 }
 
 func (config Config) validate() error {
-	var findings []error
+	var errs []error
 	if config.Role != topology.RoleRouter && config.Role != topology.RoleAgent {
-		findings = append(findings, errors.New("role must be router or agent"))
+		errs = append(errs, errors.New("role must be router or agent"))
 	}
 	if config.Name == "" {
-		findings = append(findings, errors.New("name is empty"))
+		errs = append(errs, errors.New("name is empty"))
 	}
 	if len(config.Controllers) == 0 {
-		findings = append(findings, errors.New("no controller address"))
+		errs = append(errs, errors.New("no controller address"))
 	}
 	if (config.Role == topology.RoleAgent) != (config.Lease != nil) {
-		findings = append(findings, errors.New("an agent needs a lease holder, a router has none"))
+		errs = append(errs, errors.New("an agent needs a lease holder, a router must have none"))
 	}
-	return errors.Join(findings...)
+	return errors.Join(errs...)
 }
 
 func (config Config) withDefaults() Config {
@@ -132,7 +135,7 @@
 		config.Now = func() time.Duration { return steady.Elapsed(start) }
 	}
 	if config.Tables == nil {
-		config.Tables = ownTables{}
+		config.Tables = unsharedTables{}
 	}
 	if config.Log == nil {
 		config.Log = slog.New(slog.DiscardHandler)
@@ -145,19 +148,19 @@
 	return config
 }
 
-func setDefault(value *time.Duration, otherwise time.Duration) {
+func setDefault(value *time.Duration, fallback time.Duration) {
 	if *value == 0 {
-		*value = otherwise
+		*value = fallback
 	}
 }
 
-// ownTables builds tables that no other client shares.
-type ownTables struct{}
+// unsharedTables is the TableBuilder of package routing, without sharing.
+type unsharedTables struct{}
 
-func (ownTables) FromSnapshot(snapshot wire.RoutingSnapshot) (*routing.Table, error) {
+func (unsharedTables) FromSnapshot(snapshot wire.RoutingSnapshot) (*routing.Table, error) {
 	return routing.FromSnapshot(snapshot)
 }
 
-func (ownTables) Apply(table *routing.Table, delta wire.RoutingDelta) (*routing.Table, error) {
+func (unsharedTables) Apply(table *routing.Table, delta wire.RoutingDelta) (*routing.Table, error) {
 	return table.Apply(delta)
 }
--- a/internal/subscription/connect.go
+++ b/internal/subscription/connect.go
@@ -11,20 +11,22 @@
 )
 
 const (
-	// maxRedirects is how many controllers in a row may name another one
-	// before the client waits.
+	// maxRedirects is the number of consecutive redirects that the client
+	// follows before it backs off.
 	maxRedirects = 3
-	// silentRenewals is how many renewals in a row may stay unanswered.
-	silentRenewals = 3
+	// maxUnansweredRenewals is the number of renewal intervals without any
+	// message after which an agent ends the session.
+	maxUnansweredRenewals = 3
 )
 
-// connect dials the named leader, or else the next controller of the list.
+// connect dials the leader that a controller named, or else the next controller
+// of the list.
 func (c *Client) connect() statechart.Event {
-	address := c.named
-	c.named = ""
+	address := c.leaderAddress
+	c.leaderAddress = ""
 	if address == "" {
-		address = c.config.Controllers[c.turn%len(c.config.Controllers)]
-		c.turn++
+		address = c.config.Controllers[c.nextController%len(c.config.Controllers)]
+		c.nextController++
 	}
 	ctx, cancel := context.WithTimeout(c.ctx, c.config.ConnectTimeout)
 	defer cancel()
@@ -38,7 +40,8 @@
 	return eventConnected
 }
 
-// endAttempt turns a failure into a stop where Stop was called.
+// endAttempt counts and logs the end of an attempt and returns its event, or
+// eventStop if Stop was called.
 func (c *Client) endAttempt(event statechart.Event, address string, err error) statechart.Event {
 	if c.ctx.Err() != nil {
 		return eventStop
@@ -52,13 +55,13 @@
 	return event
 }
 
-// greet sends Hello and judges the Welcome.
+// greet sends Hello and checks the answer.
 func (c *Client) greet() statechart.Event {
 	stopClosing := context.AfterFunc(c.ctx, func() { _ = c.conn.Close() })
 	defer stopClosing()
 	address := c.conn.RemoteAddress()
 	hello := c.hello()
-	c.greetedAt = hello.Applied
+	c.helloRevision = hello.Applied
 	err := c.conn.Send(wire.ToController{Hello: hello})
 	if err != nil {
 		return c.endAttempt(eventFailed, address, err)
@@ -67,7 +70,7 @@
 	if err := c.conn.Receive(&answer); err != nil {
 		return c.endAttempt(eventFailed, address, err)
 	}
-	event, err := c.judge(answer)
+	event, err := c.checkAnswer(answer)
 	if event != eventWelcomed {
 		_ = c.conn.Close()
 		return c.endAttempt(event, address, err)
@@ -85,14 +88,15 @@
 		Address:  c.config.Address,
 		Services: c.config.Services,
 	}
-	if table := c.table.Load(); table != nil && !c.askWhole {
+	if table := c.table.Load(); table != nil && !c.requestSnapshot {
 		hello.Applied = table.Revision()
 	}
 	return hello
 }
 
-// judge decides whether the controller that gave the answer will do.
-func (c *Client) judge(answer wire.FromController) (statechart.Event, error) {
+// checkAnswer returns eventWelcomed if the client can use the controller that sent
+// the answer.
+func (c *Client) checkAnswer(answer wire.FromController) (statechart.Event, error) {
 	if answer.Redirect != nil {
 		return c.redirect(answer.Redirect.LeaderAddress), nil
 	}
@@ -110,7 +114,8 @@
 	return eventWelcomed, nil
 }
 
-// redirect takes the named leader as the next address.
+// redirect makes the leader the next address to connect to. Without a leader, or
+// after maxRedirects redirects, the attempt has failed.
 func (c *Client) redirect(leader string) statechart.Event {
 	c.redirects++
 	if leader == "" || c.redirects > maxRedirects {
@@ -118,6 +123,6 @@
 		return eventFailed
 	}
 	c.counts.redirects.Add(1)
-	c.named = leader
+	c.leaderAddress = leader
 	return eventRedirected
 }
--- a/internal/subscription/errors.go
+++ b/internal/subscription/errors.go
@@ -10,10 +10,10 @@
 
 var (
 	errUnexpectedAnswer = errors.New("controller answered Hello with neither Welcome nor Redirect")
-	errRedirected       = errors.New("controller named another one")
+	errRedirected       = errors.New("controller redirected to another one")
 )
 
-// RefusedError says that a controller refused the session.
+// RefusedError is returned when a controller refuses the session.
 type RefusedError struct {
 	Reason string
 }
@@ -21,29 +21,30 @@
 // Error implements error.
 func (e *RefusedError) Error() string { return "session refused: " + e.Reason }
 
-// RevisionRevertedError says that a controller sent routing data older than
-// the table in force.
+// RevisionRevertedError is returned when a controller sends routing data older
+// than the present table.
 type RevisionRevertedError struct {
 	Have, Got topology.Revision
 }
 
 // Error implements error.
 func (e *RevisionRevertedError) Error() string {
-	return fmt.Sprintf("routing data of revision %d after revision %d", e.Got, e.Have)
+	return fmt.Sprintf("received routing data of revision %d, older than revision %d", e.Got, e.Have)
 }
 
-// WrongGroupError says that a controller of another group answered.
+// WrongGroupError is returned when a controller sends routing data of another
+// group.
 type WrongGroupError struct {
 	Want, Got topology.GroupID
 }
 
 // Error implements error.
 func (e *WrongGroupError) Error() string {
-	return fmt.Sprintf("routing data of group %d, want group %d", e.Got, e.Want)
+	return fmt.Sprintf("received routing data of group %d, want group %d", e.Got, e.Want)
 }
 
-// LeaderContactError says that a controller has been without a leader for too
-// long.
+// LeaderContactError is returned when a controller has been without contact with
+// a leader for too long.
 type LeaderContactError struct {
 	Contact time.Duration
 }
--- a/internal/subscription/send.go
+++ b/internal/subscription/send.go
@@ -21,8 +21,8 @@
 	sequence uint64
 }
 
-// newSession returns the sending half of a session whose Hello named a revision
-// as in force.
+// newSession returns the sending half of a session whose Hello confirmed the
+// given revision.
 func newSession(conn *transport.Conn, config Config, applied topology.Revision) *session {
 	return &session{
 		conn:    conn,
@@ -35,18 +35,18 @@
 
 func (s *session) end() { close(s.ended) }
 
-// welcomed starts renewals once the controllers know the agent, and a router's
-// pings.
-func (s *session) welcomed(welcome wire.Welcome) {
+// handleWelcome starts a router's pings, or an agent's renewals once the
+// controllers have given it an ID.
+func (s *session) handleWelcome(welcome wire.Welcome) {
 	switch {
 	case s.config.Lease == nil:
-		s.outbox.renewEach(s.config.PingInterval)
+		s.outbox.setRenewInterval(s.config.PingInterval)
 	case welcome.Backend != 0 && welcome.RenewInterval > 0:
-		s.outbox.renewEach(welcome.RenewInterval)
+		s.outbox.setRenewInterval(welcome.RenewInterval)
 	}
 }
 
-// send sends what the outbox holds and renews in between, until the session
+// send sends the queued messages and the periodic renewals until the session
 // ends. A failed Send closes the connection, which ends the receiving half.
 func (s *session) send() {
 	timer := time.NewTimer(0)
@@ -55,9 +55,9 @@
 	renewalDue := false
 	for {
 		batch := s.outbox.take()
-		if batch.renewEvery > 0 && (batch.renewNow || renewalDue) {
+		if batch.renewInterval > 0 && (batch.renewNow || renewalDue) {
 			batch.messages = append(batch.messages, s.renewal(batch))
-			timer.Reset(batch.renewEvery)
+			timer.Reset(batch.renewInterval)
 			renewalDue = false
 		}
 		if !s.sendAll(batch) {
@@ -73,7 +73,7 @@
 	}
 }
 
-// sendAll returns false when the connection is gone.
+// sendAll sends a batch. It returns false when the connection has failed.
 func (s *session) sendAll(batch outboxBatch) bool {
 	if batch.confirmNow && batch.applied > s.applied {
 		s.applied = batch.applied
@@ -89,7 +89,7 @@
 	return true
 }
 
-// renewal returns what is sent at each interval: a Renew, or a router's Ping.
+// renewal returns the periodic message: an agent's Renew or a router's Ping.
 func (s *session) renewal(batch outboxBatch) wire.ToController {
 	if s.config.Lease == nil {
 		return wire.ToController{Ping: &wire.Ping{SentAt: s.config.Now()}}
@@ -108,57 +108,59 @@
 	return wire.ToController{Renew: &renew}
 }
 
-// outbox holds what waits for the sending goroutine. Confirmations merge: only
-// the newest revision is sent.
+// outbox holds what the sending goroutine has to send. Of several confirmations
+// only the newest revision is sent.
 type outbox struct {
 	mutex sync.Mutex
 	next  outboxBatch
 	wake  chan struct{}
 }
 
-// outboxBatch is what the sending goroutine takes at once.
+// outboxBatch is the content of the outbox, taken by the sending goroutine.
 type outboxBatch struct {
 	messages []wire.ToController
 	applied  topology.Revision
-	// confirmNow asks for a message that says so, in place of the next renewal.
+	// confirmNow requests an Applied message instead of waiting for the next
+	// renewal.
 	confirmNow bool
 	renewNow   bool
-	// renewEvery is zero until renewals have started.
-	renewEvery time.Duration
+	// renewInterval is zero until renewals start.
+	renewInterval time.Duration
 }
 
 func (o *outbox) add(message wire.ToController) {
-	o.change(func(next *outboxBatch) { next.messages = append(next.messages, message) })
+	o.update(func(next *outboxBatch) { next.messages = append(next.messages, message) })
 }
 
-// confirm notes the revision in force. A patient confirmation waits for the next
-// renewal.
-func (o *outbox) confirm(revision topology.Revision, patient bool) {
-	if patient {
+// confirm records the applied revision. With withRenewal, the next renewal
+// carries the confirmation; otherwise it is sent at once.
+func (o *outbox) confirm(revision topology.Revision, withRenewal bool) {
+	if withRenewal {
 		o.mutex.Lock()
 		defer o.mutex.Unlock()
 		o.next.applied = revision
 		return
 	}
-	o.change(func(next *outboxBatch) {
+	o.update(func(next *outboxBatch) {
 		next.applied = revision
 		next.confirmNow = true
 	})
 }
 
 func (o *outbox) renewNow() {
-	o.change(func(next *outboxBatch) { next.renewNow = true })
+	o.update(func(next *outboxBatch) { next.renewNow = true })
 }
 
-// renewEach sets the interval of renewals, the first of which is sent at once.
-func (o *outbox) renewEach(interval time.Duration) {
-	o.change(func(next *outboxBatch) {
-		next.renewNow = next.renewNow || next.renewEvery == 0
-		next.renewEvery = interval
+// setRenewInterval sets the interval of renewals. The first call also sends a
+// renewal at once.
+func (o *outbox) setRenewInterval(interval time.Duration) {
+	o.update(func(next *outboxBatch) {
+		next.renewNow = next.renewNow || next.renewInterval == 0
+		next.renewInterval = interval
 	})
 }
 
-func (o *outbox) change(edit func(next *outboxBatch)) {
+func (o *outbox) update(edit func(next *outboxBatch)) {
 	o.mutex.Lock()
 	edit(&o.next)
 	o.mutex.Unlock()
--- a/internal/subscription/statistics.go
+++ b/internal/subscription/statistics.go
@@ -6,15 +6,15 @@
 	"github.com/quartzdock/quartzdock/internal/transport"
 )
 
-// Statistics counts what a client did since Start.
+// Statistics holds the counts of a client since Start.
 type Statistics struct {
-	// Sessions opened, attempts that came to nothing, redirects followed.
+	// Sessions opened, attempts and sessions that failed, redirects followed.
 	Sessions, FailedAttempts, Redirects uint64
-	// Snapshots and Deltas put in force; Gaps are deltas that did not fit.
+	// Snapshots and Deltas applied; Gaps are deltas that could not be applied.
 	Snapshots, Deltas, Gaps uint64
 	// RefusedReverts counts snapshots and deltas older than the table.
 	RefusedReverts uint64
-	// Renewals granted.
+	// Renewals that granted a lease.
 	Renewals uint64
 	// BytesSent and BytesReceived on sessions, as transport counts them.
 	BytesSent, BytesReceived uint64
@@ -27,12 +27,12 @@
 	snapshots, deltas, gaps             atomic.Uint64
 	refusedReverts, renewals            atomic.Uint64
 
-	// Of ended sessions.
+	// Traffic of ended sessions.
 	bytesSent, bytesReceived   atomic.Uint64
 	framesSent, framesReceived atomic.Uint64
 }
 
-// Statistics may be called from any goroutine.
+// Statistics returns the counts. It may be called from any goroutine.
 func (c *Client) Statistics() Statistics {
 	counts := &c.counts
 	statistics := Statistics{
@@ -58,8 +58,8 @@
 	return statistics
 }
 
-// countTraffic keeps the counts of a connection that has ended.
-func (c *counters) countTraffic(conn *transport.Conn) {
+// addTraffic adds the counts of a connection that has ended.
+func (c *counters) addTraffic(conn *transport.Conn) {
 	c.bytesSent.Add(conn.BytesSent())
 	c.bytesReceived.Add(conn.BytesReceived())
 	c.framesSent.Add(conn.FramesSent())
--- a/internal/subscription/subscription_test.go
+++ b/internal/subscription/subscription_test.go
@@ -19,7 +19,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// stubController answers each session with serve and records each Hello.
+// stubController serves each session with a given function and records each
+// Hello.
 type stubController struct {
 	listener *transport.Listener
 	mutex    sync.Mutex
@@ -28,7 +29,7 @@
 	group    sync.WaitGroup
 }
 
-// peer is the controller's end of one session; number counts them from 0.
+// peer is the controller's end of one session; number counts sessions from 0.
 type peer struct {
 	*transport.Conn
 	hello  wire.Hello
@@ -42,7 +43,7 @@
 	}
 }
 
-// drain reads until the client closes.
+// drain receives until the client closes the connection.
 func (p peer) drain() {
 	for {
 		var message wire.ToController
@@ -52,7 +53,7 @@
 	}
 }
 
-// acknowledge answers each Renew until the client closes.
+// acknowledge answers each Renew until the client closes the connection.
 func (p peer) acknowledge(revision topology.Revision) {
 	for {
 		var message wire.ToController
@@ -109,7 +110,7 @@
 	s.group.Wait()
 }
 
-// applied lists the revisions that the Hellos named.
+// applied returns the applied revision of each Hello.
 func (s *stubController) applied() []topology.Revision {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -120,19 +121,19 @@
 	return revisions
 }
 
-// recordedLease keeps what was granted.
-type recordedLease struct {
+// leaseRecorder is a LeaseHolder that records the send time of each grant.
+type leaseRecorder struct {
 	mutex  sync.Mutex
 	sentAt []time.Duration
 }
 
-func (l *recordedLease) Granted(sentAt, _ time.Duration) {
+func (l *leaseRecorder) Granted(sentAt, _ time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.sentAt = append(l.sentAt, sentAt)
 }
 
-func (l *recordedLease) count() int {
+func (l *leaseRecorder) count() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return len(l.sentAt)
@@ -172,7 +173,7 @@
 	return wire.FromController{Alive: &wire.Alive{Revision: revision, LeaderContact: contact}}
 }
 
-// nextPing waits for the router's next question.
+// nextPing waits for the router's next Ping.
 func (p peer) nextPing() wire.Ping {
 	for {
 		var message wire.ToController
@@ -191,13 +192,13 @@
 	}}
 }
 
-// answerPing answers the router's next question.
+// answerPing answers the router's next Ping.
 func (p peer) answerPing(t *testing.T, revision topology.Revision, contact time.Duration) {
 	t.Helper()
 	p.send(t, answer(p.nextPing(), revision, contact))
 }
 
-// eventually waits for a condition.
+// eventually waits until the condition holds and fails the test after 10 seconds.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -241,7 +242,7 @@
 	assert.Equal(t, c.Statistics().Deltas, uint64(2))
 }
 
-func TestAgentFollowsRedirectAndLeaseCountsFromTheSending(t *testing.T) {
+func TestAgentFollowsRedirectAndLeaseStartsAtSendTime(t *testing.T) {
 	leader := startStub(t, func(p peer) {
 		p.send(t, agentWelcome(), snapshot(1))
 		p.acknowledge(1)
@@ -251,7 +252,7 @@
 		p.drain()
 	})
 	var reading atomic.Int64
-	lease := &recordedLease{}
+	lease := &leaseRecorder{}
 	c := startClient(t, Config{
 		Role: topology.RoleAgent, Lease: lease, Controllers: []string{follower.listener.Address()},
 		SilenceLimit: time.Minute, Now: func() time.Duration { return time.Duration(reading.Add(1)) },
@@ -265,8 +266,8 @@
 	assert.Equal(t, c.Statistics().Redirects, uint64(1))
 }
 
-func TestAgentLeavesALeaderThatStepsDown(t *testing.T) {
-	lease := &recordedLease{}
+func TestAgentFollowsRedirectOfLeaderThatStepsDown(t *testing.T) {
+	lease := &leaseRecorder{}
 	next := startStub(t, func(p peer) {
 		p.send(t, agentWelcome())
 		p.acknowledge(0)
@@ -279,31 +280,32 @@
 	eventually(t, "a lease from the next leader", func() bool { return lease.count() > 0 })
 }
 
-func TestControllersThatNameEachOtherAreBackedOffFrom(t *testing.T) {
+func TestRedirectLoopCausesBackOff(t *testing.T) {
 	var first, second *stubController
 	var ready sync.WaitGroup
-	// over says that the client is about to be stopped, which closes its connections.
-	var over atomic.Bool
+	// stopping is set before the client is stopped, which closes its connections
+	// and lets sends fail.
+	var stopping atomic.Bool
 	ready.Add(1)
-	name := func(other **stubController) func(p peer) {
+	redirectTo := func(other **stubController) func(p peer) {
 		return func(p peer) {
 			ready.Wait()
 			err := p.Send(wire.FromController{Redirect: &wire.Redirect{LeaderAddress: (*other).listener.Address()}})
-			assert.Check(t, err == nil || over.Load(), "%v", err)
+			assert.Check(t, err == nil || stopping.Load(), "%v", err)
 		}
 	}
-	first = startStub(t, name(&second))
-	second = startStub(t, name(&first))
+	first = startStub(t, redirectTo(&second))
+	second = startStub(t, redirectTo(&first))
 	ready.Done()
-	c := startClient(t, Config{Role: topology.RoleAgent, Lease: &recordedLease{}, Controllers: []string{first.listener.Address()}})
+	c := startClient(t, Config{Role: topology.RoleAgent, Lease: &leaseRecorder{}, Controllers: []string{first.listener.Address()}})
 	eventually(t, "failed attempts", func() bool { return c.Statistics().FailedAttempts >= 3 })
 	statistics := c.Statistics()
 	assert.Assert(t, statistics.Redirects <= maxRedirects*(statistics.FailedAttempts+1))
-	over.Store(true)
+	stopping.Store(true)
 }
 
-func TestForeignAckGrantsNoLease(t *testing.T) {
-	lease := &recordedLease{}
+func TestAckWithFutureSendTimeGrantsNoLease(t *testing.T) {
+	lease := &leaseRecorder{}
 	future := wire.FromController{RenewAck: &wire.RenewAck{SentAt: time.Hour, Granted: time.Hour}}
 	stub := startStub(t, func(p peer) {
 		p.send(t, agentWelcome(), future, snapshot(1))
@@ -315,7 +317,7 @@
 	assert.Equal(t, c.Freshness(0), NeverFresh)
 }
 
-func TestGapAsksForWhatIsMissingThenForAll(t *testing.T) {
+func TestRevisionGapRequestsDeltaThenSnapshot(t *testing.T) {
 	stub := startStub(t, func(p peer) {
 		p.send(t, routerWelcome())
 		switch p.number {
@@ -371,8 +373,8 @@
 	assert.Assert(t, c.Table() == nil)
 }
 
-func TestRouterLeavesAControllerWithoutLeader(t *testing.T) {
-	cutOff := startStub(t, func(p peer) {
+func TestRouterLeavesControllerWithoutLeader(t *testing.T) {
+	isolated := startStub(t, func(p peer) {
 		p.send(t, routerWelcome(), snapshot(5), alive(5, time.Minute))
 		p.drain()
 	})
@@ -380,11 +382,11 @@
 		p.send(t, routerWelcome(), delta(5, 6), alive(6, 0))
 		p.drain()
 	})
-	c := startClient(t, Config{Controllers: []string{cutOff.listener.Address(), connected.listener.Address()}})
+	c := startClient(t, Config{Controllers: []string{isolated.listener.Address(), connected.listener.Address()}})
 	eventually(t, "revision 6", atRevision(c, 6))
 }
 
-func TestSilentControllerIsLeft(t *testing.T) {
+func TestSilentSessionIsReplaced(t *testing.T) {
 	stub := startStub(t, func(p peer) {
 		p.send(t, routerWelcome())
 		if p.number == 0 {
@@ -399,14 +401,14 @@
 	assert.Equal(t, stub.applied()[1], topology.Revision(5))
 }
 
-func TestFreshnessCountsFromLeaderContactAndOnlyAtTheNewestRevision(t *testing.T) {
+func TestFreshnessAddsLeaderContactAndNeedsNewestRevision(t *testing.T) {
 	reading := new(atomic.Int64)
 	reading.Store(int64(time.Hour))
-	behind := make(chan struct{})
+	sendStale := make(chan struct{})
 	stub := startStub(t, func(p peer) {
 		p.send(t, routerWelcome(), snapshot(5))
 		p.answerPing(t, 5, time.Second)
-		<-behind
+		<-sendStale
 		p.send(t, alive(5, 0), delta(5, 6))
 		p.answerPing(t, 7, 0)
 		p.send(t, snapshot(6))
@@ -416,14 +418,14 @@
 		PingInterval: time.Millisecond, Now: func() time.Duration { return time.Duration(reading.Load()) }})
 	eventually(t, "a proof", func() bool { return c.Freshness(time.Hour) == time.Second })
 	reading.Store(int64(2 * time.Hour))
-	close(behind)
-	// Neither Alive that answers nothing, nor a delta, nor an answer that names
-	// a newer revision proves anything.
+	close(sendStale)
+	// No proof of freshness comes from an unsolicited Alive, a delta, or an
+	// answer that names a newer revision.
 	eventually(t, "the message after Alive", func() bool { return c.Statistics().Snapshots == 2 })
 	assert.Equal(t, c.Freshness(2*time.Hour), time.Hour+time.Second)
 }
 
-func TestAnswerThatWasHeldUpProvesOnlyTheTimeOfAsking(t *testing.T) {
+func TestDelayedPingAnswerCountsFromSendTime(t *testing.T) {
 	reading := new(atomic.Int64)
 	reading.Store(int64(time.Hour))
 	asked := make(chan struct{})
@@ -445,7 +447,7 @@
 	assert.Equal(t, c.Freshness(2*time.Hour), time.Hour)
 }
 
-func TestSendWithoutSessionIsRefused(t *testing.T) {
+func TestSendWithoutSessionFails(t *testing.T) {
 	stub := startStub(t, func(p peer) {
 		p.send(t, wire.FromController{Welcome: &wire.Welcome{Refusal: "unknown name"}})
 	})
@@ -475,17 +477,17 @@
 	assert.Equal(t, (<-received).Epoch, topology.Epoch(3))
 }
 
-func TestConfigReportsAllFindings(t *testing.T) {
+func TestConfigErrorsAreJoined(t *testing.T) {
 	_, err := Start(Config{Role: topology.RoleAgent})
-	for _, finding := range []string{"name is empty", "no controller address", "needs a lease holder"} {
-		assert.ErrorContains(t, err, finding)
+	for _, want := range []string{"name is empty", "no controller address", "needs a lease holder"} {
+		assert.ErrorContains(t, err, want)
 	}
 }
 
-// TestRenewalOfANewSessionNamesWhatIsInForce: where a session breaks and no
-// change follows, nothing new is confirmed, and the leader grants no lease to an
-// agent that seems to have nothing in force.
-func TestRenewalOfANewSessionNamesWhatIsInForce(t *testing.T) {
+// TestFirstRenewalOfNewSessionConfirmsAppliedRevision guards against an agent that
+// gets no lease after a reconnect: without a change there is no new revision to
+// confirm, and the leader grants no lease to an agent that has confirmed none.
+func TestFirstRenewalOfNewSessionConfirmsAppliedRevision(t *testing.T) {
 	renewed := make(chan topology.Revision, 1)
 	stub := startStub(t, func(p peer) {
 		p.send(t, agentWelcome())
@@ -507,16 +509,16 @@
 			}
 		}
 	})
-	startClient(t, Config{Role: topology.RoleAgent, Lease: &recordedLease{}, Controllers: []string{stub.listener.Address()}, SilenceLimit: time.Minute})
+	startClient(t, Config{Role: topology.RoleAgent, Lease: &leaseRecorder{}, Controllers: []string{stub.listener.Address()}, SilenceLimit: time.Minute})
 	assert.Equal(t, <-renewed, topology.Revision(5))
 }
 
-// TestEmptyDeltaRidesWithTheRenewalBothWays: a revision that changes nothing for
-// the agent costs no message of its own, and is in force before the lease that
-// came with it counts.
-func TestEmptyDeltaRidesWithTheRenewalBothWays(t *testing.T) {
+// TestEmptyDeltaIsCarriedAndConfirmedByRenewals checks that a revision without
+// changes for the agent needs no messages of its own: its delta arrives with a
+// RenewAck and is applied before the lease counts, and a Renew confirms it.
+func TestEmptyDeltaIsCarriedAndConfirmedByRenewals(t *testing.T) {
 	confirmed := make(chan topology.Revision, 1)
-	alone := make(chan topology.Revision, 10)
+	separate := make(chan topology.Revision, 10)
 	stub := startStub(t, func(p peer) {
 		p.send(t, agentWelcome(), snapshot(5))
 		for {
@@ -526,7 +528,7 @@
 			}
 			switch {
 			case message.Applied != nil:
-				alone <- message.Applied.Revision
+				separate <- message.Applied.Revision
 			case message.Renew != nil && message.Renew.Applied == 6:
 				select {
 				case confirmed <- 6:
@@ -541,15 +543,15 @@
 		}
 	})
 	var c *Client
-	lease := &recordedLease{}
+	lease := &leaseRecorder{}
 	c = startClient(t, Config{Role: topology.RoleAgent, Lease: lease, Controllers: []string{stub.listener.Address()}, SilenceLimit: time.Minute})
 	assert.Equal(t, <-confirmed, topology.Revision(6))
 	assert.Equal(t, c.Table().Revision(), topology.Revision(6))
 	assert.Assert(t, lease.count() > 0)
 	assert.Assert(t, c.Freshness(c.config.Now()) != NeverFresh, "the table was at the revision of the answer")
 	c.Stop()
-	close(alone)
-	for revision := range alone {
-		assert.Equal(t, revision, topology.Revision(5), "confirmed by itself")
+	close(separate)
+	for revision := range separate {
+		assert.Equal(t, revision, topology.Revision(5), "confirmed by a message of its own")
 	}
 }
