--- a/internal/requestrecord/bench_test.go
+++ b/internal/requestrecord/bench_test.go
@@ -16,14 +16,15 @@
 )
 
 // BenchmarkAdmit measures admission with its sync, for one caller and for
-// several per processor at once, which share syncs. It reports syncs per admission.
+// several per processor at once, which share syncs. It reports the number of syncs per
+// admission.
 func BenchmarkAdmit(b *testing.B) {
 	b.Run("callers=1xCPU", func(b *testing.B) { benchmarkAdmit(b, 1) })
 	b.Run("callers=8xCPU", func(b *testing.B) { benchmarkAdmit(b, 8) })
 	b.Run("callers=1", func(b *testing.B) {
 		record, next := benchmarkRecord(b)
 		for b.Loop() {
-			benchmarkOne(b, record, next())
+			admitAndFinish(b, record, next())
 		}
 		reportSyncs(b, record)
 	})
@@ -34,7 +35,7 @@
 	b.SetParallelism(parallelism)
 	b.RunParallel(func(parallel *testing.PB) {
 		for parallel.Next() {
-			benchmarkOne(b, record, next())
+			admitAndFinish(b, record, next())
 		}
 	})
 	reportSyncs(b, record)
@@ -60,7 +61,7 @@
 	}
 }
 
-func benchmarkOne(b *testing.B, record *Record, id requestid.ID) {
+func admitAndFinish(b *testing.B, record *Record, id requestid.ID) {
 	verdict, err := record.Admit(context.Background(), shard, 1, id, 7)
 	if err != nil || verdict.Decision != Fresh {
 		b.Fatal(verdict, err)
@@ -73,7 +74,7 @@
 	b.ReportMetric(float64(stats.Syncs)/float64(stats.Fresh), "syncs/op")
 }
 
-// BenchmarkSync is the cost of one write and sync alone, for comparison.
+// BenchmarkSync measures one write and sync alone, for comparison.
 func BenchmarkSync(b *testing.B) {
 	file, err := os.Create(filepath.Join(b.TempDir(), "plain"))
 	if err != nil {
@@ -91,10 +92,10 @@
 	}
 }
 
-// BenchmarkKept reports what a kept id with an answer of 100 bytes takes in
-// memory and in the journal, before and after it is written anew, and how long
-// it takes to read them back.
-func BenchmarkKept(b *testing.B) {
+// BenchmarkKeptAnswers reports the size of an entry with an answer of 100 bytes in
+// memory and in the journal, before and after a rewrite, and the time to replay
+// it.
+func BenchmarkKeptAnswers(b *testing.B) {
 	const ids = 50_000
 	for range b.N {
 		directory := b.TempDir()
@@ -160,8 +161,8 @@
 	return total
 }
 
-// fullLedger holds as many ids as the limits allow, of one shard, with answers
-// of 40 bytes.
+// fullLedger returns a ledger with as many entries as the limits allow, of one
+// shard, with answers of 40 bytes.
 func fullLedger(b *testing.B) *Ledger {
 	ledger := NewLedger(Limits{}, nil)
 	at := start.Add(DefaultClockBound)
@@ -179,9 +180,9 @@
 	return ledger
 }
 
-// BenchmarkFullLedger is for how long a full record holds its mutex, when the
-// journal is written anew and when a shard's record is sent on, and how long
-// taking such a record over takes.
+// BenchmarkFullLedger measures how long a full record holds its mutex when the
+// journal is rewritten and when a shard's record is exported, and how long the
+// import of such a record takes.
 func BenchmarkFullLedger(b *testing.B) {
 	ledger := fullLedger(b)
 	b.Run("changes", func(b *testing.B) {
--- a/internal/requestrecord/changes.go
+++ b/internal/requestrecord/changes.go
@@ -10,8 +10,8 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// Change is one step of a Ledger, as a journal keeps it. Exactly one field is
-// set. It may be encoded with gob; only a Ledger looks into it.
+// Change is one change to a Ledger, in the form that a journal stores. Exactly one
+// field is set. It can be encoded with gob; only a Ledger interprets it.
 type Change struct {
 	Reset     *resetChange
 	Begun     *begunChange
@@ -24,14 +24,15 @@
 	Memory    *memoryChange
 }
 
-// resetChange begins a segment that repeats everything before it.
+// resetChange begins a segment: the changes that follow replace all earlier state.
 type resetChange struct{}
 
-// memoryChange: all that this agent admitted from SinceUnixMilli on is recorded.
+// memoryChange states that the record has all ids that this agent admitted from
+// SinceUnixMilli on.
 type memoryChange struct{ SinceUnixMilli int64 }
 
-// begunChange: the agent serves the shard at Epoch. The entries of the shards
-// in From are added: a split or merge made this shard out of them.
+// begunChange states that the agent serves the shard at Epoch. It copies the
+// entries of the shards in From, out of which a split or merge created this shard.
 type begunChange struct {
 	Shard         topology.ShardID
 	Epoch         topology.Epoch
@@ -44,17 +45,17 @@
 	Shard       topology.ShardID
 	ID          requestid.ID
 	Fingerprint uint64
-	// AtUnixMilli is when the id was admitted, for retention.
+	// AtUnixMilli is the time of the admission, for retention.
 	AtUnixMilli int64
 }
 
-// finishedChange: the request ended; Answered false means that its outcome is
-// not known.
+// finishedChange states that the request ended. If Answered is false, its outcome
+// is unknown.
 type finishedChange struct {
 	Shard    topology.ShardID
 	ID       requestid.ID
 	Answered bool
-	// Answer is nil when it was not kept; BodyBytes is the length of its body.
+	// Answer is nil if it was not kept; BodyBytes is the length of its body.
 	Answer    packedAnswer
 	BodyBytes uint32
 }
@@ -68,14 +69,15 @@
 	ID    requestid.ID
 }
 
-// releasedChange: the agent never again serves the shard at Epoch or below.
+// releasedChange promises that the agent will not serve the shard again at Epoch
+// or a lower one.
 type releasedChange struct {
 	Shard topology.ShardID
 	Epoch topology.Epoch
 }
 
-// restoredChange carries the numbers of a shard's record in a rewritten
-// journal; its entries follow as admitted and finished changes.
+// restoredChange holds the epochs, range and floors of a shard's record in a
+// rewritten journal. The entries follow as admitted and finished changes.
 type restoredChange struct {
 	Shard          topology.ShardID
 	Epoch          topology.Epoch
@@ -85,47 +87,47 @@
 	RetentionFloor int64
 }
 
-// apply makes one change to the state. Replaying the journal and serving use
-// the same code.
-func (state *state) apply(made Change) {
+// apply applies one change to the state, both during replay and while serving.
+func (state *state) apply(change Change) {
 	switch {
-	case made.Reset != nil:
+	case change.Reset != nil:
 		state.shards = make(map[topology.ShardID]*shardRecord)
-		state.order = nil
+		state.admissions = nil
 		state.keptBytes = 0
-		state.memorySince = 0
-	case made.Begun != nil:
-		state.begin(made.Begun)
-	case made.Admitted != nil:
-		state.admit(made.Admitted)
-	case made.Finished != nil:
-		state.finish(made.Finished)
-	case made.Abandoned != nil:
-		state.abandon(made.Abandoned)
-	case made.Released != nil:
-		record := state.shard(made.Released.Shard)
-		record.released = max(record.released, made.Released.Epoch)
-	case made.Imported != nil:
-		state.merge(made.Imported)
-	case made.Restored != nil:
-		state.restore(made.Restored)
-	case made.Memory != nil:
-		state.memorySince = made.Memory.SinceUnixMilli
+		state.completeSince = 0
+	case change.Begun != nil:
+		state.begin(change.Begun)
+	case change.Admitted != nil:
+		state.admit(change.Admitted)
+	case change.Finished != nil:
+		state.finish(change.Finished)
+	case change.Abandoned != nil:
+		state.abandon(change.Abandoned)
+	case change.Released != nil:
+		record := state.shard(change.Released.Shard)
+		record.released = max(record.released, change.Released.Epoch)
+	case change.Imported != nil:
+		state.merge(change.Imported)
+	case change.Restored != nil:
+		state.restore(change.Restored)
+	case change.Memory != nil:
+		state.completeSince = change.Memory.SinceUnixMilli
 	}
 }
 
-// state is all that an agent recorded. The Record's mutex guards it.
+// state is the state of a Ledger. In a Record, the Record's mutex guards it.
 type state struct {
 	shards map[topology.ShardID]*shardRecord
-	// order lists admitted ids, the oldest first, for retention.
-	order     []orderedID
-	keptBytes int
-	// memorySince is from when on every admission is recorded, with ClockBound
-	// added, so that it compares with other agents' clocks; zero is unknown.
-	memorySince int64
+	// admissions lists the admitted ids, oldest first, for retention.
+	admissions []admission
+	keptBytes  int
+	// completeSince is the time from which on the record has all of this agent's
+	// admissions. It includes ClockBound, so that it can be compared with other
+	// agents' clocks. Zero means unknown.
+	completeSince int64
 }
 
-type orderedID struct {
+type admission struct {
 	shard       topology.ShardID
 	id          requestid.ID
 	atUnixMilli int64
@@ -144,8 +146,8 @@
 	return record
 }
 
-// sortedShards lists the shards in the order of their ids: the same steps must
-// lead to the same state.
+// sortedShards returns the shards in the order of their ids, so that the same
+// calls always lead to the same state.
 func (state *state) sortedShards() []topology.ShardID {
 	return slices.SortedFunc(maps.Keys(state.shards), func(a, b topology.ShardID) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Shard, b.Shard))
@@ -167,40 +169,41 @@
 
 func (state *state) admit(admitted *admittedChange) {
 	record := state.shard(admitted.Shard)
-	state.forgetAnswer(record.entries[admitted.ID])
+	state.dropAnswer(record.entries[admitted.ID])
 	record.entries[admitted.ID] = &entry{fingerprint: admitted.Fingerprint, state: stateRunning}
-	state.order = append(state.order, orderedID{admitted.Shard, admitted.ID, admitted.AtUnixMilli})
+	state.admissions = append(state.admissions, admission{admitted.Shard, admitted.ID, admitted.AtUnixMilli})
 }
 
-// finish ends an entry, unless retention has dropped it meanwhile.
+// finish sets the outcome of an entry, unless retention has dropped the entry.
 func (state *state) finish(finished *finishedChange) {
-	kept, ok := state.shard(finished.Shard).entries[finished.ID]
+	e, ok := state.shard(finished.Shard).entries[finished.ID]
 	if !ok {
 		return
 	}
-	state.forgetAnswer(kept)
-	kept.state = stateUnknown
+	state.dropAnswer(e)
+	e.state = stateUnknown
 	if finished.Answered {
-		kept.state = stateAnswered
-		kept.answer, kept.bodyBytes = finished.Answer, finished.BodyBytes
-		state.keptBytes += int(kept.bodyBytes)
+		e.state = stateAnswered
+		e.answer, e.bodyBytes = finished.Answer, finished.BodyBytes
+		state.keptBytes += int(e.bodyBytes)
 	}
 }
 
 func (state *state) abandon(abandoned *abandonedChange) {
 	record := state.shard(abandoned.Shard)
-	state.forgetAnswer(record.entries[abandoned.ID])
+	state.dropAnswer(record.entries[abandoned.ID])
 	delete(record.entries, abandoned.ID)
 }
 
-// forgetAnswer keeps keptBytes right when a change is applied twice: a
-// rewritten journal may be followed by changes that it already contains.
-func (state *state) forgetAnswer(kept *entry) {
-	if kept == nil {
+// dropAnswer removes an entry's answer and its size from keptBytes. This keeps
+// keptBytes correct when a change is applied twice: a rewritten journal may be
+// followed by changes that it already contains.
+func (state *state) dropAnswer(e *entry) {
+	if e == nil {
 		return
 	}
-	state.keptBytes -= int(kept.bodyBytes)
-	kept.answer, kept.bodyBytes = nil, 0
+	state.keptBytes -= int(e.bodyBytes)
+	e.answer, e.bodyBytes = nil, 0
 }
 
 func (state *state) restore(restored *restoredChange) {
@@ -212,7 +215,7 @@
 	record.retentionFloor = restored.RetentionFloor
 }
 
-// size in bytes of the body; nil is 0.
+// size returns the length of the body, 0 for a nil answer.
 func (answer *Answer) size() int {
 	if answer == nil {
 		return 0
--- a/internal/requestrecord/fuzz_test.go
+++ b/internal/requestrecord/fuzz_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// encodeFrame is a segment of one frame.
+// encodeFrame returns a segment of one frame.
 func encodeFrame(changes []Change) []byte {
 	var payload bytes.Buffer
 	if err := gob.NewEncoder(&payload).Encode(changes); err != nil {
@@ -19,10 +19,10 @@
 	return appendFrame(nil, payload.Bytes())
 }
 
-// recorded returns the changes of a ledger that used each kind.
-func recorded() []Change {
-	var made []Change
-	ledger := NewLedger(Limits{}, func(change Change, _ bool) { made = append(made, change) })
+// recordedChanges returns the changes of a ledger, with each kind of change.
+func recordedChanges() []Change {
+	var changes []Change
+	ledger := NewLedger(Limits{}, func(change Change, _ bool) { changes = append(changes, change) })
 	now := start.UnixMilli()
 	late := start.Add(time.Second)
 	_, _ = ledger.Begin(shard, 1, whole, now)
@@ -36,17 +36,18 @@
 	transfer, _ := ledger.Export(shard, 1, start.UnixMilli())
 	transfer.Epoch++
 	_ = ledger.Import(transfer, now)
-	return append(made, ledger.Changes()...)
+	return append(changes, ledger.Changes()...)
 }
 
-// FuzzReplaySegment: whatever a journal holds, it is replayed without a panic,
-// damage is told, and what was replayed can be written and replayed again. The
-// content is tried as a file and as the payload of a whole frame.
+// FuzzReplaySegment checks that any journal content is replayed or reported as
+// damaged without a panic, and that the replayed changes can be written and
+// replayed again. The content is
+// tried as a file and as the payload of a valid frame.
 func FuzzReplaySegment(f *testing.F) {
-	whole := encodeFrame(recorded())
-	f.Add(whole)
-	f.Add(whole[:len(whole)-1])
-	f.Add(whole[frameHeaderSize:])
+	valid := encodeFrame(recordedChanges())
+	f.Add(valid)
+	f.Add(valid[:len(valid)-1])
+	f.Add(valid[frameHeaderSize:])
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, content []byte) {
 		replayAll(t, content)
@@ -70,15 +71,15 @@
 	assert.Assert(t, left <= entries)
 }
 
-// TestEveryCutAndEveryChangedByteIsSeen: no prefix of a journal and no single
-// changed byte passes for the whole.
-func TestEveryCutAndEveryChangedByteIsSeen(t *testing.T) {
-	segment := append(encodeFrame(recorded()[:2]), encodeFrame(recorded())...)
+// TestEveryTruncationAndByteChangeIsDetected checks that a segment truncated within
+// a frame, or with a single changed byte, is reported as damaged.
+func TestEveryTruncationAndByteChangeIsDetected(t *testing.T) {
+	segment := append(encodeFrame(recordedChanges()[:2]), encodeFrame(recordedChanges())...)
 	ignore := func(Change) {}
-	first := len(encodeFrame(recorded()[:2]))
+	first := len(encodeFrame(recordedChanges()[:2]))
 	for length := range segment {
 		if length == 0 || length == first {
-			continue // whole frames: the commit that is missing was not synced
+			continue // at the end of a frame: the missing commit was not synced
 		}
 		assert.Assert(t, !replaySegment(segment[:length], ignore), "cut to %d", length)
 	}
--- a/internal/requestrecord/journal.go
+++ b/internal/requestrecord/journal.go
@@ -9,12 +9,12 @@
 	"sync"
 )
 
-// DefaultRewriteBytes is the length of a segment after which the journal is
-// written anew from the state.
+// DefaultRewriteBytes is the segment size beyond which the journal is rewritten
+// from the state.
 const DefaultRewriteBytes = 64 << 20
 
-// commit is a group of changes that are written, and synced if any of them
-// asks for it, together (group commit).
+// commit is a group of changes that are written together, and synced if any of
+// them is durable (group commit).
 type commit struct {
 	changes []Change
 	sync    bool
@@ -29,8 +29,8 @@
 	return group.err
 }
 
-// journal appends changes to a segment file. One goroutine writes; while it
-// syncs one group the next one gathers.
+// journal appends changes to a segment file. One goroutine writes; while it syncs
+// one group, the next one collects changes.
 type journal struct {
 	directory    string
 	rewriteBytes int64
@@ -45,7 +45,7 @@
 	wake    chan struct{}
 	stopped chan struct{}
 
-	// The rest belongs to the writing goroutine.
+	// The fields below belong to the writing goroutine.
 	number  uint64
 	file    *os.File
 	encoder *gob.Encoder
@@ -54,8 +54,8 @@
 	failure error
 }
 
-// startJournal writes the state into a new segment, removes the older ones and
-// begins to take changes.
+// startJournal writes the state to a new segment, removes the older ones and
+// starts the writing goroutine.
 func startJournal(directory string, rewriteBytes int64, older []segment, rewrite func() []Change) (*journal, error) {
 	started := &journal{
 		directory:    directory,
@@ -78,7 +78,7 @@
 	return started, nil
 }
 
-// startSegment makes the next segment durable before it is used.
+// startSegment creates the next segment with the given changes and syncs it.
 func (journal *journal) startSegment(changes []Change) error {
 	journal.number++
 	path := segmentPath(journal.directory, journal.number)
@@ -117,13 +117,12 @@
 	return directory.Sync()
 }
 
-// append adds a change to the pending group. Calls are ordered by the
-// Record's mutex.
-func (journal *journal) append(made Change, sync bool) *commit {
+// append adds a change to the pending group. The Record's mutex orders the calls.
+func (journal *journal) append(change Change, sync bool) *commit {
 	journal.mutex.Lock()
 	defer journal.mutex.Unlock()
 	group := journal.pending
-	group.changes = append(group.changes, made)
+	group.changes = append(group.changes, change)
 	group.sync = group.sync || sync
 	journal.signal()
 	return group
@@ -153,6 +152,7 @@
 	}
 }
 
+// take returns the pending group and starts a new one.
 func (journal *journal) take() (group *commit, closed bool) {
 	journal.mutex.Lock()
 	defer journal.mutex.Unlock()
@@ -161,8 +161,8 @@
 	return group, journal.closed
 }
 
-// commit writes one group. After a failure nothing is written any more: what a
-// failed sync left on disk is not known.
+// commit writes one group. After a failure it writes nothing more, since it is
+// unknown what a failed sync left on disk.
 func (journal *journal) commit(group *commit) {
 	defer close(group.done)
 	if len(group.changes) == 0 {
@@ -179,6 +179,7 @@
 	}
 }
 
+// persist writes one group and syncs it if required.
 func (journal *journal) persist(group *commit) error {
 	if err := journal.write(group.changes); err != nil {
 		return err
@@ -196,7 +197,7 @@
 	return nil
 }
 
-// rewriteSegment replaces the present segment by one that holds the state.
+// rewriteSegment replaces the current segment by one that holds the state.
 func (journal *journal) rewriteSegment() error {
 	old := segment{number: journal.number, path: segmentPath(journal.directory, journal.number)}
 	if err := journal.file.Close(); err != nil {
--- a/internal/requestrecord/ledger.go
+++ b/internal/requestrecord/ledger.go
@@ -12,13 +12,14 @@
 
 // Errors of Ledger and Record.
 var (
-	// ErrNotServing: Begin was not called for the epoch, or it was released.
+	// ErrNotServing is returned if Begin was not called for the epoch, or the
+	// epoch was released.
 	ErrNotServing = errors.New("shard is not served at this epoch")
-	// ErrFuture: the id's stamp is further ahead than ClockBound.
+	// ErrFuture is returned if the id's stamp is ahead by more than ClockBound.
 	ErrFuture = errors.New("request id is stamped in the future")
-	// ErrEarly: the id's stamp is ahead, by no more than ClockBound.
+	// ErrEarly is returned if the id's stamp is ahead by at most ClockBound.
 	ErrEarly = errors.New("request id is stamped ahead of the clock")
-	// ErrUnfinished: a transfer without its last part.
+	// ErrUnfinished is returned for a transfer without its last part.
 	ErrUnfinished = errors.New("import of an unfinished record")
 )
 
@@ -31,19 +32,19 @@
 	DefaultClockBound     = 250 * time.Millisecond
 )
 
-// Limits of a Ledger. Zero fields take the defaults.
+// Limits configures a Ledger. Zero fields take the defaults.
 type Limits struct {
-	// Retention is how long an id is remembered after its admission. A resend
-	// after that is answered "unknown", not run.
+	// Retention is how long an entry is kept after its admission. A resend after
+	// that is refused with RecordLost, not run.
 	Retention time.Duration
-	// MaxEntries bounds the ids remembered, over all shards.
+	// MaxEntries bounds the number of entries of all shards together.
 	MaxEntries int
-	// MaxAnswerBytes is the longest body that is kept for repeats.
+	// MaxAnswerBytes is the maximum length of a body that is kept for repeats.
 	MaxAnswerBytes int
-	// MaxKeptBytes bounds all kept bodies together.
+	// MaxKeptBytes bounds the total length of the kept bodies.
 	MaxKeptBytes int
-	// ClockBound is the most by which the wall clocks of two agents differ,
-	// and by which a caller's may be ahead.
+	// ClockBound is the maximum difference between the wall clocks of two
+	// agents, and by how much a caller's clock may be ahead.
 	ClockBound time.Duration
 }
 
@@ -66,78 +67,80 @@
 	return limits
 }
 
-// Hook takes each change of a Ledger, in order, as it is made. A durable
-// change must be synced before the method that made it may count as done: an
-// admitted request is sent, a released record is passed on, an imported one is
-// acknowledged only then. Other changes may be lost with the process.
-type Hook func(made Change, durable bool)
+// ChangeFunc is called with each change of a Ledger, in order. A durable change
+// must be synced before the caller acts on the method that made it: before an
+// admitted request is sent, a released record is transferred, or an import is
+// acknowledged. Other changes may be lost with the process.
+type ChangeFunc func(change Change, durable bool)
 
-// Ledger holds the rules of the record of request ids. It has no clock,
-// goroutine or I/O: wall-clock readings are arguments, in milliseconds since
-// 1970 UTC, and changes go to a Hook. One goroutine at a time may use it.
+// Ledger implements the rules of the record of request ids. It has no clock,
+// goroutines or I/O: wall-clock readings are arguments, in milliseconds since
+// 1970 UTC, and changes are passed to a ChangeFunc. It is not safe for concurrent
+// use.
 //
-// A process that starts makes a Ledger, replays the changes that it finds in
-// its journal and calls Restart before anything else.
+// A process that starts creates a Ledger, replays the changes in its journal and
+// calls Restart before any other method.
 type Ledger struct {
-	limits Limits
-	hook   Hook
-	state  *state
-	counts LedgerCounts
+	limits   Limits
+	onChange ChangeFunc
+	state    *state
+	counts   LedgerCounts
 }
 
-// LedgerCounts are totals since NewLedger.
+// LedgerCounts holds totals since NewLedger.
 type LedgerCounts struct {
-	// Fresh, Repeated and Lost count decisions of Admit: admitted, found, and
-	// refused with RecordLost.
+	// Fresh, Repeated and Lost count the decisions of Admit: admitted, answered
+	// from an entry, and refused with RecordLost.
 	Fresh, Repeated, Lost uint64
 	// Dropped counts entries that retention removed.
 	Dropped uint64
 }
 
-// NewLedger returns an empty ledger. A nil hook keeps changes nowhere.
-func NewLedger(limits Limits, hook Hook) *Ledger {
-	if hook == nil {
-		hook = func(Change, bool) {}
+// NewLedger returns an empty ledger. If onChange is nil, changes are not passed
+// on.
+func NewLedger(limits Limits, onChange ChangeFunc) *Ledger {
+	if onChange == nil {
+		onChange = func(Change, bool) {}
 	}
-	return &Ledger{limits: limits.withDefaults(), hook: hook, state: newState()}
+	return &Ledger{limits: limits.withDefaults(), onChange: onChange, state: newState()}
 }
 
-// Replay makes a change that an earlier process handed to its hook.
-func (ledger *Ledger) Replay(made Change) { ledger.state.apply(made) }
+// Replay applies a change that an earlier process passed to its ChangeFunc.
+func (ledger *Ledger) Replay(change Change) { ledger.state.apply(change) }
 
-// Restart is what a process does after Replay: nothing is served until Begin,
-// and what ran when the process stopped is unknown. Damaged says that changes
-// may be missing, though none of those were durable that are not at the end;
-// then every shard's floor is raised as after a loss of the record. Without a
-// journal, or after damage, the ledger's memory begins now: this agent may have
-// admitted ids before that it knows nothing of.
+// Restart must be called after Replay. No shard is served until Begin, and the
+// outcome of requests that ran when the process stopped becomes unknown. The
+// argument damaged means that changes may be missing, durable ones only at the
+// end; every shard's floor is then raised as after a loss of the record. Without a
+// journal, or after damage, the record is complete only from now on: this agent
+// may have admitted ids earlier that have no entry.
 func (ledger *Ledger) Restart(damaged bool, nowUnixMilli int64) {
 	for _, shard := range ledger.state.shards {
-		shard.begun = 0
-		shard.endRunning()
+		shard.servingEpoch = 0
+		shard.markRunningUnknown()
 		if damaged {
-			shard.takeoverFloor = max(shard.takeoverFloor, ledger.freshFloor(nowUnixMilli))
+			shard.takeoverFloor = max(shard.takeoverFloor, ledger.newOwnerFloor(nowUnixMilli))
 		}
 	}
-	if damaged || ledger.state.memorySince == 0 {
-		ledger.state.memorySince = ledger.freshFloor(nowUnixMilli)
+	if damaged || ledger.state.completeSince == 0 {
+		ledger.state.completeSince = ledger.newOwnerFloor(nowUnixMilli)
 	}
 	ledger.trim(nowUnixMilli)
 }
 
-// Changes returns what rebuilds the present state in an empty ledger.
+// Changes returns the changes that rebuild the current state in an empty ledger.
 func (ledger *Ledger) Changes() []Change { return ledger.state.changes() }
 
-// freshFloor is above the stamp of every id that any owner can have admitted
-// by now.
-func (ledger *Ledger) freshFloor(nowUnixMilli int64) int64 {
+// newOwnerFloor returns a floor that is not below the stamp of any id that any
+// owner can have admitted by now.
+func (ledger *Ledger) newOwnerFloor(nowUnixMilli int64) int64 {
 	return nowUnixMilli + ledger.limits.ClockBound.Milliseconds()
 }
 
-// make applies a change and hands it to the hook.
-func (ledger *Ledger) make(made Change, durable bool) {
-	ledger.state.apply(made)
-	ledger.hook(made, durable)
+// applyChange applies a change and passes it to onChange.
+func (ledger *Ledger) applyChange(change Change, durable bool) {
+	ledger.state.apply(change)
+	ledger.onChange(change, durable)
 }
 
 // trim drops entries beyond the limits.
@@ -145,37 +148,38 @@
 	ledger.counts.Dropped += uint64(ledger.state.trim(ledger.limits, nowUnixMilli))
 }
 
-// Begin must be called before ids of the shard are admitted at the epoch, and
-// after no earlier owner can admit any more: the back end has accepted the
-// grant of this epoch. It reports whether the record of the previous owner is
-// at hand. ErrNotServing is returned for an epoch that was released.
+// Begin must be called before ids of the shard are admitted at the epoch, but not
+// before the back end has accepted the grant of this epoch, since from then on no
+// earlier owner can admit. It reports whether the record of the previous owner is
+// continued. It returns ErrNotServing for an epoch that was released.
 //
-// A shard that a split made continues the record of the shard that it was part
-// of, provided that it begins before that one does at its new epoch. A shard
-// that a merge extended keeps the entries of both, with a raised floor.
+// A shard created by a split continues the record of the shard that it was part
+// of, if it begins before that shard begins at its new epoch. A shard extended by
+// a merge keeps the entries of both, with a raised floor.
 func (ledger *Ledger) Begin(shard topology.ShardID, epoch topology.Epoch, covers Range, nowUnixMilli int64) (continued bool, err error) {
-	held := ledger.state.shard(shard)
-	if epoch <= held.released || epoch < held.epoch {
+	record := ledger.state.shard(shard)
+	if epoch <= record.released || epoch < record.epoch {
 		return false, fmt.Errorf("begin shard %s at epoch %d: %w", shard, epoch, ErrNotServing)
 	}
-	continued = held.continues(epoch, covers)
+	continued = record.isExactFor(epoch, covers)
 	if !continued {
 		continued = ledger.takeOver(shard, epoch, covers, nowUnixMilli)
-	} else if held.epoch != epoch {
-		ledger.make(Change{Begun: &begunChange{Shard: shard, Epoch: epoch, Covers: covers,
-			TakeoverFloor: held.takeoverFloor}}, false)
+	} else if record.epoch != epoch {
+		ledger.applyChange(Change{Begun: &begunChange{Shard: shard, Epoch: epoch, Covers: covers,
+			TakeoverFloor: record.takeoverFloor}}, false)
 	}
-	held.begun = epoch
+	record.servingEpoch = epoch
 	return continued, nil
 }
 
-// takeOver begins without an exact record of the shard itself.
+// takeOver begins a shard without an exact record of its own. It copies the
+// entries of the shards of the service that overlap its range.
 func (ledger *Ledger) takeOver(shard topology.ShardID, epoch topology.Epoch, covers Range, nowUnixMilli int64) (continued bool) {
 	begun := &begunChange{
 		Shard:         shard,
 		Epoch:         epoch,
 		Covers:        covers,
-		TakeoverFloor: ledger.freshFloor(nowUnixMilli),
+		TakeoverFloor: ledger.newOwnerFloor(nowUnixMilli),
 	}
 	for _, id := range ledger.state.sortedShards() {
 		other := ledger.state.shards[id]
@@ -183,19 +187,19 @@
 			continue
 		}
 		begun.From = append(begun.From, id)
-		other.endBefore(epoch)
+		other.stopServingBefore(epoch)
 		if other.epoch+1 == epoch && other.covers.contains(covers) {
 			continued = true
 			begun.TakeoverFloor = other.floor()
 		}
 	}
-	ledger.make(Change{Begun: begun}, false)
+	ledger.applyChange(Change{Begun: begun}, false)
 	return continued
 }
 
-// Ahead is by how much the id's stamp is ahead of the clock. ErrFuture is
-// returned for more than ClockBound.
-func (ledger *Ledger) Ahead(id requestid.ID, nowUnixMilli int64) (time.Duration, error) {
+// StampAhead returns by how much the id's stamp is ahead of the clock, and
+// ErrFuture if that is more than ClockBound.
+func (ledger *Ledger) StampAhead(id requestid.ID, nowUnixMilli int64) (time.Duration, error) {
 	ahead := time.Duration(id.UnixMilli()-nowUnixMilli) * time.Millisecond
 	if ahead > ledger.limits.ClockBound {
 		return ahead, fmt.Errorf("%w by %v", ErrFuture, ahead)
@@ -203,24 +207,24 @@
 	return ahead, nil
 }
 
-// Admit decides about a request that carries an id. A Fresh one is entered by
-// a durable change. Fingerprint tells requests apart that carry the same id by
-// mistake. An error is proof that the request was not admitted by this call;
-// ErrEarly asks to call again once the clock has reached the stamp.
+// Admit decides what to do with a request that carries an id. A Fresh request is
+// recorded by a durable change. The fingerprint distinguishes requests that carry
+// the same id by mistake. An error is proof that this call did not admit the
+// request. After ErrEarly, call again once the clock has reached the stamp.
 func (ledger *Ledger) Admit(shard topology.ShardID, epoch topology.Epoch, id requestid.ID, fingerprint uint64, nowUnixMilli int64) (Verdict, error) {
-	if ahead, err := ledger.Ahead(id, nowUnixMilli); err != nil {
+	if ahead, err := ledger.StampAhead(id, nowUnixMilli); err != nil {
 		return Verdict{}, err
 	} else if ahead > 0 {
 		return Verdict{}, fmt.Errorf("%w by %v", ErrEarly, ahead)
 	}
-	held := ledger.state.shards[shard]
-	if !held.serves(epoch) {
+	record := ledger.state.shards[shard]
+	if !record.serves(epoch) {
 		return Verdict{}, fmt.Errorf("admit to shard %s at epoch %d: %w", shard, epoch, ErrNotServing)
 	}
-	verdict := held.lookup(id, fingerprint)
+	verdict := record.lookup(id, fingerprint)
 	ledger.count(verdict.Decision)
 	if verdict.Decision == Fresh {
-		ledger.make(Change{Admitted: &admittedChange{Shard: shard, ID: id, Fingerprint: fingerprint,
+		ledger.applyChange(Change{Admitted: &admittedChange{Shard: shard, ID: id, Fingerprint: fingerprint,
 			AtUnixMilli: nowUnixMilli}}, true)
 		ledger.trim(nowUnixMilli)
 	}
@@ -238,63 +242,64 @@
 	}
 }
 
-// Finish keeps the answer of an admitted request that ran. An answer longer
-// than MaxAnswerBytes is noted as run without being kept; nil says the same.
-// Like Lose and Abandon it need not be durable: when the change is lost the
-// entry reads "unknown".
+// Finish records that an admitted request ran, and its answer. An answer whose
+// body is longer than MaxAnswerBytes, or nil, is not kept. The change, like those
+// of Lose and Abandon, need not be durable: if it is lost, the outcome of the
+// entry becomes unknown.
 func (ledger *Ledger) Finish(shard topology.ShardID, id requestid.ID, answer *Answer) {
 	if answer != nil && len(answer.Body) > ledger.limits.MaxAnswerBytes {
 		answer = nil
 	}
-	ledger.make(Change{Finished: newFinished(shard, id, answer)}, false)
+	ledger.applyChange(Change{Finished: newFinished(shard, id, answer)}, false)
 }
 
-// Lose notes that it is not known whether an admitted request ran.
+// Lose records that the outcome of an admitted request is unknown.
 func (ledger *Ledger) Lose(shard topology.ShardID, id requestid.ID) {
-	ledger.make(Change{Finished: &finishedChange{Shard: shard, ID: id}}, false)
+	ledger.applyChange(Change{Finished: &finishedChange{Shard: shard, ID: id}}, false)
 }
 
-// Abandon frees the id of an admitted request that is proved not to have run.
+// Abandon removes the entry of an admitted request that is proved not to have run,
+// so that its id can be admitted again.
 func (ledger *Ledger) Abandon(shard topology.ShardID, id requestid.ID) {
-	ledger.make(Change{Abandoned: &abandonedChange{Shard: shard, ID: id}}, false)
+	ledger.applyChange(Change{Abandoned: &abandonedChange{Shard: shard, ID: id}}, false)
 }
 
-// Release promises, by a durable change, that the shard is never again served
-// at the epoch or below.
+// Release promises, by a durable change, that the shard is not served again at
+// the epoch or a lower one.
 func (ledger *Ledger) Release(shard topology.ShardID, epoch topology.Epoch) {
-	ledger.make(Change{Released: &releasedChange{Shard: shard, Epoch: epoch}}, true)
+	ledger.applyChange(Change{Released: &releasedChange{Shard: shard, Epoch: epoch}}, true)
 }
 
 // Export returns the record of a shard that was released at the epoch, no
 // earlier than at releasedUnixMilli. Running requests should have ended; those
 // that have not are listed without an outcome.
 func (ledger *Ledger) Export(shard topology.ShardID, epoch topology.Epoch, releasedUnixMilli int64) (wire.RecordTransfer, error) {
-	taken, err := ledger.snapshot(shard, epoch, releasedUnixMilli)
+	snap, err := ledger.snapshot(shard, epoch, releasedUnixMilli)
 	if err != nil {
 		return wire.RecordTransfer{}, err
 	}
-	return taken.transfer(), nil
+	return snap.transfer(), nil
 }
 
-// snapshot is Export without the work that needs no ledger.
+// snapshot does the part of Export that needs the ledger.
 func (ledger *Ledger) snapshot(shard topology.ShardID, epoch topology.Epoch, releasedUnixMilli int64) (snapshot, error) {
-	held := ledger.state.shard(shard)
-	if held.epoch != epoch || held.released < epoch {
+	record := ledger.state.shard(shard)
+	if record.epoch != epoch || record.released < epoch {
 		return snapshot{}, fmt.Errorf("export shard %s at epoch %d: record is of epoch %d, released %d: %w",
-			shard, epoch, held.epoch, held.released, ErrNotServing)
+			shard, epoch, record.epoch, record.released, ErrNotServing)
 	}
-	taken := held.snapshot(shard)
-	taken.releasedUnixMilli = releasedUnixMilli
-	return taken, nil
+	snap := record.snapshot(shard)
+	snap.releasedUnixMilli = releasedUnixMilli
+	return snap, nil
 }
 
-// Import keeps a previous owner's record, by a durable change. It may come
-// before Begin or, late, after it.
+// Import adds a previous owner's record by a durable change. It may be called
+// before or after Begin.
 func (ledger *Ledger) Import(transfer wire.RecordTransfer, nowUnixMilli int64) error {
 	if !transfer.Last {
 		return ErrUnfinished
 	}
-	ledger.make(Change{Imported: &transfer}, true)
+	ledger.applyChange(Change{Imported: &transfer}, true)
 	ledger.trim(nowUnixMilli)
 	return nil
 }
@@ -302,8 +307,8 @@
 // Counts returns the totals.
 func (ledger *Ledger) Counts() LedgerCounts { return ledger.counts }
 
-// Size returns how many ids are remembered, with those freed lately, and the
-// bytes of kept bodies.
+// Size returns the number of entries, including recently abandoned ones, and the
+// total length of the kept bodies.
 func (ledger *Ledger) Size() (entries, keptBytes int) {
-	return len(ledger.state.order), ledger.state.keptBytes
+	return len(ledger.state.admissions), ledger.state.keptBytes
 }
--- a/internal/requestrecord/ledger_test.go
+++ b/internal/requestrecord/ledger_test.go
@@ -17,32 +17,32 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// holder is an agent with its back end: a ledger, a journal whose unsynced end
-// a crash may lose, and a clock of its own.
-type holder struct {
+// testAgent is a simulated agent: a ledger, a journal whose unsynced end a crash
+// may lose, and a clock of its own.
+type testAgent struct {
 	ledger  *Ledger
 	journal []Change
 	synced  int
-	// skew is added to the true time.
-	skew time.Duration
+	// clockSkew is added to the true time.
+	clockSkew time.Duration
 }
 
-func (held *holder) start() {
-	held.ledger = NewLedger(held.ledger.limits, func(made Change, durable bool) {
-		held.journal = append(held.journal, made)
+func (agent *testAgent) start() {
+	agent.ledger = NewLedger(agent.ledger.limits, func(change Change, durable bool) {
+		agent.journal = append(agent.journal, change)
 		if durable {
-			held.synced = len(held.journal)
+			agent.synced = len(agent.journal)
 		}
 	})
 }
 
-// rewrite replaces the journal by what rebuilds the present state.
-func (held *holder) rewrite() {
-	held.journal = held.ledger.Changes()
-	held.synced = len(held.journal)
+// rewrite replaces the journal by the changes that rebuild the current state.
+func (agent *testAgent) rewrite() {
+	agent.journal = agent.ledger.Changes()
+	agent.synced = len(agent.journal)
 }
 
-// ownership is the truth about one shard.
+// ownership is the true ownership of one shard.
 type ownership struct {
 	id     topology.ShardID
 	epoch  topology.Epoch
@@ -50,21 +50,21 @@
 	covers Range
 }
 
-// attempt is a request that a holder let through.
+// attempt is a request that an agent admitted.
 type attempt struct {
 	id     requestid.ID
 	owned  ownership
-	holder *holder
+	agent  *testAgent
 	ledger *Ledger
 	ran    bool
 }
 
-// system is several holders and the shards of one service, with the truth about
-// who owns and what ran. Back ends run what their fence allows: requests of the
-// present owner at the present epoch.
-type system struct {
+// testCluster has several agents and the shards of one service, and knows which
+// agent owns each shard and which requests ran. Back ends run only requests of the
+// current owner at the current epoch, as their fencing demands.
+type testCluster struct {
 	now       time.Duration
-	holders   []*holder
+	agents    []*testAgent
 	shards    []*ownership
 	lastShard topology.ShardNumber
 	keys      map[requestid.ID]topology.KeyHash
@@ -72,25 +72,26 @@
 	runs      map[requestid.ID]int
 	attempts  []*attempt
 	transfers []wire.RecordTransfer
-	// lastLoss is when a record was last lost or ids were last dropped.
-	lastLoss time.Duration
-	// probes counts the ids of newWorkGoesOn.
+	// lastRecordLoss is when a shard last began without a continued record, or a
+	// journal was last damaged.
+	lastRecordLoss time.Duration
+	// probes counts the ids of admitNewID.
 	probes int
 }
 
-func newSystem(t *rapid.T) *system {
+func newTestCluster(t *rapid.T) *testCluster {
 	limits := Limits{
 		Retention:  time.Minute,
 		MaxEntries: rapid.SampledFrom([]int{4, 1000}).Draw(t, "entries"),
 	}.withDefaults()
-	s := &system{keys: make(map[requestid.ID]topology.KeyHash), runs: make(map[requestid.ID]int), now: time.Hour, lastShard: 1}
+	s := &testCluster{keys: make(map[requestid.ID]topology.KeyHash), runs: make(map[requestid.ID]int), now: time.Hour, lastShard: 1}
 	for range rapid.IntRange(2, 3).Draw(t, "holders") {
-		held := &holder{skew: time.Duration(rapid.IntRange(0, int(DefaultClockBound.Milliseconds())).Draw(t, "skew")) * time.Millisecond}
-		held.ledger = NewLedger(limits, nil)
-		held.start()
-		held.ledger.Restart(false, s.clock(held))
-		held.rewrite()
-		s.holders = append(s.holders, held)
+		agent := &testAgent{clockSkew: time.Duration(rapid.IntRange(0, int(DefaultClockBound.Milliseconds())).Draw(t, "skew")) * time.Millisecond}
+		agent.ledger = NewLedger(limits, nil)
+		agent.start()
+		agent.ledger.Restart(false, s.clock(agent))
+		agent.rewrite()
+		s.agents = append(s.agents, agent)
 	}
 	first := &ownership{id: topology.ShardID{Service: 1, Shard: 1}, epoch: 1, covers: Range{Last: math.MaxUint64}}
 	s.shards = []*ownership{first}
@@ -98,43 +99,43 @@
 	return s
 }
 
-func (s *system) clock(held *holder) int64 { return (s.now + held.skew).Milliseconds() }
+func (s *testCluster) clock(agent *testAgent) int64 { return (s.now + agent.clockSkew).Milliseconds() }
 
-// begin lets the owner serve at the present epoch.
-func (s *system) begin(t *rapid.T, owned *ownership) {
-	held := s.holders[owned.owner]
-	continued, err := held.ledger.Begin(owned.id, owned.epoch, owned.covers, s.clock(held))
+// begin lets the owner serve at the current epoch.
+func (s *testCluster) begin(t *rapid.T, owned *ownership) {
+	agent := s.agents[owned.owner]
+	continued, err := agent.ledger.Begin(owned.id, owned.epoch, owned.covers, s.clock(agent))
 	assert.NilError(t, err)
 	if !continued {
-		s.lastLoss = s.now
+		s.lastRecordLoss = s.now
 	}
 }
 
-func (s *system) shard(t *rapid.T) *ownership {
+func (s *testCluster) shard(t *rapid.T) *ownership {
 	return s.shards[rapid.IntRange(0, len(s.shards)-1).Draw(t, "shard")]
 }
 
-func (s *system) anyHolder(t *rapid.T) (int, *holder) {
-	index := rapid.IntRange(0, len(s.holders)-1).Draw(t, "holder")
-	return index, s.holders[index]
+func (s *testCluster) anyAgent(t *rapid.T) (int, *testAgent) {
+	index := rapid.IntRange(0, len(s.agents)-1).Draw(t, "holder")
+	return index, s.agents[index]
 }
 
-func (s *system) ownerOf(key topology.KeyHash) *ownership {
+func (s *testCluster) ownerOf(key topology.KeyHash) *ownership {
 	for _, owned := range s.shards {
 		if owned.covers.Start <= key && key <= owned.covers.Last {
 			return owned
 		}
 	}
-	panic("a key without a shard")
+	panic("no shard covers the key")
 }
 
-func (s *system) advance(t *rapid.T) {
+func (s *testCluster) advance(t *rapid.T) {
 	s.now += time.Duration(rapid.SampledFrom([]int{1, 100, 300, 61_000}).Draw(t, "milliseconds")) * time.Millisecond
 }
 
-// send sends a new id or one that was sent before to the present owner, or to
-// another that believes to be one still.
-func (s *system) send(t *rapid.T) {
+// send sends a new or a repeated id to the current owner, or to an agent that
+// still believes to be the owner.
+func (s *testCluster) send(t *rapid.T) {
 	var id requestid.ID
 	resend := len(s.ids) > 0 && rapid.Bool().Draw(t, "resend")
 	if resend {
@@ -148,58 +149,59 @@
 	}
 	owned := *s.ownerOf(s.keys[id])
 	if rapid.IntRange(0, 3).Draw(t, "stale") == 0 {
-		owned.owner, _ = s.anyHolder(t)
+		owned.owner, _ = s.anyAgent(t)
 		owned.epoch -= topology.Epoch(rapid.IntRange(0, 1).Draw(t, "epochs behind"))
 	}
 	s.admit(t, id, owned)
 }
 
-func (s *system) admit(t *rapid.T, id requestid.ID, owned ownership) {
-	held := s.holders[owned.owner]
-	verdict, err := held.ledger.Admit(owned.id, owned.epoch, id, 7, s.clock(held))
+func (s *testCluster) admit(t *rapid.T, id requestid.ID, owned ownership) {
+	agent := s.agents[owned.owner]
+	verdict, err := agent.ledger.Admit(owned.id, owned.epoch, id, 7, s.clock(agent))
 	if err != nil {
 		return
 	}
 	switch verdict.Decision {
 	case Fresh:
-		s.attempts = append(s.attempts, &attempt{id: id, owned: owned, holder: held, ledger: held.ledger})
+		s.attempts = append(s.attempts, &attempt{id: id, owned: owned, agent: agent, ledger: agent.ledger})
 	case Answered, AnswerGone:
-		assert.Equal(t, s.runs[id], 1, "told as run, but it was not")
+		assert.Equal(t, s.runs[id], 1, "reported as run, but it did not run exactly once")
 	case Mismatch:
 		t.Fatalf("id %v found with another fingerprint", id)
 	}
 }
 
-func (s *system) anyAttempt(t *rapid.T) *attempt {
+func (s *testCluster) anyAttempt(t *rapid.T) *attempt {
 	if len(s.attempts) == 0 {
-		t.Skip("nothing is on its way")
+		t.Skip("no attempt is pending")
 	}
 	return rapid.SampledFrom(s.attempts).Draw(t, "attempt")
 }
 
-// run is the back end's side of an attempt. It may come late, also after the
-// agent crashed.
-func (s *system) run(t *rapid.T) {
+// run lets a back end run an attempt, possibly late, even after a crash of the
+// agent.
+func (s *testCluster) run(t *rapid.T) {
 	running := s.anyAttempt(t)
 	for _, owned := range s.shards {
 		if *owned == running.owned && !running.ran {
 			running.ran = true
 			s.runs[running.id]++
-			assert.Equal(t, s.runs[running.id], 1, "ran again")
+			assert.Equal(t, s.runs[running.id], 1, "ran more than once")
 		}
 	}
 }
 
-// end is the agent's side. It tells "not run" only of what can't run any more.
-func (s *system) end(t *rapid.T) {
+// end lets an agent end an attempt. It abandons only an attempt that did not run
+// and, once removed from attempts, cannot run any more.
+func (s *testCluster) end(t *rapid.T) {
 	ended := s.anyAttempt(t)
 	for i, other := range s.attempts {
 		if other == ended {
 			s.attempts = append(s.attempts[:i:i], s.attempts[i+1:]...)
 		}
 	}
-	if ended.ledger != ended.holder.ledger {
-		return // the agent crashed meanwhile; nobody tells its ledger
+	if ended.ledger != ended.agent.ledger {
+		return // the agent crashed meanwhile and no longer knows the attempt
 	}
 	switch {
 	case rapid.IntRange(0, 3).Draw(t, "lost") == 0:
@@ -211,21 +213,22 @@
 	}
 }
 
-// crash loses an unsynced end of the journal, or with damage any end of it.
-func (s *system) crash(t *rapid.T) {
-	index, held := s.anyHolder(t)
-	least, damaged := held.synced, rapid.IntRange(0, 4).Draw(t, "damaged") == 0
+// crash restarts an agent that lost part of the unsynced end of its journal or,
+// with damage, any part of the end.
+func (s *testCluster) crash(t *rapid.T) {
+	index, agent := s.anyAgent(t)
+	minimum, damaged := agent.synced, rapid.IntRange(0, 4).Draw(t, "damaged") == 0
 	if damaged {
-		least = 0
-		s.lastLoss = s.now
+		minimum = 0
+		s.lastRecordLoss = s.now
 	}
-	held.journal = held.journal[:rapid.IntRange(least, len(held.journal)).Draw(t, "kept")]
-	held.start()
-	for _, made := range held.journal {
-		held.ledger.Replay(made)
+	agent.journal = agent.journal[:rapid.IntRange(minimum, len(agent.journal)).Draw(t, "kept")]
+	agent.start()
+	for _, change := range agent.journal {
+		agent.ledger.Replay(change)
 	}
-	held.ledger.Restart(damaged, s.clock(held))
-	held.rewrite()
+	agent.ledger.Restart(damaged, s.clock(agent))
+	agent.rewrite()
 	for _, owned := range s.shards {
 		if owned.owner == index {
 			s.begin(t, owned)
@@ -233,23 +236,24 @@
 	}
 }
 
-// takeOver gives a shard to another without a word of the previous owner.
-func (s *system) takeOver(t *rapid.T) {
+// takeOver gives a shard to another agent without a transfer.
+func (s *testCluster) takeOver(t *rapid.T) {
 	owned := s.shard(t)
-	owned.owner, _ = s.anyHolder(t)
+	owned.owner, _ = s.anyAgent(t)
 	owned.epoch++
 	s.begin(t, owned)
 }
 
-// move hands a shard over in order; the record may come late or never.
-func (s *system) move(t *rapid.T) {
+// move releases a shard and gives it to another agent. The record arrives at once,
+// late or never.
+func (s *testCluster) move(t *rapid.T) {
 	owned := s.shard(t)
-	from := s.holders[owned.owner]
+	from := s.agents[owned.owner]
 	from.ledger.Release(owned.id, owned.epoch)
 	transfer, err := from.ledger.Export(owned.id, owned.epoch, s.clock(from))
 	assert.NilError(t, err)
-	var to *holder
-	owned.owner, to = s.anyHolder(t)
+	var to *testAgent
+	owned.owner, to = s.anyAgent(t)
 	if rapid.Bool().Draw(t, "arrives") {
 		assert.NilError(t, to.ledger.Import(transfer, s.clock(to)))
 	} else {
@@ -259,17 +263,17 @@
 	s.begin(t, owned)
 }
 
-// deliver lets a transfer arrive late, at anyone.
-func (s *system) deliver(t *rapid.T) {
+// deliver lets a transfer arrive late, at any agent.
+func (s *testCluster) deliver(t *rapid.T) {
 	if len(s.transfers) == 0 {
-		t.Skip("no transfer is on its way")
+		t.Skip("no transfer is pending")
 	}
-	_, to := s.anyHolder(t)
+	_, to := s.anyAgent(t)
 	assert.NilError(t, to.ledger.Import(rapid.SampledFrom(s.transfers).Draw(t, "transfer"), s.clock(to)))
 }
 
-// split gives the right half of a shard a number of its own.
-func (s *system) split(t *rapid.T) {
+// split makes the right half of a shard a new shard.
+func (s *testCluster) split(t *rapid.T) {
 	left := s.shard(t)
 	if left.covers.Last-left.covers.Start < 2 {
 		t.Skip("too small")
@@ -286,7 +290,7 @@
 }
 
 // merge extends a shard over its right neighbour.
-func (s *system) merge(t *rapid.T) {
+func (s *testCluster) merge(t *rapid.T) {
 	left := s.shard(t)
 	for i, right := range s.shards {
 		if left.covers.Last+1 == right.covers.Start && right.covers.Start != 0 && left.owner == right.owner {
@@ -300,30 +304,30 @@
 	t.Skip("no neighbour of the same owner")
 }
 
-// newWorkGoesOn: a new id at the present owner is admitted, unless a record was
-// lost or ids were dropped shortly before.
-func (s *system) newWorkGoesOn(t *rapid.T) {
-	for _, held := range s.holders {
-		if held.ledger.Counts().Dropped > 0 {
+// admitNewID checks that the current owner admits a new id, unless entries were
+// dropped or a record was lost shortly before.
+func (s *testCluster) admitNewID(t *rapid.T) {
+	for _, agent := range s.agents {
+		if agent.ledger.Counts().Dropped > 0 {
 			t.Skip("ids were dropped")
 		}
 	}
-	if s.now <= s.lastLoss+3*DefaultClockBound {
+	if s.now <= s.lastRecordLoss+3*DefaultClockBound {
 		t.Skip("a record was lost")
 	}
 	owned := s.shard(t)
-	held := s.holders[owned.owner]
+	agent := s.agents[owned.owner]
 	s.probes++
 	id := requestid.New(time.UnixMilli(s.now.Milliseconds()), [10]byte{7: 1, 8: byte(s.probes >> 8), 9: byte(s.probes)})
-	verdict, err := held.ledger.Admit(owned.id, owned.epoch, id, 7, s.clock(held))
+	verdict, err := agent.ledger.Admit(owned.id, owned.epoch, id, 7, s.clock(agent))
 	assert.NilError(t, err)
-	assert.Equal(t, verdict.Decision, Fresh, "%s", fmt.Sprint(owned, s.now, s.lastLoss))
-	held.ledger.Abandon(owned.id, id)
+	assert.Equal(t, verdict.Decision, Fresh, "%s", fmt.Sprint(owned, s.now, s.lastRecordLoss))
+	agent.ledger.Abandon(owned.id, id)
 }
 
-// searchLonger raises rapid's defaults, unless they were set by a flag or the
-// tests are to be short.
-func searchLonger(t *testing.T) {
+// raiseRapidDefaults raises rapid's numbers of checks and steps, unless flags set
+// them or the tests run with -short.
+func raiseRapidDefaults(t *testing.T) {
 	for name, value := range map[string]string{"rapid.checks": "3000", "rapid.steps": "60"} {
 		if found := flag.Lookup(name); !testing.Short() && found.Value.String() == found.DefValue {
 			assert.NilError(t, found.Value.Set(value))
@@ -331,12 +335,12 @@
 	}
 }
 
-// TestNoIDRunsTwice drives several ledgers through sends, resends, crashes,
-// damage, takeovers, moves, late transfers, splits and merges.
+// TestNoIDRunsTwice drives several ledgers through sends, resends, crashes, damaged
+// journals, takeovers, moves, late transfers, splits and merges.
 func TestNoIDRunsTwice(t *testing.T) {
-	searchLonger(t)
+	raiseRapidDefaults(t)
 	rapid.Check(t, func(t *rapid.T) {
-		s := newSystem(t)
+		s := newTestCluster(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"send":       s.send,
 			"send again": s.send,
@@ -351,15 +355,15 @@
 			"split":      s.split,
 			"merge":      s.merge,
 			"rewrite": func(t *rapid.T) {
-				_, held := s.anyHolder(t)
-				held.rewrite()
+				_, agent := s.anyAgent(t)
+				agent.rewrite()
 			},
-			"new work goes on": s.newWorkGoesOn,
+			"new work goes on": s.admitNewID,
 		})
 	})
 }
 
-func TestLedgerRefusesWhatIsAheadOfItsClock(t *testing.T) {
+func TestLedgerRefusesFutureStamps(t *testing.T) {
 	ledger := NewLedger(Limits{}, nil)
 	now := start.UnixMilli()
 	_, err := ledger.Begin(shard, 1, whole, now)
--- a/internal/requestrecord/packed.go
+++ b/internal/requestrecord/packed.go
@@ -7,11 +7,11 @@
 	"slices"
 )
 
-// packedAnswer is an Answer in one allocation: most of the memory of a record
-// is answers, and a header map takes several hundred bytes for one field. Nil
-// is no answer.
+// packedAnswer is an Answer encoded in one allocation, since answers take most of
+// the memory of a record and a header map takes several hundred bytes for one
+// field. Nil means no answer.
 //
-// It holds the status, the number of header fields, each field's name and
+// The encoding is the status, the number of header fields, each field's name and
 // value with their lengths, and the body.
 type packedAnswer []byte
 
@@ -28,16 +28,17 @@
 	packed = binary.AppendUvarint(packed, uint64(fields))
 	for _, name := range slices.Sorted(maps.Keys(answer.Header)) {
 		for _, value := range answer.Header[name] {
-			packed = appendText(packed, name)
-			packed = appendText(packed, value)
+			packed = appendString(packed, name)
+			packed = appendString(packed, value)
 		}
 	}
 	return append(packed, answer.Body...)
 }
 
-// packedSize is enough for packAnswer, and seldom more than needed.
+// packedSize returns a capacity that is enough for ordinary answers and seldom
+// too large.
 func packedSize(answer *Answer) int {
-	const numbers = 4 // of the status and the count of fields
+	const numbers = 4 // bytes for the status and the number of fields, or for two lengths
 	size := numbers + len(answer.Body)
 	for name, values := range answer.Header {
 		for _, value := range values {
@@ -47,31 +48,32 @@
 	return size
 }
 
-func appendText(packed []byte, text string) []byte {
+func appendString(packed []byte, text string) []byte {
 	packed = binary.AppendUvarint(packed, uint64(len(text)))
 	return append(packed, text...)
 }
 
-// answer returns what packAnswer took, nil for nil.
+// answer decodes the answer, nil for nil. Damaged input gives some answer, but no
+// panic.
 func (packed packedAnswer) answer() *Answer {
 	if packed == nil {
 		return nil
 	}
-	rest := packed
-	unpacked := &Answer{Status: int(rest.takeNumber())}
-	fields := rest.takeNumber()
+	remaining := packed
+	unpacked := &Answer{Status: int(remaining.readUvarint())}
+	fields := remaining.readUvarint()
 	if fields > 0 {
 		unpacked.Header = make(http.Header)
 	}
-	for ; fields > 0 && len(rest) > 0; fields-- {
-		name := rest.takeText()
-		unpacked.Header[name] = append(unpacked.Header[name], rest.takeText())
+	for ; fields > 0 && len(remaining) > 0; fields-- {
+		name := remaining.readString()
+		unpacked.Header[name] = append(unpacked.Header[name], remaining.readString())
 	}
-	unpacked.Body = rest
+	unpacked.Body = remaining
 	return unpacked
 }
 
-func (packed *packedAnswer) takeNumber() uint64 {
+func (packed *packedAnswer) readUvarint() uint64 {
 	number, length := binary.Uvarint(*packed)
 	if length <= 0 {
 		*packed = nil // damaged
@@ -81,8 +83,8 @@
 	return number
 }
 
-func (packed *packedAnswer) takeText() string {
-	length := min(packed.takeNumber(), uint64(len(*packed)))
+func (packed *packedAnswer) readString() string {
+	length := min(packed.readUvarint(), uint64(len(*packed)))
 	text := string((*packed)[:length])
 	*packed = (*packed)[length:]
 	return text
--- a/internal/requestrecord/packed_test.go
+++ b/internal/requestrecord/packed_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestPackedAnswerComesBackWhole(t *testing.T) {
+func TestPackedAnswerRoundTrips(t *testing.T) {
 	assert.Assert(t, packAnswer(nil).answer() == nil)
 	rapid.Check(t, func(t *rapid.T) {
 		header := rapid.MapOf(rapid.String(), rapid.SliceOfN(rapid.String(), 1, 3)).Draw(t, "header")
@@ -26,7 +26,7 @@
 	})
 }
 
-func TestDamagedPackedAnswerIsReadWithoutAPanic(t *testing.T) {
+func TestDamagedPackedAnswerDoesNotPanic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		packed := packedAnswer(rapid.SliceOf(rapid.Byte()).Draw(t, "packed"))
 		_ = packed.answer()
--- a/internal/requestrecord/record.go
+++ b/internal/requestrecord/record.go
@@ -12,17 +12,18 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// ErrJournal: a write or sync failed; nothing is admitted any more.
+// ErrJournal is returned after a write or sync of the journal has failed. From
+// then on no request is admitted.
 var ErrJournal = errors.New("request journal failed")
 
-// Config of a Record. Zero fields take the defaults.
+// Config configures a Record. Zero fields take the defaults.
 type Config struct {
 	Limits
-	// Directory for the journal, inside the data folder; made when missing.
+	// Directory of the journal, inside the data folder; created if missing.
 	Directory string
-	// RewriteBytes is how long the journal grows before it is written anew.
+	// RewriteBytes is the segment size beyond which the journal is rewritten.
 	RewriteBytes int64
-	// Now is the wall clock; nil is time.Now.
+	// Now is the wall clock; nil means time.Now.
 	Now func() time.Time
 }
 
@@ -37,30 +38,31 @@
 	return config
 }
 
-// Stats are counts since Open, and present sizes.
+// Stats holds counts since Open and current sizes.
 type Stats struct {
 	LedgerCounts
 	Entries, KeptBytes int
-	// Syncs of the journal, and the changes that they made durable.
+	// Syncs counts the syncs of the journal, Synced the changes that they made
+	// durable.
 	Syncs, Synced uint64
 }
 
-// Record is what an agent remembers of non-repeatable requests: a Ledger and
-// its journal. Its methods may be called from any goroutine; those that make a
-// durable change return once it is synced.
+// Record is an agent's record of non-repeatable requests: a Ledger with a journal.
+// Its methods may be called from any goroutine; those that make a durable change
+// return once it is synced.
 type Record struct {
 	config  Config
 	journal *journal
 
 	mutex  sync.Mutex
 	ledger *Ledger
-	// last is the commit of the change that was made last.
+	// last is the commit that contains the latest change.
 	last *commit
 }
 
-// Open reads the journal in Config.Directory and writes it anew. Where the
-// journal has a damaged or unfinished end, every shard's floor is raised as
-// after a loss of the record.
+// Open replays the journal in Config.Directory and rewrites it. If a segment of
+// the journal is damaged or incomplete, every shard's floor is raised as after a
+// loss of the record.
 func Open(config Config) (*Record, error) {
 	config = config.withDefaults()
 	record := &Record{config: config}
@@ -77,36 +79,36 @@
 	return record, nil
 }
 
-// Close writes what is pending, syncs and closes the journal.
+// Close writes and syncs the pending changes and closes the journal.
 func (record *Record) Close() error { return record.journal.close() }
 
 func (record *Record) nowUnixMilli() int64 { return record.config.Now().UnixMilli() }
 
-// append is the ledger's hook. The caller holds the mutex, so changes reach
+// append is the ledger's ChangeFunc. The caller holds the mutex, so changes reach
 // the journal in the order in which they were made.
-func (record *Record) append(made Change, durable bool) {
-	record.last = record.journal.append(made, durable)
+func (record *Record) append(change Change, durable bool) {
+	record.last = record.journal.append(change, durable)
 }
 
-// changes returns what rebuilds the present state. It may already contain
-// changes that the journal has yet to write; applying them twice does no harm.
+// changes returns the changes that rebuild the current state. They may include
+// some that are still pending in the journal; applying those twice is harmless.
 func (record *Record) changes() []Change {
 	record.mutex.Lock()
 	defer record.mutex.Unlock()
 	return record.ledger.Changes()
 }
 
-// Begin is Ledger.Begin.
+// Begin calls Ledger.Begin.
 func (record *Record) Begin(shard topology.ShardID, epoch topology.Epoch, covers Range) (continued bool, err error) {
 	record.mutex.Lock()
 	defer record.mutex.Unlock()
 	return record.ledger.Begin(shard, epoch, covers, record.nowUnixMilli())
 }
 
-// Admit is Ledger.Admit. It waits until the clock has reached the id's stamp,
-// and when the request is Fresh returns only after its entry is synced.
-// ErrFuture, ErrNotServing, ErrJournal and the context's error are proof that
-// the request was not admitted by this call.
+// Admit calls Ledger.Admit once the clock has reached the id's stamp. For a Fresh
+// request it returns only after the entry is synced. ErrFuture, ErrNotServing,
+// ErrJournal and the context's error are proof that this call did not admit the
+// request.
 func (record *Record) Admit(ctx context.Context, shard topology.ShardID, epoch topology.Epoch, id requestid.ID, fingerprint uint64) (Verdict, error) {
 	if err := record.waitForStamp(ctx, id); err != nil {
 		return Verdict{}, err
@@ -129,11 +131,11 @@
 	return verdict, record.last, err
 }
 
-// waitForStamp returns once the wall clock has reached the id's stamp, so that
-// no id is admitted before its own time.
+// waitForStamp waits until the wall clock has reached the id's stamp, so that no
+// id is admitted before its stamp.
 func (record *Record) waitForStamp(ctx context.Context, id requestid.ID) error {
 	for {
-		ahead, err := record.ledger.Ahead(id, record.nowUnixMilli())
+		ahead, err := record.ledger.StampAhead(id, record.nowUnixMilli())
 		if err != nil || ahead <= 0 {
 			return err
 		}
@@ -147,44 +149,44 @@
 	}
 }
 
-// Finish is Ledger.Finish.
+// Finish calls Ledger.Finish.
 func (record *Record) Finish(shard topology.ShardID, id requestid.ID, answer *Answer) {
 	record.mutex.Lock()
 	defer record.mutex.Unlock()
 	record.ledger.Finish(shard, id, answer)
 }
 
-// Lose is Ledger.Lose.
+// Lose calls Ledger.Lose.
 func (record *Record) Lose(shard topology.ShardID, id requestid.ID) {
 	record.mutex.Lock()
 	defer record.mutex.Unlock()
 	record.ledger.Lose(shard, id)
 }
 
-// Abandon is Ledger.Abandon.
+// Abandon calls Ledger.Abandon.
 func (record *Record) Abandon(shard topology.ShardID, id requestid.ID) {
 	record.mutex.Lock()
 	defer record.mutex.Unlock()
 	record.ledger.Abandon(shard, id)
 }
 
-// Export is Release and then Ledger.Export. Admissions to other shards go on
-// while the record is unpacked.
+// Export calls Release and then exports the record. Admissions to other shards
+// continue while the answers are unpacked.
 func (record *Record) Export(shard topology.ShardID, epoch topology.Epoch) (wire.RecordTransfer, error) {
 	released := record.nowUnixMilli()
 	if err := record.Release(shard, epoch); err != nil {
 		return wire.RecordTransfer{}, err
 	}
 	record.mutex.Lock()
-	taken, err := record.ledger.snapshot(shard, epoch, released)
+	snap, err := record.ledger.snapshot(shard, epoch, released)
 	record.mutex.Unlock()
 	if err != nil {
 		return wire.RecordTransfer{}, err
 	}
-	return taken.transfer(), nil
+	return snap.transfer(), nil
 }
 
-// Release is Ledger.Release.
+// Release calls Ledger.Release and waits for its sync.
 func (record *Record) Release(shard topology.ShardID, epoch topology.Epoch) error {
 	record.mutex.Lock()
 	record.ledger.Release(shard, epoch)
@@ -193,7 +195,7 @@
 	return pending.wait()
 }
 
-// Import is Ledger.Import.
+// Import calls Ledger.Import and waits for its sync.
 func (record *Record) Import(transfer wire.RecordTransfer) error {
 	record.mutex.Lock()
 	err := record.ledger.Import(transfer, record.nowUnixMilli())
--- a/internal/requestrecord/record_test.go
+++ b/internal/requestrecord/record_test.go
@@ -26,7 +26,7 @@
 // start is the time at which the test clocks begin.
 var start = time.UnixMilli(1_800_000_000_000)
 
-// clock is a wall clock that tests move.
+// clock is a wall clock that tests advance.
 type clock struct {
 	mutex sync.Mutex
 	now   time.Time
@@ -52,7 +52,7 @@
 	return record
 }
 
-// idAt makes the id number n with the stamp of the time.
+// idAt returns the id with number n and the given time as its stamp.
 func idAt(at time.Time, n byte) requestid.ID {
 	return requestid.New(at, [10]byte{9: n})
 }
@@ -64,9 +64,9 @@
 	return verdict
 }
 
-// serving opens a record that serves the shard at epoch 1 and lets its clock
-// pass the floor.
-func serving(t *testing.T, config Config, wall *clock) *Record {
+// openServing opens a record that serves the shard at epoch 1, and advances its
+// clock to the floor.
+func openServing(t *testing.T, config Config, wall *clock) *Record {
 	t.Helper()
 	config.Now = wall.Now
 	record := open(t, config)
@@ -79,7 +79,7 @@
 
 func TestSameIDIsAdmittedOnce(t *testing.T) {
 	wall := &clock{now: start}
-	record := serving(t, Config{Directory: t.TempDir()}, wall)
+	record := openServing(t, Config{Directory: t.TempDir()}, wall)
 	id := idAt(wall.Now(), 1)
 	assert.Equal(t, admit(t, record, 1, id).Decision, Fresh)
 	assert.Equal(t, admit(t, record, 1, id).Decision, InProgress)
@@ -95,7 +95,7 @@
 
 func TestConcurrentResendsAdmitOne(t *testing.T) {
 	wall := &clock{now: start}
-	record := serving(t, Config{Directory: t.TempDir()}, wall)
+	record := openServing(t, Config{Directory: t.TempDir()}, wall)
 	id := idAt(wall.Now(), 1)
 	var fresh, mutex = 0, sync.Mutex{}
 	var group sync.WaitGroup
@@ -114,9 +114,9 @@
 	assert.Equal(t, fresh, 1)
 }
 
-func TestOnlyProofOfNotRunFreesAnID(t *testing.T) {
+func TestOnlyAbandonFreesID(t *testing.T) {
 	wall := &clock{now: start}
-	record := serving(t, Config{Directory: t.TempDir()}, wall)
+	record := openServing(t, Config{Directory: t.TempDir()}, wall)
 	lost, notRun, large := idAt(wall.Now(), 1), idAt(wall.Now(), 2), idAt(wall.Now(), 3)
 	for _, id := range []requestid.ID{lost, notRun, large} {
 		assert.Equal(t, admit(t, record, 1, id).Decision, Fresh)
@@ -129,8 +129,8 @@
 	assert.Equal(t, admit(t, record, 1, large).Decision, AnswerGone)
 }
 
-// copyJournal stands for a killed process: it copies what a record has
-// written, without closing it.
+// copyJournal simulates the kill of a process: it copies the journal of a record
+// that is still open.
 func copyJournal(t *testing.T, from string) string {
 	t.Helper()
 	to := t.TempDir()
@@ -138,10 +138,10 @@
 	return to
 }
 
-func TestKilledProcessRemembersWhatItAdmitted(t *testing.T) {
+func TestAdmittedIDsSurviveKill(t *testing.T) {
 	wall := &clock{now: start}
 	directory := t.TempDir()
-	record := serving(t, Config{Directory: directory}, wall)
+	record := openServing(t, Config{Directory: directory}, wall)
 	answered, running := idAt(wall.Now(), 1), idAt(wall.Now(), 2)
 	assert.Equal(t, admit(t, record, 1, answered).Decision, Fresh)
 	record.Finish(shard, answered, &Answer{Status: http.StatusOK, Body: []byte("done")})
@@ -158,7 +158,7 @@
 	assert.Equal(t, admit(t, restarted, 1, idAt(wall.Now(), 3)).Decision, Fresh)
 }
 
-func TestDamagedJournalRaisesTheFloor(t *testing.T) {
+func TestDamagedJournalRaisesFloor(t *testing.T) {
 	for name, damage := range map[string]func(content []byte) []byte{
 		"cut off": func(content []byte) []byte { return content[:len(content)-3] },
 		"changed": func(content []byte) []byte { content[len(content)-3] ^= 1; return content },
@@ -166,7 +166,7 @@
 		t.Run(name, func(t *testing.T) {
 			wall := &clock{now: start}
 			directory := t.TempDir()
-			record := serving(t, Config{Directory: directory}, wall)
+			record := openServing(t, Config{Directory: directory}, wall)
 			id := idAt(wall.Now(), 1)
 			assert.Equal(t, admit(t, record, 1, id).Decision, Fresh)
 			assert.NilError(t, record.Close())
@@ -185,10 +185,10 @@
 	}
 }
 
-func TestRecordMovesWithTheShard(t *testing.T) {
+func TestRecordMovesWithShard(t *testing.T) {
 	wall := &clock{now: start}
 	newOwner := open(t, Config{Directory: t.TempDir(), Now: wall.Now})
-	oldOwner := serving(t, Config{Directory: t.TempDir()}, wall)
+	oldOwner := openServing(t, Config{Directory: t.TempDir()}, wall)
 	answered, running := idAt(wall.Now(), 1), idAt(wall.Now(), 2)
 	assert.Equal(t, admit(t, oldOwner, 1, answered).Decision, Fresh)
 	oldOwner.Finish(shard, answered, &Answer{Status: http.StatusOK, Body: []byte("done")})
@@ -200,7 +200,7 @@
 
 	assert.NilError(t, newOwner.Import(transfer))
 	_, err = newOwner.Admit(context.Background(), shard, 1, answered, 7)
-	assert.ErrorIs(t, err, ErrNotServing, "holding a record is not owning the shard")
+	assert.ErrorIs(t, err, ErrNotServing, "a record alone must not let an agent serve the shard")
 	continued, err := newOwner.Begin(shard, 2, whole)
 	assert.NilError(t, err)
 	assert.Assert(t, continued)
@@ -209,10 +209,10 @@
 	assert.Equal(t, admit(t, newOwner, 2, idAt(wall.Now(), 3)).Decision, Fresh)
 }
 
-func TestReleasedEpochIsNeverServedAgainEvenAfterARestart(t *testing.T) {
+func TestReleasedEpochIsNotServedAfterRestart(t *testing.T) {
 	wall := &clock{now: start}
 	directory := t.TempDir()
-	record := serving(t, Config{Directory: directory}, wall)
+	record := openServing(t, Config{Directory: directory}, wall)
 	_, err := record.Export(shard, 1)
 	assert.NilError(t, err)
 	restarted := open(t, Config{Directory: copyJournal(t, directory), Now: wall.Now})
@@ -220,13 +220,13 @@
 	assert.ErrorIs(t, err, ErrNotServing)
 }
 
-func TestLostRecordRefusesWhatMayHaveRun(t *testing.T) {
+func TestLostRecordRefusesIDsThatMayHaveRun(t *testing.T) {
 	wall := &clock{now: start}
-	oldOwner := serving(t, Config{Directory: t.TempDir()}, wall)
+	oldOwner := openServing(t, Config{Directory: t.TempDir()}, wall)
 	id := idAt(wall.Now(), 1)
 	assert.Equal(t, admit(t, oldOwner, 1, id).Decision, Fresh)
 
-	// The new owner's clock is behind by all that is allowed.
+	// The new owner's clock is behind by the full ClockBound.
 	behind := &clock{now: wall.Now().Add(-DefaultClockBound)}
 	newOwner := open(t, Config{Directory: t.TempDir(), Now: behind.Now})
 	continued, err := newOwner.Begin(shard, 2, whole)
@@ -237,23 +237,23 @@
 	assert.Equal(t, admit(t, newOwner, 2, idAt(wall.Now().Add(time.Millisecond), 2)).Decision, Fresh)
 }
 
-func TestSkippedEpochIsALostRecord(t *testing.T) {
+func TestSkippedEpochLosesRecord(t *testing.T) {
 	wall := &clock{now: start}
-	record := serving(t, Config{Directory: t.TempDir()}, wall)
+	record := openServing(t, Config{Directory: t.TempDir()}, wall)
 	id := idAt(wall.Now(), 1)
 	assert.Equal(t, admit(t, record, 1, id).Decision, Fresh)
 	record.Finish(shard, id, &Answer{Status: http.StatusOK})
 	continued, err := record.Begin(shard, 3, whole)
 	assert.NilError(t, err)
 	assert.Assert(t, !continued, "another agent owned epoch 2")
-	assert.Equal(t, admit(t, record, 3, id).Decision, Answered, "a fact stays a fact")
+	assert.Equal(t, admit(t, record, 3, id).Decision, Answered, "the entry must be kept")
 	assert.Equal(t, admit(t, record, 3, idAt(wall.Now(), 2)).Decision, RecordLost)
 }
 
-func TestTransferThatArrivesLateLowersTheFloor(t *testing.T) {
+func TestLateTransferLowersFloor(t *testing.T) {
 	wall := &clock{now: start}
 	newOwner := open(t, Config{Directory: t.TempDir(), Now: wall.Now})
-	oldOwner := serving(t, Config{Directory: t.TempDir()}, wall)
+	oldOwner := openServing(t, Config{Directory: t.TempDir()}, wall)
 	ran := idAt(wall.Now(), 1)
 	assert.Equal(t, admit(t, oldOwner, 1, ran).Decision, Fresh)
 	oldOwner.Finish(shard, ran, &Answer{Status: http.StatusOK, Body: []byte("done")})
@@ -262,23 +262,23 @@
 
 	_, err = newOwner.Begin(shard, 2, whole)
 	assert.NilError(t, err)
-	held := idAt(wall.Now(), 2)
+	notAdmitted := idAt(wall.Now(), 2)
 	assert.Equal(t, admit(t, newOwner, 2, ran).Decision, RecordLost)
-	assert.Equal(t, admit(t, newOwner, 2, held).Decision, RecordLost)
+	assert.Equal(t, admit(t, newOwner, 2, notAdmitted).Decision, RecordLost)
 	assert.NilError(t, newOwner.Import(transfer))
 	assert.Equal(t, admit(t, newOwner, 2, ran).Decision, Answered)
-	assert.Equal(t, admit(t, newOwner, 2, held).Decision, Fresh)
+	assert.Equal(t, admit(t, newOwner, 2, notAdmitted).Decision, Fresh)
 }
 
-// TestLateTransferDoesNotHideWhatTheOwnerForgot: the new owner admitted an id,
-// lost its journal and serves on at the same epoch. Then the record of the owner
-// before arrives, which cannot know of that id.
-func TestLateTransferDoesNotHideWhatTheOwnerForgot(t *testing.T) {
+// TestLateTransferDoesNotLowerFloorAfterJournalLoss: the new owner admits an id,
+// loses its journal and serves again at the same epoch. Then the record of the
+// previous owner arrives, which cannot contain that id, so the floor must stay.
+func TestLateTransferDoesNotLowerFloorAfterJournalLoss(t *testing.T) {
 	for name, early := range map[string]bool{"before begin": true, "after begin": false} {
 		t.Run(name, func(t *testing.T) {
 			wall := &clock{now: start}
 			newOwner := open(t, Config{Directory: t.TempDir(), Now: wall.Now})
-			oldOwner := serving(t, Config{Directory: t.TempDir()}, wall)
+			oldOwner := openServing(t, Config{Directory: t.TempDir()}, wall)
 			transfer, err := oldOwner.Export(shard, 1)
 			assert.NilError(t, err)
 			assert.NilError(t, newOwner.Import(transfer))
@@ -301,9 +301,9 @@
 	}
 }
 
-func TestTransferAfterAGapAddsFactsOnly(t *testing.T) {
+func TestTransferAfterEpochGapAddsEntriesOnly(t *testing.T) {
 	wall := &clock{now: start}
-	oldOwner := serving(t, Config{Directory: t.TempDir()}, wall)
+	oldOwner := openServing(t, Config{Directory: t.TempDir()}, wall)
 	transfer, err := oldOwner.Export(shard, 1)
 	assert.NilError(t, err)
 	newOwner := open(t, Config{Directory: t.TempDir(), Now: wall.Now})
@@ -314,9 +314,9 @@
 	assert.ErrorContains(t, newOwner.Import(wire.RecordTransfer{Shard: shard}), "unfinished")
 }
 
-func TestSplitAndMergeKeepTheRecord(t *testing.T) {
+func TestSplitAndMergeKeepEntries(t *testing.T) {
 	wall := &clock{now: start}
-	record := serving(t, Config{Directory: t.TempDir()}, wall)
+	record := openServing(t, Config{Directory: t.TempDir()}, wall)
 	id := idAt(wall.Now(), 1)
 	assert.Equal(t, admit(t, record, 1, id).Decision, Fresh)
 	record.Finish(shard, id, &Answer{Status: http.StatusOK})
@@ -328,7 +328,7 @@
 	assert.NilError(t, err)
 	assert.Assert(t, continued)
 	_, err = record.Admit(context.Background(), shard, 1, idAt(wall.Now(), 8), 7)
-	assert.ErrorIs(t, err, ErrNotServing, "the part would not know of it")
+	assert.ErrorIs(t, err, ErrNotServing, "the new shard would have no entry for it")
 	continued, err = record.Begin(shard, 2, left)
 	assert.NilError(t, err)
 	assert.Assert(t, continued)
@@ -343,15 +343,15 @@
 	record.Finish(part, onlyInPart, &Answer{Status: http.StatusOK})
 	continued, err = record.Begin(shard, 3, whole)
 	assert.NilError(t, err)
-	assert.Assert(t, !continued, "the next epoch alone does not prove that the other part's record is at hand")
+	assert.Assert(t, !continued, "the next epoch does not prove that the record of the merged shard is complete")
 	assert.Equal(t, admit(t, record, 3, onlyInPart).Decision, Answered)
 	assert.Equal(t, admit(t, record, 3, idAt(wall.Now(), 3)).Decision, RecordLost)
 }
 
-func TestDroppedEntriesRaiseTheFloor(t *testing.T) {
+func TestDroppedEntriesRaiseFloor(t *testing.T) {
 	t.Run("by count", func(t *testing.T) {
 		wall := &clock{now: start}
-		record := serving(t, Config{Directory: t.TempDir(), Limits: Limits{MaxEntries: 3}}, wall)
+		record := openServing(t, Config{Directory: t.TempDir(), Limits: Limits{MaxEntries: 3}}, wall)
 		first := idAt(wall.Now(), 0)
 		for n := range byte(5) {
 			assert.Equal(t, admit(t, record, 1, idAt(wall.Now(), n)).Decision, Fresh)
@@ -362,7 +362,7 @@
 	})
 	t.Run("by age", func(t *testing.T) {
 		wall := &clock{now: start}
-		record := serving(t, Config{Directory: t.TempDir(), Limits: Limits{Retention: time.Minute}}, wall)
+		record := openServing(t, Config{Directory: t.TempDir(), Limits: Limits{Retention: time.Minute}}, wall)
 		first := idAt(wall.Now(), 0)
 		assert.Equal(t, admit(t, record, 1, first).Decision, Fresh)
 		wall.advance(time.Minute + time.Millisecond)
@@ -371,7 +371,7 @@
 	})
 	t.Run("by kept bytes", func(t *testing.T) {
 		wall := &clock{now: start}
-		record := serving(t, Config{Directory: t.TempDir(), Limits: Limits{MaxKeptBytes: 10}}, wall)
+		record := openServing(t, Config{Directory: t.TempDir(), Limits: Limits{MaxKeptBytes: 10}}, wall)
 		for n := range byte(3) {
 			id := idAt(wall.Now(), n)
 			assert.Equal(t, admit(t, record, 1, id).Decision, Fresh)
@@ -382,7 +382,7 @@
 	})
 }
 
-func TestStampsAheadAreWaitedForOrRefused(t *testing.T) {
+func TestFutureStampsAreWaitedForOrRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		record, err := Open(Config{Directory: t.TempDir()})
 		assert.NilError(t, err)
@@ -402,7 +402,7 @@
 func TestJournalIsRewrittenWithoutLoss(t *testing.T) {
 	wall := &clock{now: start}
 	directory := t.TempDir()
-	record := serving(t, Config{Directory: directory, RewriteBytes: 4 << 10}, wall)
+	record := openServing(t, Config{Directory: directory, RewriteBytes: 4 << 10}, wall)
 	const count = 100
 	for n := range byte(count) {
 		id := idAt(wall.Now(), n)
@@ -428,7 +428,7 @@
 
 func TestFailedJournalAdmitsNothing(t *testing.T) {
 	wall := &clock{now: start}
-	record := serving(t, Config{Directory: t.TempDir()}, wall)
+	record := openServing(t, Config{Directory: t.TempDir()}, wall)
 	assert.NilError(t, record.journal.file.Close())
 	_, err := record.Admit(context.Background(), shard, 1, idAt(wall.Now(), 1), 7)
 	assert.ErrorIs(t, err, ErrJournal)
--- a/internal/requestrecord/retention.go
+++ b/internal/requestrecord/retention.go
@@ -1,31 +1,32 @@
 package requestrecord
 
-// trim drops the oldest entries until age, count and kept bytes are within
-// bounds. Each entry dropped raises its shard's floor above its stamp.
+// trim drops the oldest entries until age, count and kept bytes are within the
+// limits. Each dropped entry raises its shard's floor above its stamp.
 func (state *state) trim(limits Limits, nowUnixMilli int64) (dropped int) {
 	oldest := nowUnixMilli - limits.Retention.Milliseconds()
-	for len(state.order) > 0 {
-		first := state.order[0]
-		within := first.atUnixMilli >= oldest && len(state.order) <= limits.MaxEntries &&
+	for len(state.admissions) > 0 {
+		first := state.admissions[0]
+		within := first.atUnixMilli >= oldest && len(state.admissions) <= limits.MaxEntries &&
 			state.keptBytes <= limits.MaxKeptBytes
 		if within {
 			break
 		}
-		state.order[0] = orderedID{}
-		state.order = state.order[1:]
+		state.admissions[0] = admission{}
+		state.admissions = state.admissions[1:]
 		state.drop(first)
 		dropped++
 	}
 	return dropped
 }
 
-func (state *state) drop(first orderedID) {
+// drop removes the entry of the oldest admission and raises its shard's floor.
+func (state *state) drop(first admission) {
 	record := state.shard(first.shard)
-	kept, ok := record.entries[first.id]
+	e, ok := record.entries[first.id]
 	if !ok {
 		return // abandoned
 	}
-	state.forgetAnswer(kept)
+	state.dropAnswer(e)
 	delete(record.entries, first.id)
 	record.retentionFloor = max(record.retentionFloor, first.id.UnixMilli()+1)
 }
--- a/internal/requestrecord/segment.go
+++ b/internal/requestrecord/segment.go
@@ -55,7 +55,7 @@
 	for _, path := range paths {
 		found := segment{path: path}
 		if _, err := fmt.Sscanf(filepath.Base(path), segmentFormat, &found.number); err != nil {
-			return nil, fmt.Errorf("%s: name of a journal segment: %w", path, err)
+			return nil, fmt.Errorf("%s: invalid name of a journal segment: %w", path, err)
 		}
 		segments = append(segments, found)
 	}
@@ -68,9 +68,9 @@
 	return segments, nil
 }
 
-// readJournal replays all segments. Damaged says that a
-// segment did not end with a whole frame or could not be decoded; what came
-// before the damage is replayed.
+// readJournal replays all segments. The result damaged reports whether a segment
+// did not end with a complete frame or could not be decoded; the changes before
+// the damage are replayed.
 func readJournal(directory string, replay func(Change)) (segments []segment, damaged bool, err error) {
 	segments, err = listSegments(directory)
 	if err != nil {
@@ -88,27 +88,27 @@
 	return segments, damaged, nil
 }
 
-// replaySegment returns false when the segment is damaged.
-func replaySegment(content []byte, replay func(Change)) (whole bool) {
-	stream, whole := joinFrames(content)
+// replaySegment replays a segment and returns false if it is damaged.
+func replaySegment(content []byte, replay func(Change)) (intact bool) {
+	stream, intact := joinFrames(content)
 	decoder := gob.NewDecoder(bytes.NewReader(stream))
 	for {
 		var changes []Change
 		err := decoder.Decode(&changes)
 		if errors.Is(err, io.EOF) {
-			return whole
+			return intact
 		}
 		if err != nil {
 			return false
 		}
-		for _, made := range changes {
-			replay(made)
+		for _, change := range changes {
+			replay(change)
 		}
 	}
 }
 
-// joinFrames returns the payloads up to the first frame that is not whole.
-func joinFrames(content []byte) (stream []byte, whole bool) {
+// joinFrames returns the payloads up to the first incomplete or damaged frame.
+func joinFrames(content []byte) (stream []byte, intact bool) {
 	for len(content) > 0 {
 		if len(content) < frameHeaderSize {
 			return stream, false
@@ -129,11 +129,11 @@
 	return stream, true
 }
 
-// changes returns what rebuilds the state, for a rewritten journal. The caller
-// holds up all admissions meanwhile, so it copies little and allocates in bulk.
+// changes returns the changes that rebuild the state, for a rewritten journal. It
+// copies little and allocates in bulk, because admissions are blocked meanwhile.
 func (state *state) changes() []Change {
-	rebuilt := make([]Change, 0, 1+len(state.shards)+2*len(state.order))
-	rebuilt = append(rebuilt, Change{Memory: &memoryChange{SinceUnixMilli: state.memorySince}})
+	rebuilt := make([]Change, 0, 1+len(state.shards)+2*len(state.admissions))
+	rebuilt = append(rebuilt, Change{Memory: &memoryChange{SinceUnixMilli: state.completeSince}})
 	for _, id := range state.sortedShards() {
 		record := state.shards[id]
 		rebuilt = append(rebuilt, Change{Restored: &restoredChange{
@@ -141,19 +141,19 @@
 			TakeoverFloor: record.takeoverFloor, RetentionFloor: record.retentionFloor,
 		}})
 	}
-	admitted := make([]admittedChange, len(state.order))
-	finished := make([]finishedChange, len(state.order))
-	for i, ordered := range state.order {
-		kept, ok := state.shard(ordered.shard).entries[ordered.id]
+	admitted := make([]admittedChange, len(state.admissions))
+	finished := make([]finishedChange, len(state.admissions))
+	for i, ordered := range state.admissions {
+		e, ok := state.shard(ordered.shard).entries[ordered.id]
 		if !ok {
 			continue
 		}
 		admitted[i] = admittedChange{Shard: ordered.shard, ID: ordered.id,
-			Fingerprint: kept.fingerprint, AtUnixMilli: ordered.atUnixMilli}
+			Fingerprint: e.fingerprint, AtUnixMilli: ordered.atUnixMilli}
 		rebuilt = append(rebuilt, Change{Admitted: &admitted[i]})
-		if kept.state != stateRunning {
+		if e.state != stateRunning {
 			finished[i] = finishedChange{Shard: ordered.shard, ID: ordered.id,
-				Answered: kept.state == stateAnswered, Answer: kept.answer, BodyBytes: kept.bodyBytes}
+				Answered: e.state == stateAnswered, Answer: e.answer, BodyBytes: e.bodyBytes}
 			rebuilt = append(rebuilt, Change{Finished: &finished[i]})
 		}
 	}
--- a/internal/requestrecord/shard.go
+++ b/internal/requestrecord/shard.go
@@ -9,25 +9,25 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// Decision says what to do with a request that carries an id.
+// Decision is what to do with a request that carries an id.
 type Decision uint8
 
-// Decisions of Record.Admit.
+// Decisions of Admit.
 const (
-	// Fresh: the id is admitted now and synced; the request may be sent. It
-	// must be ended by Finish, Lose or Abandon.
+	// Fresh means that this call admitted the id; the request may be sent once
+	// the entry is synced. Finish, Lose or Abandon must follow.
 	Fresh Decision = iota + 1
-	// InProgress: the id was admitted and its request has not ended.
+	// InProgress means that the id was admitted and its request has not ended.
 	InProgress
-	// Answered: the request ran; Verdict.Answer is its answer.
+	// Answered means that the request ran; Verdict.Answer is its answer.
 	Answered
-	// AnswerGone: the request ran, its answer was not kept.
+	// AnswerGone means that the request ran and its answer was not kept.
 	AnswerGone
-	// OutcomeUnknown: the request may have run.
+	// OutcomeUnknown means that the id was admitted and the request may have run.
 	OutcomeUnknown
-	// RecordLost: whether the id was ever admitted is not known.
+	// RecordLost means that it is unknown whether the id was ever admitted.
 	RecordLost
-	// Mismatch: the id was admitted with another request.
+	// Mismatch means that the id was admitted with another request.
 	Mismatch
 )
 
@@ -38,14 +38,14 @@
 	Body   []byte
 }
 
-// Verdict is the result of Record.Admit.
+// Verdict is the result of Admit.
 type Verdict struct {
 	Decision Decision
-	// Answer is set with Answered only. It must not be changed.
+	// Answer is set for Answered only. It must not be modified.
 	Answer *Answer
 }
 
-// entryState is how far the request of an entry came.
+// entryState is the state of an entry's request.
 type entryState uint8
 
 const (
@@ -57,31 +57,32 @@
 // entry is one admitted id.
 type entry struct {
 	fingerprint uint64
-	// answer is nil when it was not kept.
+	// answer is nil if it was not kept.
 	answer packedAnswer
 	// bodyBytes is the length of the body in answer.
 	bodyBytes uint32
 	state     entryState
 }
 
-// keep sets the answer.
-func (kept *entry) keep(answer *Answer) {
-	kept.answer = packAnswer(answer)
-	kept.bodyBytes = uint32(answer.size())
+// setAnswer stores an answer and its size.
+func (e *entry) setAnswer(answer *Answer) {
+	e.answer = packAnswer(answer)
+	e.bodyBytes = uint32(answer.size())
 }
 
-func (kept *entry) verdict(fingerprint uint64) Verdict {
+// verdict returns the decision on a repeat of the entry's id.
+func (e *entry) verdict(fingerprint uint64) Verdict {
 	switch {
-	case kept.fingerprint != fingerprint:
+	case e.fingerprint != fingerprint:
 		return Verdict{Decision: Mismatch}
-	case kept.state == stateRunning:
+	case e.state == stateRunning:
 		return Verdict{Decision: InProgress}
-	case kept.state == stateUnknown:
+	case e.state == stateUnknown:
 		return Verdict{Decision: OutcomeUnknown}
-	case kept.answer == nil:
+	case e.answer == nil:
 		return Verdict{Decision: AnswerGone}
 	}
-	return Verdict{Decision: Answered, Answer: kept.answer.answer()}
+	return Verdict{Decision: Answered, Answer: e.answer.answer()}
 }
 
 // Range is the part of the hash space that a shard covers, both ends included.
@@ -89,21 +90,21 @@
 	Start, Last topology.KeyHash
 }
 
-func (outer Range) contains(inner Range) bool {
-	return outer.Start <= inner.Start && inner.Last <= outer.Last
+func (r Range) contains(inner Range) bool {
+	return r.Start <= inner.Start && inner.Last <= r.Last
 }
 
 // Overlaps reports whether two ranges have a key in common.
-func (one Range) Overlaps(other Range) bool {
-	return one.Start <= other.Last && other.Start <= one.Last
+func (r Range) Overlaps(other Range) bool {
+	return r.Start <= other.Last && other.Start <= r.Last
 }
 
-// CoveredBy reports whether every key of the range is in one of the others,
-// which do not overlap each other.
-func (one Range) CoveredBy(others []Range) bool {
+// CoveredBy reports whether every key of the range is in one of the others, which
+// must not overlap.
+func (r Range) CoveredBy(others []Range) bool {
 	others = slices.Clone(others)
 	slices.SortFunc(others, func(a, b Range) int { return cmp.Compare(a.Start, b.Start) })
-	next := one.Start
+	next := r.Start
 	for _, other := range others {
 		if other.Last < next {
 			continue
@@ -111,7 +112,7 @@
 		if other.Start > next {
 			return false
 		}
-		if other.Last >= one.Last {
+		if other.Last >= r.Last {
 			return true
 		}
 		next = other.Last + 1
@@ -119,19 +120,20 @@
 	return false
 }
 
-// shardRecord is the record of one shard. Its floor is the higher of the two.
+// shardRecord is the record of one shard. Its floor is the higher of takeoverFloor
+// and retentionFloor.
 type shardRecord struct {
-	// epoch under which the record is exact, for ids of keys in covers.
+	// epoch is the epoch for which the record is exact, for ids of keys in covers.
 	epoch  topology.Epoch
 	covers Range
-	// begun is the epoch that this process serves at; zero after a restart
-	// until Begin.
-	begun topology.Epoch
-	// released is the highest epoch that this agent promised not to serve.
+	// servingEpoch is the epoch at which this process serves; zero from a
+	// restart until Begin.
+	servingEpoch topology.Epoch
+	// released is the highest epoch that this agent promised not to serve again.
 	released topology.Epoch
-	// takeoverFloor is from the owner's beginning or from a transfer.
+	// takeoverFloor was set when this agent began to serve, or by a transfer.
 	takeoverFloor int64
-	// retentionFloor is above the stamp of every entry dropped here.
+	// retentionFloor is above the stamps of all entries that retention dropped.
 	retentionFloor int64
 	entries        map[requestid.ID]*entry
 }
@@ -144,30 +146,30 @@
 	return max(record.takeoverFloor, record.retentionFloor)
 }
 
-// serves says that ids may be admitted at the epoch.
+// serves reports whether ids may be admitted at the epoch.
 func (record *shardRecord) serves(epoch topology.Epoch) bool {
-	return record != nil && record.begun == epoch && record.released < epoch
+	return record != nil && record.servingEpoch == epoch && record.released < epoch
 }
 
-// endBefore ends serving at a lower epoch: its range has passed to a shard at
-// the epoch, which takes the entries as they are now.
-func (record *shardRecord) endBefore(epoch topology.Epoch) {
-	if record.begun < epoch {
-		record.begun = 0
+// stopServingBefore stops serving at an epoch below the given one: the range has
+// passed to a shard at that epoch, which copies the entries as they are now.
+func (record *shardRecord) stopServingBefore(epoch topology.Epoch) {
+	if record.servingEpoch < epoch {
+		record.servingEpoch = 0
 	}
 }
 
-// continues says that the record is still exact for an owner of the range at
-// epoch: it is of that epoch or of the one before, and covers the range.
-func (record *shardRecord) continues(epoch topology.Epoch, covers Range) bool {
+// isExactFor reports whether the record is exact for an owner of the range at the
+// epoch: it is of that epoch or the one before, and covers the range.
+func (record *shardRecord) isExactFor(epoch topology.Epoch, covers Range) bool {
 	return record.epoch != 0 && (record.epoch == epoch || record.epoch+1 == epoch) &&
 		record.covers.contains(covers)
 }
 
-// lookup decides about an id without changing the record.
+// lookup returns the decision on an id without changing the record.
 func (record *shardRecord) lookup(id requestid.ID, fingerprint uint64) Verdict {
-	if kept, ok := record.entries[id]; ok {
-		return kept.verdict(fingerprint)
+	if e, ok := record.entries[id]; ok {
+		return e.verdict(fingerprint)
 	}
 	if id.UnixMilli() < record.floor() {
 		return Verdict{Decision: RecordLost}
@@ -175,11 +177,12 @@
 	return Verdict{Decision: Fresh}
 }
 
-// endRunning marks what ran when the process stopped as unknown.
-func (record *shardRecord) endRunning() {
-	for _, kept := range record.entries {
-		if kept.state == stateRunning {
-			kept.state = stateUnknown
+// markRunningUnknown sets the outcome of requests that ran when the process
+// stopped to unknown.
+func (record *shardRecord) markRunningUnknown() {
+	for _, e := range record.entries {
+		if e.state == stateRunning {
+			e.state = stateUnknown
 		}
 	}
 }
--- a/internal/requestrecord/transfer.go
+++ b/internal/requestrecord/transfer.go
@@ -9,53 +9,54 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// snapshot is a shard's record at one moment. It shares no memory that changes.
+// snapshot is a copy of a shard's record. It shares only immutable memory with the
+// record.
 type snapshot struct {
 	releasedUnixMilli int64
 	shard             topology.ShardID
 	epoch             topology.Epoch
 	covers            Range
 	floor             int64
-	entries           []idEntry
+	entries           []snapshotEntry
 }
 
-type idEntry struct {
-	id   requestid.ID
-	kept entry
+type snapshotEntry struct {
+	id    requestid.ID
+	entry entry
 }
 
 func (record *shardRecord) snapshot(shard topology.ShardID) snapshot {
-	taken := snapshot{shard: shard, epoch: record.epoch, covers: record.covers, floor: record.floor(),
-		entries: make([]idEntry, 0, len(record.entries))}
-	for id, kept := range record.entries {
-		taken.entries = append(taken.entries, idEntry{id, *kept})
+	snap := snapshot{shard: shard, epoch: record.epoch, covers: record.covers, floor: record.floor(),
+		entries: make([]snapshotEntry, 0, len(record.entries))}
+	for id, e := range record.entries {
+		snap.entries = append(snap.entries, snapshotEntry{id, *e})
 	}
-	return taken
+	return snap
 }
 
-// transfer returns the record for the next owner, in the order of ids. Entries
-// that still run are listed without an outcome.
-func (taken snapshot) transfer() wire.RecordTransfer {
-	slices.SortFunc(taken.entries, func(a, b idEntry) int { return bytes.Compare(a.id[:], b.id[:]) })
+// transfer returns the record for the next owner, sorted by id. Entries of running
+// requests have no outcome.
+func (snap snapshot) transfer() wire.RecordTransfer {
+	slices.SortFunc(snap.entries, func(a, b snapshotEntry) int { return bytes.Compare(a.id[:], b.id[:]) })
 	transfer := wire.RecordTransfer{
-		Shard:                  taken.shard,
-		Epoch:                  taken.epoch,
-		RangeStart:             taken.covers.Start,
-		RangeLast:              taken.covers.Last,
-		CompleteSinceUnixMilli: taken.floor,
-		ReleasedUnixMilli:      taken.releasedUnixMilli,
-		Entries:                make([]wire.RecordEntry, 0, len(taken.entries)),
+		Shard:                  snap.shard,
+		Epoch:                  snap.epoch,
+		RangeStart:             snap.covers.Start,
+		RangeLast:              snap.covers.Last,
+		CompleteSinceUnixMilli: snap.floor,
+		ReleasedUnixMilli:      snap.releasedUnixMilli,
+		Entries:                make([]wire.RecordEntry, 0, len(snap.entries)),
 		Last:                   true,
 	}
-	for i := range taken.entries {
-		transfer.Entries = append(transfer.Entries, exportEntry(taken.entries[i].id, &taken.entries[i].kept))
+	for i := range snap.entries {
+		transfer.Entries = append(transfer.Entries, exportEntry(snap.entries[i].id, &snap.entries[i].entry))
 	}
 	return transfer
 }
 
-func exportEntry(id requestid.ID, kept *entry) wire.RecordEntry {
-	exported := wire.RecordEntry{ID: id, Fingerprint: kept.fingerprint, Answered: kept.state == stateAnswered}
-	if answer := kept.answer.answer(); answer != nil {
+func exportEntry(id requestid.ID, e *entry) wire.RecordEntry {
+	exported := wire.RecordEntry{ID: id, Fingerprint: e.fingerprint, Answered: e.state == stateAnswered}
+	if answer := e.answer.answer(); answer != nil {
 		exported.Status = answer.Status
 		exported.Header = answer.Header
 		exported.Body = answer.Body
@@ -63,16 +64,16 @@
 	return exported
 }
 
-// merge adds a previous owner's final record. The entries are facts whenever
-// they arrive. The floor counts only when this agent's record has no gap
-// between the transferred epoch and its own, and when nothing was forgotten of
-// what this agent itself admitted since the release.
+// merge adds a previous owner's final record. The entries are valid whenever they
+// arrive. The floor is taken over only if no epoch lies between the transferred
+// one and this agent's own, and if this agent has lost none of its own admissions
+// since the release.
 func (state *state) merge(transfer *wire.RecordTransfer) {
 	record := state.shard(transfer.Shard)
 	for _, entry := range transfer.Entries {
 		state.mergeEntry(transfer.Shard, record, entry)
 	}
-	if state.memorySince == 0 || transfer.ReleasedUnixMilli < state.memorySince {
+	if state.completeSince == 0 || transfer.ReleasedUnixMilli < state.completeSince {
 		return
 	}
 	covers := Range{Start: transfer.RangeStart, Last: transfer.RangeLast}
@@ -86,21 +87,22 @@
 	}
 }
 
-// mergeEntry keeps what is known here and adds what isn't. The age of the
-// entry counts from its stamp, which is no later than its admission.
+// mergeEntry adds an entry, or its answer to an entry with unknown outcome; other
+// existing entries stay as they are. The age of an added entry counts from its
+// stamp, which is not later than its admission.
 func (state *state) mergeEntry(shard topology.ShardID, record *shardRecord, imported wire.RecordEntry) {
-	held, ok := record.entries[imported.ID]
+	existing, ok := record.entries[imported.ID]
 	if !ok {
-		held = &entry{fingerprint: imported.Fingerprint, state: stateUnknown}
-		record.entries[imported.ID] = held
-		state.order = append(state.order, orderedID{shard, imported.ID, imported.ID.UnixMilli()})
+		existing = &entry{fingerprint: imported.Fingerprint, state: stateUnknown}
+		record.entries[imported.ID] = existing
+		state.admissions = append(state.admissions, admission{shard, imported.ID, imported.ID.UnixMilli()})
 	}
-	if held.state != stateUnknown || !imported.Answered {
+	if existing.state != stateUnknown || !imported.Answered {
 		return
 	}
-	held.state = stateAnswered
+	existing.state = stateAnswered
 	if imported.Status != 0 {
-		held.keep(&Answer{Status: imported.Status, Header: imported.Header, Body: imported.Body})
-		state.keptBytes += int(held.bodyBytes)
+		existing.setAnswer(&Answer{Status: imported.Status, Header: imported.Header, Body: imported.Body})
+		state.keptBytes += int(existing.bodyBytes)
 	}
 }
