--- a/internal/wire/routing.go
+++ b/internal/wire/routing.go
@@ -2,7 +2,7 @@
 
 import "github.com/quartzdock/quartzdock/internal/topology"
 
-// RoutingSnapshot is the whole routing data for the services asked for.
+// RoutingSnapshot is the complete routing data of the requested services.
 type RoutingSnapshot struct {
 	Group    topology.GroupID
 	Revision topology.Revision
@@ -16,9 +16,9 @@
 	Shards  Shards
 }
 
-// RoutingDelta takes a process from revision From to revision To. Applying it
-// to any revision other than From is an error; the process then asks again
-// with Hello.
+// RoutingDelta advances a process from revision From to revision To. Applying it
+// to any revision other than From is an error; the process then opens a new
+// session with Hello.
 type RoutingDelta struct {
 	Group topology.GroupID
 	From  topology.Revision
@@ -28,7 +28,7 @@
 	RemovedServices []topology.ServiceID
 	Backends        []topology.Backend
 	RemovedBackends []topology.BackendID
-	// Shards created or changed. RemovedShards went in a merge.
+	// Shards created or changed. RemovedShards were merged into others.
 	Shards        Shards
 	RemovedShards []topology.ShardID
 }
--- a/internal/wire/shard_loads.go
+++ b/internal/wire/shard_loads.go
@@ -8,42 +8,44 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// ShardLoads is a report on several shards. An agent sends one or two a second
-// for each of its shards, so it travels packed: about 6 bytes a shard in place
-// of the 12 that gob needs for the struct.
+// ShardLoads is a load report on several shards. An agent reports each of its
+// shards once or twice a second, so the list has a compact encoding: about 6
+// bytes per shard, where gob needs 12 for the struct.
 //
-// Each shard is a varint of the distance from the number before it, a uvarint
-// of Requests shifted by three with the flags, and a uvarint of BusyMicros; by
-// the flags, Refused, LongRunning and HotKeys follow.
+// Each shard is a varint of the difference from the preceding shard number, a
+// uvarint of Requests shifted left by requestsShift with the flags in the low
+// bits, and a uvarint of BusyMicros. Refused, LongRunning and HotKeys follow if
+// their flags are set.
 type ShardLoads []ShardLoad
 
-// Flags beside ShardLoad.Requests.
+// Flags in the low bits of the encoded ShardLoad.Requests.
 const (
 	flagRefused     = 1
 	flagHotKeys     = 2
 	flagLongRunning = 4
-	requestsBits    = 3
+	requestsShift   = 3
 )
 
 // GobEncode implements gob.GobEncoder.
 func (loads ShardLoads) GobEncode() ([]byte, error) {
-	const usual = 8
-	packed := make([]byte, 0, usual*len(loads))
+	const typicalSize = 8
+	encoded := make([]byte, 0, typicalSize*len(loads))
 	var previous topology.ShardNumber
 	for index := range loads {
 		load := &loads[index]
 		if len(load.HotKeys) > MaximumHotKeys {
 			return nil, fmt.Errorf("wire: shard %d has %d hot keys, want at most %d", load.Shard, len(load.HotKeys), MaximumHotKeys)
 		}
-		packed = binary.AppendVarint(packed, int64(load.Shard)-int64(previous))
-		packed = load.pack(packed)
+		encoded = binary.AppendVarint(encoded, int64(load.Shard)-int64(previous))
+		encoded = load.appendTo(encoded)
 		previous = load.Shard
 	}
-	return packed, nil
+	return encoded, nil
 }
 
-func (load *ShardLoad) pack(packed []byte) []byte {
-	requests := uint64(load.Requests) << requestsBits
+// appendTo appends the encoded load without its shard number.
+func (load *ShardLoad) appendTo(encoded []byte) []byte {
+	requests := uint64(load.Requests) << requestsShift
 	if load.Refused > 0 {
 		requests |= flagRefused
 	}
@@ -53,76 +55,77 @@
 	if len(load.HotKeys) > 0 {
 		requests |= flagHotKeys
 	}
-	packed = binary.AppendUvarint(packed, requests)
-	packed = binary.AppendUvarint(packed, uint64(load.BusyMicros))
+	encoded = binary.AppendUvarint(encoded, requests)
+	encoded = binary.AppendUvarint(encoded, uint64(load.BusyMicros))
 	if load.Refused > 0 {
-		packed = binary.AppendUvarint(packed, uint64(load.Refused))
+		encoded = binary.AppendUvarint(encoded, uint64(load.Refused))
 	}
 	if load.LongRunning > 0 {
-		packed = binary.AppendUvarint(packed, uint64(load.LongRunning))
+		encoded = binary.AppendUvarint(encoded, uint64(load.LongRunning))
 	}
 	if len(load.HotKeys) == 0 {
-		return packed
+		return encoded
 	}
-	packed = append(packed, byte(len(load.HotKeys)))
-	for _, hot := range load.HotKeys {
-		packed = binary.BigEndian.AppendUint64(packed, uint64(hot.Key))
-		packed = binary.BigEndian.AppendUint32(packed, math.Float32bits(hot.Share))
+	encoded = append(encoded, byte(len(load.HotKeys)))
+	for _, hotKey := range load.HotKeys {
+		encoded = binary.BigEndian.AppendUint64(encoded, uint64(hotKey.Key))
+		encoded = binary.BigEndian.AppendUint32(encoded, math.Float32bits(hotKey.Share))
 	}
-	return packed
+	return encoded
 }
 
 // GobDecode implements gob.GobDecoder.
-func (loads *ShardLoads) GobDecode(packed []byte) error {
-	reader := unpacker{rest: packed}
-	var unpacked ShardLoads
+func (loads *ShardLoads) GobDecode(encoded []byte) error {
+	input := decoder{remaining: encoded}
+	var decoded ShardLoads
 	var number uint32
-	for len(reader.rest) > 0 && !reader.damaged {
-		number = reader.number(int64(number))
-		unpacked = append(unpacked, reader.load(topology.ShardNumber(number)))
+	for len(input.remaining) > 0 && !input.corrupt {
+		number = input.addDelta(int64(number))
+		decoded = append(decoded, input.shardLoad(topology.ShardNumber(number)))
 	}
-	if reader.damaged {
-		return errDamaged
+	if input.corrupt {
+		return errCorrupt
 	}
-	*loads = unpacked
+	*loads = decoded
 	return nil
 }
 
-func (r *unpacker) load(number topology.ShardNumber) ShardLoad {
-	requests := r.uvarint(math.MaxUint32<<requestsBits | flagRefused | flagHotKeys | flagLongRunning)
+// shardLoad reads what appendTo wrote.
+func (d *decoder) shardLoad(number topology.ShardNumber) ShardLoad {
+	requests := d.uvarint(math.MaxUint32<<requestsShift | flagRefused | flagHotKeys | flagLongRunning)
 	load := ShardLoad{
 		Shard:      number,
-		Requests:   uint32(requests >> requestsBits),
-		BusyMicros: uint32(r.uvarint(math.MaxUint32)),
+		Requests:   uint32(requests >> requestsShift),
+		BusyMicros: uint32(d.uvarint(math.MaxUint32)),
 	}
 	if requests&flagRefused != 0 {
-		load.Refused = uint32(r.uvarint(math.MaxUint32))
+		load.Refused = uint32(d.uvarint(math.MaxUint32))
 	}
 	if requests&flagLongRunning != 0 {
-		load.LongRunning = uint32(r.uvarint(math.MaxUint32))
+		load.LongRunning = uint32(d.uvarint(math.MaxUint32))
 	}
 	if requests&flagHotKeys != 0 {
-		load.HotKeys = r.hotKeys()
+		load.HotKeys = d.hotKeys()
 	}
 	return load
 }
 
-func (r *unpacker) hotKeys() []KeyLoad {
+func (d *decoder) hotKeys() []KeyLoad {
 	const keyBytes = 8 + 4
-	count := r.byte()
+	count := d.byte()
 	if count > MaximumHotKeys {
-		r.damaged = true
+		d.corrupt = true
 		return nil
 	}
 	keys := make([]KeyLoad, 0, count)
 	for range count {
-		packed := r.bytes(keyBytes)
-		if r.damaged {
+		encoded := d.bytes(keyBytes)
+		if d.corrupt {
 			return nil
 		}
 		keys = append(keys, KeyLoad{
-			Key:   topology.KeyHash(binary.BigEndian.Uint64(packed)),
-			Share: math.Float32frombits(binary.BigEndian.Uint32(packed[8:])),
+			Key:   topology.KeyHash(binary.BigEndian.Uint64(encoded)),
+			Share: math.Float32frombits(binary.BigEndian.Uint32(encoded[8:])),
 		})
 	}
 	return keys
--- a/internal/wire/shards.go
+++ b/internal/wire/shards.go
@@ -7,16 +7,17 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// Shards is a list of shards in routing data. A restarted process is sent all
-// shards of its services, so they travel packed: about 7 bytes for each shard
-// of a service that was divided evenly, in place of the 27 that gob needs.
+// Shards is a list of shards in routing data. A restarted process receives all
+// shards of its services, so the list has a compact encoding: about 7 bytes per
+// shard of an evenly divided service, where gob needs 27.
 //
-// Service and number are varints of the distance from the shard before. Of
-// Start the change of the distance is sent, which is about zero for shards of
-// equal width in order. A byte holds the phase and whether there is a target;
+// Service and shard number are varints of the difference from the preceding
+// shard. Start is delta-of-delta encoded, which gives about zero for consecutive
+// shards of equal width. One byte holds the phase and a flag for the target;
 // owner, target and epoch are uvarints.
 type Shards []topology.Shard
 
+// Bits of the byte that holds the phase and the flags of a shard.
 const (
 	phaseMask  = 7
 	flagTarget = 8
@@ -24,76 +25,76 @@
 
 // GobEncode implements gob.GobEncoder.
 func (shards Shards) GobEncode() ([]byte, error) {
-	const usual = 12
-	packed := make([]byte, 0, usual*len(shards))
-	var before shardStep
+	const typicalSize = 12
+	encoded := make([]byte, 0, typicalSize*len(shards))
+	var previous deltaState
 	for index := range shards {
-		packed = before.pack(packed, &shards[index])
+		encoded = previous.appendShard(encoded, &shards[index])
 	}
-	return packed, nil
+	return encoded, nil
 }
 
 // GobDecode implements gob.GobDecoder.
-func (shards *Shards) GobDecode(packed []byte) error {
-	const least = 7
-	reader := unpacker{rest: packed}
-	unpacked := make(Shards, 0, len(packed)/least)
-	var before shardStep
-	for len(reader.rest) > 0 && !reader.damaged {
-		unpacked = append(unpacked, before.unpack(&reader))
+func (shards *Shards) GobDecode(encoded []byte) error {
+	const minSize = 7
+	input := decoder{remaining: encoded}
+	decoded := make(Shards, 0, len(encoded)/minSize)
+	var previous deltaState
+	for len(input.remaining) > 0 && !input.corrupt {
+		decoded = append(decoded, previous.decodeShard(&input))
 	}
-	if reader.damaged {
-		return errDamaged
+	if input.corrupt {
+		return errCorrupt
 	}
-	*shards = unpacked
+	*shards = decoded
 	return nil
 }
 
-// shardStep is what the next shard is told by: the one before it and the
-// distance between the starts of the last two.
-type shardStep struct {
-	id    topology.ShardID
-	start uint64
-	step  uint64
+// deltaState is the state that the next shard is encoded against: the preceding
+// shard, and the distance between the starts of the last two.
+type deltaState struct {
+	id       topology.ShardID
+	start    uint64
+	distance uint64
 }
 
-func (before *shardStep) pack(packed []byte, shard *topology.Shard) []byte {
-	step := uint64(shard.Start) - before.start
-	packed = binary.AppendVarint(packed, int64(shard.ID.Service)-int64(before.id.Service))
-	packed = binary.AppendVarint(packed, int64(shard.ID.Shard)-int64(before.id.Shard))
-	packed = binary.AppendVarint(packed, int64(step-before.step))
-	*before = shardStep{id: shard.ID, start: uint64(shard.Start), step: step}
-	kind := byte(shard.Phase) & phaseMask
+func (previous *deltaState) appendShard(encoded []byte, shard *topology.Shard) []byte {
+	distance := uint64(shard.Start) - previous.start
+	encoded = binary.AppendVarint(encoded, int64(shard.ID.Service)-int64(previous.id.Service))
+	encoded = binary.AppendVarint(encoded, int64(shard.ID.Shard)-int64(previous.id.Shard))
+	encoded = binary.AppendVarint(encoded, int64(distance-previous.distance))
+	*previous = deltaState{id: shard.ID, start: uint64(shard.Start), distance: distance}
+	flags := byte(shard.Phase) & phaseMask
 	if shard.Target != 0 {
-		kind |= flagTarget
+		flags |= flagTarget
 	}
-	packed = append(packed, kind)
-	packed = binary.AppendUvarint(packed, uint64(shard.Owner))
+	encoded = append(encoded, flags)
+	encoded = binary.AppendUvarint(encoded, uint64(shard.Owner))
 	if shard.Target != 0 {
-		packed = binary.AppendUvarint(packed, uint64(shard.Target))
+		encoded = binary.AppendUvarint(encoded, uint64(shard.Target))
 	}
-	return binary.AppendUvarint(packed, uint64(shard.Epoch))
+	return binary.AppendUvarint(encoded, uint64(shard.Epoch))
 }
 
-func (before *shardStep) unpack(reader *unpacker) topology.Shard {
-	service := reader.number(int64(before.id.Service))
-	number := reader.number(int64(before.id.Shard))
-	before.id = topology.ShardID{Service: topology.ServiceID(service), Shard: topology.ShardNumber(number)}
-	before.step += uint64(reader.varint())
-	before.start += before.step
-	kind := reader.byte()
-	if kind > phaseMask|flagTarget {
-		reader.damaged = true
+func (previous *deltaState) decodeShard(input *decoder) topology.Shard {
+	service := input.addDelta(int64(previous.id.Service))
+	number := input.addDelta(int64(previous.id.Shard))
+	previous.id = topology.ShardID{Service: topology.ServiceID(service), Shard: topology.ShardNumber(number)}
+	previous.distance += uint64(input.varint())
+	previous.start += previous.distance
+	flags := input.byte()
+	if flags > phaseMask|flagTarget {
+		input.corrupt = true
 	}
 	shard := topology.Shard{
-		ID:    before.id,
-		Start: topology.KeyHash(before.start),
-		Phase: topology.ShardPhase(kind & phaseMask),
-		Owner: topology.BackendID(reader.uvarint(math.MaxUint32)),
+		ID:    previous.id,
+		Start: topology.KeyHash(previous.start),
+		Phase: topology.ShardPhase(flags & phaseMask),
+		Owner: topology.BackendID(input.uvarint(math.MaxUint32)),
 	}
-	if kind&flagTarget != 0 {
-		shard.Target = topology.BackendID(reader.uvarint(math.MaxUint32))
+	if flags&flagTarget != 0 {
+		shard.Target = topology.BackendID(input.uvarint(math.MaxUint32))
 	}
-	shard.Epoch = topology.Epoch(reader.uvarint(math.MaxUint64))
+	shard.Epoch = topology.Epoch(input.uvarint(math.MaxUint64))
 	return shard
 }
--- a/internal/wire/shards_test.go
+++ b/internal/wire/shards_test.go
@@ -10,16 +10,16 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-func unpackedShards(t *testing.T, shards Shards) Shards {
+func encodeAndDecode(t *testing.T, shards Shards) Shards {
 	t.Helper()
-	packed, err := shards.GobEncode()
+	encoded, err := shards.GobEncode()
 	assert.NilError(t, err)
-	var arrived Shards
-	assert.NilError(t, arrived.GobDecode(packed))
-	return arrived
+	var decoded Shards
+	assert.NilError(t, decoded.GobDecode(encoded))
+	return decoded
 }
 
-func TestShardsArriveAsTheyWereSent(t *testing.T) {
+func TestShardsRoundTrip(t *testing.T) {
 	const last = math.MaxUint32
 	shards := Shards{
 		{ID: topology.ShardID{Service: 1, Shard: 1}, Phase: topology.ShardUnassigned},
@@ -27,30 +27,30 @@
 		{ID: topology.ShardID{Service: last, Shard: 2}, Start: 1, Phase: topology.ShardOwned, Owner: 7, Epoch: 3},
 		{ID: topology.ShardID{}, Start: 1 << 63, Phase: topology.ShardWarming, Owner: 2, Target: last},
 	}
-	assert.DeepEqual(t, unpackedShards(t, shards), shards)
-	assert.Equal(t, len(unpackedShards(t, nil)), 0)
+	assert.DeepEqual(t, encodeAndDecode(t, shards), shards)
+	assert.Equal(t, len(encodeAndDecode(t, nil)), 0)
 }
 
-// TestEveryFieldOfAShardIsPacked fails where a field is added to topology.Shard
-// and not to the packed form, which would drop it silently.
-func TestEveryFieldOfAShardIsPacked(t *testing.T) {
+// TestShardsEncodesEveryField fails if a field is added to topology.Shard but
+// not to its encoding, which would drop it silently.
+func TestShardsEncodesEveryField(t *testing.T) {
 	var shard topology.Shard
-	fill(reflect.ValueOf(&shard).Elem())
-	assert.DeepEqual(t, unpackedShards(t, Shards{shard}), Shards{shard})
+	setNonZero(reflect.ValueOf(&shard).Elem())
+	assert.DeepEqual(t, encodeAndDecode(t, Shards{shard}), Shards{shard})
 }
 
-// fill sets all numbers of a struct to small ones other than zero.
-func fill(fields reflect.Value) {
+// setNonZero sets every number in a struct to a small value other than zero.
+func setNonZero(fields reflect.Value) {
 	for index := range fields.NumField() {
 		if field := fields.Field(index); field.Kind() == reflect.Struct {
-			fill(field)
+			setNonZero(field)
 		} else {
 			field.SetUint(uint64(index) + 1)
 		}
 	}
 }
 
-func TestEvenlyDividedServiceIsSmall(t *testing.T) {
+func TestShardsEncodingSize(t *testing.T) {
 	const count, bytesEach = 3750, 8
 	var shards Shards
 	for index := range uint64(count) {
@@ -60,30 +60,30 @@
 			Owner: topology.BackendID(index%1100 + 1), Epoch: 3,
 		})
 	}
-	packed, err := shards.GobEncode()
+	encoded, err := shards.GobEncode()
 	assert.NilError(t, err)
-	assert.Assert(t, len(packed) <= count*bytesEach, "%d bytes", len(packed))
-	assert.DeepEqual(t, unpackedShards(t, shards), shards)
+	assert.Assert(t, len(encoded) <= count*bytesEach, "%d bytes", len(encoded))
+	assert.DeepEqual(t, encodeAndDecode(t, shards), shards)
 }
 
-func TestDamagedShardsAreRefused(t *testing.T) {
+func TestShardsRejectsCorruptData(t *testing.T) {
 	whole, err := Shards{{ID: topology.ShardID{Service: 1, Shard: 300}, Start: 1 << 60, Phase: topology.ShardWarming, Owner: 300, Target: 400, Epoch: 500}}.GobEncode()
 	assert.NilError(t, err)
 	for size := 1; size < len(whole); size++ {
 		var shards Shards
-		assert.ErrorIs(t, shards.GobDecode(whole[:size]), errDamaged, "%d bytes", size)
+		assert.ErrorIs(t, shards.GobDecode(whole[:size]), errCorrupt, "%d bytes", size)
 	}
 	var shards Shards
-	assert.ErrorIs(t, shards.GobDecode([]byte{1, 2, 0, 2, 1, 1}), errDamaged, "a negative service")
-	assert.ErrorIs(t, shards.GobDecode([]byte{2, 2, 0, 16, 1, 1}), errDamaged, "an unknown kind")
+	assert.ErrorIs(t, shards.GobDecode([]byte{1, 2, 0, 2, 1, 1}), errCorrupt, "a negative service")
+	assert.ErrorIs(t, shards.GobDecode([]byte{2, 2, 0, 16, 1, 1}), errCorrupt, "unknown flags")
 }
 
 func FuzzShards(f *testing.F) {
 	f.Add([]byte{2, 2, 0, 2, 1, 1})
-	f.Fuzz(func(t *testing.T, packed []byte) {
+	f.Fuzz(func(t *testing.T, encoded []byte) {
 		var shards Shards
-		if shards.GobDecode(packed) == nil {
-			assert.DeepEqual(t, unpackedShards(t, shards), shards)
+		if shards.GobDecode(encoded) == nil {
+			assert.DeepEqual(t, encodeAndDecode(t, shards), shards)
 		}
 	})
 }
