--- a/internal/topology/service.go
+++ b/internal/topology/service.go
@@ -5,7 +5,7 @@
 // KeySourceKind says where a rule finds a request's key.
 type KeySourceKind uint8
 
-// Places where a key is found.
+// Kinds of key sources.
 const (
 	// KeyFromPathSegment takes segment Index of the path, counted from 0
 	// after the service's name.
@@ -16,7 +16,8 @@
 	KeyFromHeader
 )
 
-// KeySource says where a rule finds a request's key.
+// KeySource says where a rule finds a request's key: a path segment, by Index, or
+// a query parameter or header, by Name.
 type KeySource struct {
 	Kind  KeySourceKind
 	Name  string
@@ -30,51 +31,53 @@
 	Methods []string
 	// PathPrefix below the service's own prefix; empty matches all.
 	PathPrefix string
-	// Key says where the key is; its zero value means that the service does
-	// not divide these requests by key.
+	// Key says where the key is; its zero value means that these requests are not
+	// routed by key.
 	Key KeySource
 	// Class of the request; zero is ClassLookup.
 	Class RequestClass
 	// NonRepeatable requests run at most once; a request id is required.
 	NonRepeatable bool
-	// Timeout is the longest a request may take when the caller states no
-	// earlier deadline. Zero is the router's default.
+	// Timeout limits a request unless the caller sets an earlier deadline. Zero
+	// means the router's default.
 	Timeout time.Duration
 }
 
-// PlacementWeights weigh the three measures for one service. Only their
-// ratio counts.
+// PlacementWeights are the weights of the three terms of the placement cost of a
+// service. Only their ratio matters.
 type PlacementWeights struct {
 	Imbalance   float64
 	Churn       float64
 	Unavailable float64
 }
 
-// PlacementPolicy bounds how a service's shards move.
+// PlacementPolicy limits how a service's shards move.
 type PlacementPolicy struct {
 	Weights PlacementWeights
-	// MinimumResidence is the least time between two load moves of a shard.
+	// MinimumResidence is the minimum time between two moves of a shard that
+	// balance load.
 	MinimumResidence time.Duration
-	// MovesPerMinute bounds load moves, not recovery, of the service.
+	// MovesPerMinute limits the moves of the service that balance load. Moves for
+	// recovery are not limited.
 	MovesPerMinute uint32
-	// MovesAtOnce bounds moves in progress per back end.
+	// MovesAtOnce limits the concurrent moves per back end.
 	MovesAtOnce uint32
-	// RestartGrace bounds how long, after the lease of a back end that announced
-	// a restart has ended, its shards wait for it to return before they are
-	// given to others.
+	// RestartGrace limits how long the shards of a back end that announced a
+	// restart wait for it after its lease has ended. They are then assigned to
+	// other back ends.
 	RestartGrace time.Duration
 }
 
-// Service is what an operator creates: a name, rules and a division into
-// shards. Requests reach it under the path prefix "/" + Name + "/".
+// Service is a sharded service that an operator defines. Its requests have the
+// path prefix "/" + Name + "/".
 type Service struct {
 	ID            ServiceID
 	Name          string
 	Rules         []RequestRule
 	InitialShards uint32
 	Placement     PlacementPolicy
-	// DrainLimit is the longest that a planned stop or move waits for running
-	// requests.
+	// DrainLimit is the longest time that a planned stop or a move waits for
+	// running requests.
 	DrainLimit time.Duration
 }
 
@@ -86,9 +89,9 @@
 	Location Location
 	// AgentAddress is where routers send requests, "IP:port".
 	AgentAddress string
-	// Slots is how many requests the back end runs at once.
+	// Slots is the number of requests that the back end runs concurrently.
 	Slots uint32
-	// Connections is how many connections the back end accepts.
+	// Connections is the number of connections that the back end accepts.
 	Connections uint32
 	State       BackendState
 }
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -1,6 +1,6 @@
-// Package topology holds the vocabulary that every other package shares:
-// identities, locations, revisions, epochs, key ranges, services, back ends
-// and shards. It has no behaviour beyond comparing, hashing and validating.
+// Package topology defines the types that the other packages share: identities,
+// locations, revisions, epochs, key ranges, services, back ends and shards. It
+// contains no logic beyond formatting and hashing.
 package topology
 
 import (
@@ -9,8 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// RegionName names a region, for example "se-west". Regions may lose each
-// other for minutes.
+// RegionName names a region, for example "se-west". Regions may be partitioned
+// from each other for minutes.
 type RegionName string
 
 // ZoneName names a failure domain inside a region, for example "hall-2".
@@ -20,7 +20,8 @@
 type RackName string
 
 // Location is where a process runs. It is part of every identity and of every
-// address, so that groups, spread and nearness need no second design.
+// address, so that consensus groups per region, spreading over failure domains
+// and preferring near processes can all build on it.
 type Location struct {
 	Region RegionName
 	Zone   ZoneName
@@ -39,40 +40,40 @@
 	return text
 }
 
-// GroupID identifies one consensus group of controllers. Today one group
-// carries everything; the identity is in every message so that a region can
-// have a group of its own (docs/decisions/001-groups-and-regions.md).
+// GroupID identifies one consensus group of controllers. At present there is a
+// single group; the messages carry its identity so that each region can have a
+// group of its own later (docs/decisions/001-groups-and-regions.md).
 type GroupID uint32
 
-// ReplicaID identifies a controller's membership of a group. It is given by
-// the group when the replica is added and is never used again: a controller
-// that lost its disk comes back under a new ReplicaID. Zero is no replica.
+// ReplicaID identifies a controller's membership of a group. The group assigns it
+// when the replica is added and never reuses it: a controller that lost its disk
+// rejoins under a new ReplicaID. Zero is no replica.
 type ReplicaID uint64
 
-// Incarnation is drawn at random when a data folder is made. A membership
-// names a replica by ReplicaID and Incarnation together.
+// Incarnation is a random number chosen when a data folder is created. A
+// membership identifies a replica by ReplicaID and Incarnation together.
 type Incarnation uint64
 
-// Role is the part that a process plays.
+// Role says whether a process is a controller, a router or an agent.
 type Role uint8
 
-// The roles of the product's processes.
+// Roles of a process.
 const (
 	RoleController Role = iota + 1
 	RoleRouter
 	RoleAgent
 )
 
-// ServiceID identifies a service. It is given at creation and never reused.
+// ServiceID identifies a service. It is assigned at creation and never reused.
 // Zero is no service.
 type ServiceID uint32
 
-// BackendID identifies a back end and the agent beside it. It is given at
+// BackendID identifies a back end and the agent beside it. It is assigned at
 // creation and never reused. Zero is no back end.
 type BackendID uint32
 
-// ShardNumber identifies a shard within its service; it is given when the
-// shard is made (at service creation or by a split) and never reused.
+// ShardNumber identifies a shard within its service. It is assigned when the
+// shard is created, with its service or by a split, and never reused.
 type ShardNumber uint32
 
 // ShardID identifies a shard.
@@ -89,14 +90,14 @@
 	return string(strconv.AppendUint(text, uint64(id.Shard), decimal))
 }
 
-// Epoch counts the owners of a shard. It only grows; a back end refuses a
-// grant or a request that carries a lower epoch than the highest it has seen.
-// Zero means that the shard never had an owner.
+// Epoch is the fencing token of a shard: it increases with each new owner and
+// never decreases. A back end refuses a grant or a request with an epoch lower
+// than the highest it has seen. Zero means that the shard never had an owner.
 type Epoch uint64
 
-// Revision counts the accepted changes of a group's control state, both
-// configuration and ownership. It only grows and is the index of the log entry
-// that made the change.
+// Revision is the version of a group's control state, that is, of configuration
+// and ownership. It is the index of the log entry that made the last change, and
+// never decreases.
 type Revision uint64
 
 // KeyHash is the position of a key in a service's hash space.
@@ -105,38 +106,40 @@
 // HashKey returns the position of a key: xxhash64, seed 0, over its bytes.
 func HashKey(key string) KeyHash { return KeyHash(xxhash.Sum64String(key)) }
 
-// BackendState is an operator's or the machine list's intent for a back end.
+// BackendState is the desired state of a back end, set by an operator or by the
+// machine list.
 type BackendState uint8
 
 // States of a back end in the control state.
 const (
 	// BackendActive may own shards.
 	BackendActive BackendState = iota + 1
-	// BackendDraining keeps what it owns until each shard has moved, and is
-	// given nothing new.
+	// BackendDraining keeps each of its shards until that shard has moved, and
+	// receives no new ones.
 	BackendDraining
 	// BackendRemoved owns nothing and its lease is not renewed.
 	BackendRemoved
 )
 
-// ShardPhase is where a shard stands between owners. See
+// ShardPhase is the phase of a shard's ownership. The transitions are in
 // internal/ownership/shard.chart.
 type ShardPhase uint8
 
 // Phases of a shard.
 const (
-	// ShardUnassigned has no owner; requests are answered not run, no owner.
+	// ShardUnassigned has no owner; its requests are refused with the outcome
+	// "not-run" and the reason "no-owner".
 	ShardUnassigned ShardPhase = iota + 1
 	// ShardOwned has one owner, which serves while its lease is valid.
 	ShardOwned
-	// ShardWarming has an owner that serves and a target that prepares.
+	// ShardWarming has an owner that serves and a target that warms up.
 	ShardWarming
-	// ShardReleasing has an owner that admits nothing new and finishes what
-	// runs; routers hold the shard's requests.
+	// ShardReleasing has an owner that admits no new requests and finishes the
+	// running ones; routers hold the shard's requests.
 	ShardReleasing
 )
 
-// RequestClass separates short look-ups from long bulk transfers.
+// RequestClass distinguishes short lookups from long bulk transfers.
 type RequestClass uint8
 
 // Classes of a request.
