--- a/internal/backendapi/client.go
+++ b/internal/backendapi/client.go
@@ -1,5 +1,6 @@
-// Package backendapi speaks the back ends' side protocol: fenced grants, warming
-// of a shard's state, health and load (docs/operators/backends.md).
+// Package backendapi is a client of the control API that back ends implement:
+// fenced grants, warm-up of a shard's state, health and load
+// (docs/operators/backends.md).
 package backendapi
 
 import (
@@ -17,7 +18,7 @@
 	"github.com/quartzdock/quartzdock/internal/upstream"
 )
 
-// Paths of the protocol.
+// Paths of the API.
 const (
 	grantsPath = "/_quartzdock/grants"
 	warmPath   = "/_quartzdock/warm"
@@ -25,20 +26,20 @@
 	loadPath   = "/_quartzdock/load"
 )
 
-// maxAnswerBytes bounds an answer.
+// maxAnswerBytes limits the size of an answer's body.
 const maxAnswerBytes = 1 << 20
 
-// ErrOtherBoot says that the back end was restarted since the reading that a
-// lease's end was computed from; it took nothing of the message and has no
-// grants.
+// ErrOtherBoot is returned if the back end has restarted since the clock reading
+// from which the end of the lease was computed. It applied no part of the message
+// and has no grants.
 var ErrOtherBoot = errors.New("back end was restarted")
 
-// ErrOvertaken says that the back end took a later message before; it took
-// nothing of this one.
-var ErrOvertaken = errors.New("message was overtaken by a later one")
+// ErrOvertaken is returned if the back end has already applied a later message.
+// It applied no part of this one.
+var ErrOvertaken = errors.New("back end has already applied a later message")
 
-// LowerEpochError says that the back end has seen a higher epoch of a shard; it
-// took nothing of the message.
+// LowerEpochError is returned if the back end has seen a higher epoch of a shard.
+// It applied no part of the message.
 type LowerEpochError struct {
 	Shard   string         `json:"shard"`
 	Epoch   topology.Epoch `json:"epoch"`
@@ -47,10 +48,10 @@
 
 // Error implements error.
 func (e *LowerEpochError) Error() string {
-	return fmt.Sprintf("back end saw epoch %d of shard %s, above %d", e.Highest, e.Shard, e.Epoch)
+	return fmt.Sprintf("back end has seen epoch %d of shard %s, which is higher than %d", e.Highest, e.Shard, e.Epoch)
 }
 
-// StatusError says that the back end answered with an unexpected status.
+// StatusError is returned if the back end answers with an unexpected status.
 type StatusError struct {
 	Path   string
 	Status int
@@ -59,39 +60,42 @@
 // Error implements error.
 func (e *StatusError) Error() string { return fmt.Sprintf("%s: status %d", e.Path, e.Status) }
 
-// Grant gives the back end a shard at an epoch.
+// Grant allows the back end to serve a shard at an epoch.
 type Grant struct {
 	Shard string         `json:"shard"`
 	Epoch topology.Epoch `json:"epoch"`
 }
 
-// Grants is a message that changes what the back end may serve, and until when.
+// Grants is a message that changes which shards the back end may serve, and until
+// when.
 type Grants struct {
 	Backend topology.BackendID `json:"backend"`
-	// Boot is that of the Reading which ValidUntilMilliseconds builds on. Empty
-	// asks for a reading only.
+	// Boot is the Boot of the Reading from which ValidUntilMilliseconds was
+	// computed. If it is empty, the message only asks for a reading.
 	Boot string `json:"boot"`
-	// ValidUntilMilliseconds is the end of the lease of all grants as a reading
-	// of the back end's clock.
+	// ValidUntilMilliseconds is the time on the back end's clock at which the lease
+	// of all grants ends.
 	ValidUntilMilliseconds int64 `json:"valid_until_ms"`
-	// Sequence grows with each message, over restarts of the agent too: see
+	// Sequence increases with each message, also across restarts of the agent; see
 	// Reading.Sequence.
 	Sequence uint64 `json:"sequence"`
-	// Replace drops all earlier grants first.
+	// Replace removes all earlier grants before Grants are added.
 	Replace bool     `json:"replace"`
 	Grants  []Grant  `json:"grants"`
 	Revoked []string `json:"revoked"`
 }
 
-// Reading is the back end's monotonic clock, in milliseconds since its start.
+// Reading is a reading of the back end's monotonic clock.
 type Reading struct {
-	Boot              string `json:"boot"`
-	ClockMilliseconds int64  `json:"clock_ms"`
-	// Sequence is the highest of the messages taken.
+	// Boot identifies the run of the back end's process.
+	Boot string `json:"boot"`
+	// ClockMilliseconds is the time since the start of that run.
+	ClockMilliseconds int64 `json:"clock_ms"`
+	// Sequence is the highest sequence number of the messages applied.
 	Sequence uint64 `json:"sequence"`
 }
 
-// Load is the back end's own word on its load, a hint only.
+// Load is the load that the back end reports of itself. It is a hint only.
 type Load struct {
 	Busy  uint32 `json:"busy"`
 	Slots uint32 `json:"slots"`
@@ -103,15 +107,15 @@
 	host string
 }
 
-// New returns a client over a pool of its own, so that messages never wait
-// behind requests. Host is the back end's "IP:port".
+// New returns a client of the back end at host, "IP:port". The pool should be
+// used by this client alone, so that messages never queue behind requests.
 func New(pool *upstream.Pool, host string) *Client {
 	return &Client{pool: pool, host: host}
 }
 
-// Grant sends a message of grants. With ErrOtherBoot and ErrOvertaken the
-// reading is valid too.
-// Errors of the connection wrap upstream.ErrNotSent or ErrInterrupted.
+// Grant sends a message of grants and returns the back end's clock reading, which
+// is also valid with ErrOtherBoot and ErrOvertaken. Connection errors wrap
+// upstream.ErrNotSent or upstream.ErrInterrupted.
 func (client *Client) Grant(ctx context.Context, message Grants) (Reading, error) {
 	status, body, err := client.call(ctx, http.MethodPut, grantsPath, message)
 	if err != nil {
@@ -123,19 +127,20 @@
 		if err := json.Unmarshal(body, &reading); err != nil {
 			return Reading{}, fmt.Errorf("%s: %w", grantsPath, err)
 		}
-		return reading, refusalOf(status, message, reading)
+		return reading, grantError(status, message, reading)
 	case http.StatusConflict:
-		lower := &LowerEpochError{}
-		if err := json.Unmarshal(body, lower); err != nil {
+		lowerEpoch := &LowerEpochError{}
+		if err := json.Unmarshal(body, lowerEpoch); err != nil {
 			return Reading{}, fmt.Errorf("%s: %w", grantsPath, err)
 		}
-		return Reading{}, lower
+		return Reading{}, lowerEpoch
 	}
 	return Reading{}, &StatusError{Path: grantsPath, Status: status}
 }
 
-// refusalOf tells the reasons of status 412 apart.
-func refusalOf(status int, message Grants, reading Reading) error {
+// grantError returns the error for the status of an answer to a message of grants.
+// Status 412 has two causes, which the reading distinguishes.
+func grantError(status int, message Grants, reading Reading) error {
 	switch {
 	case status == http.StatusOK:
 		return nil
@@ -145,7 +150,7 @@
 	return ErrOtherBoot
 }
 
-// Warm returns when the shard's state is ready.
+// Warm asks the back end to load a shard's state, and returns when it is ready.
 func (client *Client) Warm(ctx context.Context, shard topology.ShardID) error {
 	message := struct {
 		Shard string `json:"shard"`
@@ -153,12 +158,13 @@
 	return client.expectOK(ctx, http.MethodPost, warmPath, message)
 }
 
-// Health returns nil where the back end calls itself healthy, a hint only.
+// Health returns nil if the back end reports that it is healthy. This is a hint
+// only.
 func (client *Client) Health(ctx context.Context) error {
 	return client.expectOK(ctx, http.MethodGet, healthPath, nil)
 }
 
-// Load asks for the back end's load.
+// Load returns the load that the back end reports.
 func (client *Client) Load(ctx context.Context) (Load, error) {
 	status, body, err := client.call(ctx, http.MethodGet, loadPath, nil)
 	if err != nil {
@@ -185,7 +191,7 @@
 	return nil
 }
 
-// call sends one message and returns the whole answer.
+// call sends one message and returns the status and the body of the answer.
 func (client *Client) call(ctx context.Context, method, path string, message any) (status int, body []byte, err error) {
 	request := &http.Request{
 		Method: method,
@@ -213,35 +219,35 @@
 	return response.StatusCode, body, nil
 }
 
-// Clock converts times of this process's monotonic clock into readings of the
-// back end's. Its zero value knows no reading.
+// Clock converts times on this process's monotonic clock to times on the back
+// end's clock. Its zero value has no reading.
 type Clock struct {
-	// Drift bounds how much faster the back end's clock may run, as a share.
-	Drift   float64
-	reading Reading
-	at      time.Duration
+	// Drift is the maximum relative difference between the rates of the two clocks.
+	Drift      float64
+	reading    Reading
+	receivedAt time.Duration
 }
 
-// Observe takes a reading that was received at a time. The reading was made
-// before that, so the converted times are never late.
+// Observe records a reading and the time at which it was received. The back end
+// read its clock before that, so converted times are never late.
 func (clock *Clock) Observe(reading Reading, receivedAt time.Duration) {
 	clock.reading = reading
-	clock.at = receivedAt
+	clock.receivedAt = receivedAt
 }
 
-// Known says that a reading was observed.
+// Known reports whether a reading has been observed.
 func (clock *Clock) Known() bool { return clock.reading.Boot != "" }
 
-// Boot of the last reading.
+// Boot returns the Boot of the last reading.
 func (clock *Clock) Boot() string { return clock.reading.Boot }
 
-// Convert returns a reading, in milliseconds, that the back end's clock shows
-// no later than this process's clock shows the given time.
+// Convert returns a time on the back end's clock, in milliseconds, that is reached
+// no later than this process's clock reaches until.
 func (clock *Clock) Convert(until time.Duration) int64 {
-	ahead := until - clock.at
-	if ahead < 0 {
+	remaining := until - clock.receivedAt
+	if remaining < 0 {
 		return 0
 	}
-	shortened := time.Duration(float64(ahead) * (1 - clock.Drift))
+	shortened := time.Duration(float64(remaining) * (1 - clock.Drift))
 	return clock.reading.ClockMilliseconds + shortened.Milliseconds()
 }
