--- a/internal/statechart/parse.go
+++ b/internal/statechart/parse.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// Parse reads a chart and checks it. The error joins every finding, each as
-// "file:line: what".
+// Parse parses and validates a chart. The error joins all findings, each in the
+// form "file:line: message".
 func Parse(file string, text []byte) (*Chart, error) {
 	p := parser{chart: &Chart{file: file}}
 	for number, line := range strings.Split(string(text), "\n") {
 		p.line = number + 1
 		statement, _, _ := strings.Cut(line, "#")
 		if words := strings.Fields(statement); len(words) > 0 {
-			p.statement(words)
+			p.parseStatement(words)
 		}
 	}
 	p.check()
@@ -30,12 +30,12 @@
 	findings []error
 }
 
-func (p *parser) report(line int, format string, arguments ...any) {
-	place := fmt.Sprintf("%s:%d: ", p.chart.file, line)
-	p.findings = append(p.findings, fmt.Errorf(place+format, arguments...))
+func (p *parser) addFinding(line int, format string, arguments ...any) {
+	position := fmt.Sprintf("%s:%d: ", p.chart.file, line)
+	p.findings = append(p.findings, fmt.Errorf(position+format, arguments...))
 }
 
-func (p *parser) statement(words []string) {
+func (p *parser) parseStatement(words []string) {
 	switch {
 	case words[0] == "chart" && len(words) == 2:
 		p.chart.Name = words[1]
@@ -43,56 +43,56 @@
 		p.declare("state", &p.chart.states, words[1])
 	case words[0] == "state" && len(words) == 3 && words[2] == "initial":
 		p.declare("state", &p.chart.states, words[1])
-		p.initial(words[1])
+		p.setInitial(words[1])
 	case words[0] == "event" && len(words) == 2:
 		p.declare("event", &p.chart.events, words[1])
 	case words[0] == "action" && len(words) == 2:
 		p.declare("action", &p.chart.actions, words[1])
 	case words[0] == "on":
-		p.transition(words)
+		p.parseTransition(words)
 	default:
-		p.report(p.line, "statement %q is not understood", strings.Join(words, " "))
+		p.addFinding(p.line, "unknown statement %q", strings.Join(words, " "))
 	}
 }
 
 func (p *parser) declare(kind string, list *[]declaration, name string) {
 	for _, earlier := range *list {
 		if earlier.name == name {
-			p.report(p.line, "%s %q is declared twice, first on line %d", kind, name, earlier.line)
+			p.addFinding(p.line, "%s %q is declared twice, first on line %d", kind, name, earlier.line)
 			return
 		}
 	}
 	*list = append(*list, declaration{name: name, line: p.line})
 }
 
-func (p *parser) initial(name string) {
+func (p *parser) setInitial(name string) {
 	if p.chart.Initial != "" {
-		p.report(p.line, "second initial state %q; the first is %q", name, p.chart.Initial)
+		p.addFinding(p.line, "second initial state %q; the first is %q", name, p.chart.Initial)
 		return
 	}
 	p.chart.Initial = name
 }
 
-// transition reads "on STATE EVENT -> STATE [do ACTION]".
-func (p *parser) transition(words []string) {
+// parseTransition parses "on STATE EVENT -> STATE [do ACTION]".
+func (p *parser) parseTransition(words []string) {
 	withAction := len(words) == 7 && words[5] == "do"
 	if (len(words) != 5 && !withAction) || words[3] != "->" {
-		p.report(p.line, "a transition reads: on STATE EVENT -> STATE [do ACTION]")
+		p.addFinding(p.line, "invalid transition, want: on STATE EVENT -> STATE [do ACTION]")
 		return
 	}
-	found := transition{from: words[1], event: words[2], to: words[4], line: p.line}
+	parsed := transition{from: words[1], event: words[2], to: words[4], line: p.line}
 	if withAction {
-		found.action = words[6]
+		parsed.action = words[6]
 	}
-	p.chart.transitions = append(p.chart.transitions, found)
+	p.chart.transitions = append(p.chart.transitions, parsed)
 }
 
 func (p *parser) check() {
 	if p.chart.Name == "" {
-		p.report(1, "no chart statement")
+		p.addFinding(1, "no chart statement")
 	}
 	if p.chart.Initial == "" {
-		p.report(1, "no initial state")
+		p.addFinding(1, "no initial state")
 	}
 	p.checkTransitions()
 	p.checkReachable()
@@ -104,15 +104,15 @@
 	usedEvents := map[string]bool{}
 	usedActions := map[string]bool{}
 	for _, t := range p.chart.transitions {
-		p.known("state", p.chart.states, t.from, t.line)
-		p.known("event", p.chart.events, t.event, t.line)
-		p.known("state", p.chart.states, t.to, t.line)
+		p.checkDeclared("state", p.chart.states, t.from, t.line)
+		p.checkDeclared("event", p.chart.events, t.event, t.line)
+		p.checkDeclared("state", p.chart.states, t.to, t.line)
 		if t.action != "" {
-			p.known("action", p.chart.actions, t.action, t.line)
+			p.checkDeclared("action", p.chart.actions, t.action, t.line)
 		}
 		key := pair{t.from, t.event}
-		if line, twice := first[key]; twice {
-			p.report(t.line, "second transition for state %q and event %q; the first is on line %d", t.from, t.event, line)
+		if line, duplicate := first[key]; duplicate {
+			p.addFinding(t.line, "second transition for state %q and event %q; the first is on line %d", t.from, t.event, line)
 		} else {
 			first[key] = t.line
 		}
@@ -123,19 +123,19 @@
 	p.checkUsed("action", p.chart.actions, usedActions)
 }
 
-func (p *parser) known(kind string, list []declaration, name string, line int) {
+func (p *parser) checkDeclared(kind string, list []declaration, name string, line int) {
 	for _, d := range list {
 		if d.name == name {
 			return
 		}
 	}
-	p.report(line, "unknown %s %q", kind, name)
+	p.addFinding(line, "unknown %s %q", kind, name)
 }
 
 func (p *parser) checkUsed(kind string, list []declaration, used map[string]bool) {
 	for _, d := range list {
 		if !used[d.name] {
-			p.report(d.line, "%s %q is never used", kind, d.name)
+			p.addFinding(d.line, "%s %q is never used", kind, d.name)
 		}
 	}
 }
@@ -145,18 +145,18 @@
 		return
 	}
 	reached := map[string]bool{p.chart.Initial: true}
-	for grown := true; grown; {
-		grown = false
+	for changed := true; changed; {
+		changed = false
 		for _, t := range p.chart.transitions {
 			if reached[t.from] && !reached[t.to] {
 				reached[t.to] = true
-				grown = true
+				changed = true
 			}
 		}
 	}
 	for _, d := range p.chart.states {
 		if !reached[d.name] {
-			p.report(d.line, "state %q is unreachable", d.name)
+			p.addFinding(d.line, "state %q is unreachable", d.name)
 		}
 	}
 }
--- a/internal/statechart/statechart.go
+++ b/internal/statechart/statechart.go
@@ -1,8 +1,9 @@
-// Package statechart loads state charts from text files, checks them and
-// compiles them to tables that the code interprets.
+// Package statechart parses state charts from text files, validates them and
+// compiles them to transition tables.
 //
-// A chart is flat: states, events, and at most one transition for a state and
-// an event. One statement stands on a line; '#' begins a comment:
+// A chart is flat: it has states, events, and at most one transition for each
+// pair of a state and an event. There is one statement per line; '#' begins a
+// comment:
 //
 //	chart replica
 //	state follower initial
@@ -11,9 +12,9 @@
 //	action begin_leading
 //	on follower vote_won -> leader do begin_leading
 //
-// Parse reports every finding with its file and line, joined in one error.
-// Bind then ties the names of the chart to the constants of the code and
-// refuses a chart that names more, or fewer, than the code knows.
+// Parse reports all findings in one error, each with its file and line. Bind maps
+// the names in the chart to constants in the code, and fails unless both have the
+// same names.
 package statechart
 
 import (
@@ -22,22 +23,21 @@
 	"fmt"
 )
 
-// State is the position of a state in the list given to Bind.
+// State is the index of a state in the list given to Bind.
 type State uint8
 
-// Event is the position of an event in the list given to Bind.
+// Event is the index of an event in the list given to Bind.
 type Event uint8
 
-// Action is one more than the position of an action in the list given to
-// Bind.
+// Action is one more than the index of an action in the list given to Bind.
 type Action uint8
 
 // NoAction is the action of a transition without "do".
 const NoAction Action = 0
 
-// Chart is a parsed and checked chart.
+// Chart is a parsed and validated chart.
 type Chart struct {
-	// Name as given by the "chart" statement.
+	// Name is the argument of the "chart" statement.
 	Name string
 	// Initial is the name of the initial state.
 	Initial     string
@@ -58,7 +58,7 @@
 	line                    int
 }
 
-type cell struct {
+type tableEntry struct {
 	next    State
 	action  Action
 	defined bool
@@ -68,11 +68,11 @@
 type Table struct {
 	initial State
 	events  int
-	cells   []cell
+	entries []tableEntry
 }
 
-// MustLoad parses an embedded chart and panics on any finding: a chart is part
-// of the program.
+// MustLoad parses an embedded chart. It panics on any error, because an invalid
+// chart is a fault in the program itself.
 func MustLoad(files embed.FS, file string) *Chart {
 	text, err := files.ReadFile(file)
 	if err != nil {
@@ -85,8 +85,8 @@
 	return chart
 }
 
-// Bind compiles the chart. The lists hold the names in the order of the code's
-// constants; a name missing on either side is a finding.
+// Bind compiles the chart. The lists hold the names in the order of the constants
+// in the code. A name that only the chart or only a list has is an error.
 func (c *Chart) Bind(states, events, actions []string) (*Table, error) {
 	err := errors.Join(
 		c.compareNames("state", c.states, states),
@@ -96,25 +96,26 @@
 	if err != nil {
 		return nil, err
 	}
-	stateIndex := indexOf(states)
-	eventIndex := indexOf(events)
-	actionIndex := indexOf(actions)
+	stateIndex := indexByName(states)
+	eventIndex := indexByName(events)
+	actionIndex := indexByName(actions)
 	table := &Table{
 		initial: State(stateIndex[c.Initial]),
 		events:  len(events),
-		cells:   make([]cell, len(states)*len(events)),
+		entries: make([]tableEntry, len(states)*len(events)),
 	}
 	for _, t := range c.transitions {
-		filled := cell{next: State(stateIndex[t.to]), defined: true}
+		entry := tableEntry{next: State(stateIndex[t.to]), defined: true}
 		if t.action != "" {
-			filled.action = Action(actionIndex[t.action] + 1)
+			entry.action = Action(actionIndex[t.action] + 1)
 		}
-		table.cells[stateIndex[t.from]*len(events)+eventIndex[t.event]] = filled
+		table.entries[stateIndex[t.from]*len(events)+eventIndex[t.event]] = entry
 	}
 	return table, nil
 }
 
-// MustBind is Bind for package variables; it panics on a finding.
+// MustBind is like Bind but panics on an error. It is meant for package
+// variables.
 func (c *Chart) MustBind(states, events, actions []string) *Table {
 	table, err := c.Bind(states, events, actions)
 	if err != nil {
@@ -126,24 +127,26 @@
 // Initial returns the initial state.
 func (t *Table) Initial() State { return t.initial }
 
-// Next returns the state after event e in state s and the action to take. It
-// returns ok false, and s unchanged, where the chart has no such transition.
+// Next returns the state after event e in state s, and the action to take. If the
+// chart has no such transition, it returns s and ok is false.
 func (t *Table) Next(s State, e Event) (next State, action Action, ok bool) {
-	found := t.cells[int(s)*t.events+int(e)]
-	if !found.defined {
+	entry := t.entries[int(s)*t.events+int(e)]
+	if !entry.defined {
 		return s, NoAction, false
 	}
-	return found.next, found.action, true
+	return entry.next, entry.action, true
 }
 
+// compareNames reports the names that are only declared in the chart or only
+// used in the code.
 func (c *Chart) compareNames(kind string, declared []declaration, used []string) error {
 	var findings []error
-	inCode := indexOf(used)
+	inCode := indexByName(used)
 	inChart := make(map[string]bool, len(declared))
 	for _, d := range declared {
 		inChart[d.name] = true
 		if _, ok := inCode[d.name]; !ok {
-			findings = append(findings, fmt.Errorf("%s:%d: %s %q is unknown to the code", c.file, d.line, kind, d.name))
+			findings = append(findings, fmt.Errorf("%s:%d: %s %q is not defined in the code", c.file, d.line, kind, d.name))
 		}
 	}
 	for _, name := range used {
@@ -154,10 +157,10 @@
 	return errors.Join(findings...)
 }
 
-func indexOf(names []string) map[string]int {
-	index := make(map[string]int, len(names))
-	for position, name := range names {
-		index[name] = position
+func indexByName(names []string) map[string]int {
+	indexes := make(map[string]int, len(names))
+	for index, name := range names {
+		indexes[name] = index
 	}
-	return index
+	return indexes
 }
--- a/internal/statechart/statechart_test.go
+++ b/internal/statechart/statechart_test.go
@@ -40,7 +40,7 @@
 	assert.Equal(t, next, State(1))
 }
 
-func TestParseReportsEveryFindingWithItsPlace(t *testing.T) {
+func TestParseReportsEveryErrorWithItsPosition(t *testing.T) {
 	text := `chart broken
 state a initial
 state b
@@ -65,7 +65,7 @@
 		`broken.chart:10: unknown event "stop"`,
 		`broken.chart:11: unknown state "nowhere"`,
 		`broken.chart:11: unknown action "dance"`,
-		`broken.chart:12: statement "jump a" is not understood`,
+		`broken.chart:12: unknown statement "jump a"`,
 		`broken.chart:13: state "b" is declared twice, first on line 3`,
 		`broken.chart:14: second initial state "c"; the first is "a"`,
 	} {
@@ -73,16 +73,16 @@
 	}
 }
 
-func TestParseNeedsAnInitialState(t *testing.T) {
+func TestParseRequiresAnInitialState(t *testing.T) {
 	_, err := Parse("x.chart", []byte("chart x\nstate a\n"))
 	assert.ErrorContains(t, err, "no initial state")
 }
 
-func TestBindNeedsTheSameNamesOnBothSides(t *testing.T) {
+func TestBindRequiresTheSameNamesInChartAndCode(t *testing.T) {
 	chart, err := Parse("door.chart", []byte(door))
 	assert.NilError(t, err)
 	_, err = chart.Bind([]string{"open", "closed", "ajar"}, []string{"push"}, []string{"ring"})
 	assert.ErrorContains(t, err, `state "ajar" of the code is not in the chart`)
-	assert.ErrorContains(t, err, `door.chart:5: event "pull" is unknown to the code`)
+	assert.ErrorContains(t, err, `door.chart:5: event "pull" is not defined in the code`)
 	assert.Equal(t, len(strings.Split(err.Error(), "\n")), 2)
 }
