--- a/internal/command/agent.go
+++ b/internal/command/agent.go
@@ -9,14 +9,15 @@
 	"github.com/quartzdock/quartzdock/internal/transport"
 )
 
-// noWarmConnections is what the agent takes for "keep none".
-const noWarmConnections = -1
+// keepNoWarmConnections is the value of agent.Config.WarmConnections that keeps
+// none; zero selects the agent's default there.
+const keepNoWarmConnections = -1
 
 // runAgent runs the agent role.
 func runAgent(ctx context.Context, p *process, config *settings.Agent) error {
 	warm := config.WarmConnections
 	if warm == 0 {
-		warm = noWarmConnections
+		warm = keepNoWarmConnections
 	}
 	a, err := agent.New(agent.Config{
 		Name:            config.Name,
@@ -27,9 +28,9 @@
 		Advertise:       config.RequestAdvertise,
 		DataFolder:      config.DataFolder,
 		BackendAddress:  config.BackendAddress,
-		ServerTLS:       p.certificates.links(),
-		ClientTLS:       p.certificates.links(),
-		Transport:       transport.Options{TLS: p.certificates.links()},
+		ServerTLS:       p.certificates.linkTLS(),
+		ClientTLS:       p.certificates.linkTLS(),
+		Transport:       transport.Options{TLS: p.certificates.linkTLS()},
 		MaxBodyBytes:    int64(config.MaximumBodyBytes),
 		MaxHeaderBytes:  config.MaximumHeaderBytes,
 		HeaderTimeout:   config.HeaderTimeout,
--- a/internal/command/certificates.go
+++ b/internal/command/certificates.go
@@ -14,19 +14,19 @@
 	"github.com/quartzdock/quartzdock/internal/tlsconfig"
 )
 
-// certificates holds the certificate stores of a process and rereads them.
+// certificates holds the certificate stores of a process and reloads them.
 type certificates struct {
 	settings *settings.TLS
 	registry prometheus.Registerer
 	log      *slog.Logger
-	// fleet is that of internal links and operators; nil is without TLS.
+	// fleet is the store for internal connections and operators; nil without TLS.
 	fleet *tlsconfig.Store
 
 	mutex  sync.Mutex
 	stores []*tlsconfig.Store
 }
 
-// openFleet reads the certificates of internal links, if TLS is on.
+// openFleet loads the certificates of internal connections if TLS is enabled.
 func (c *certificates) openFleet() error {
 	if !c.settings.Enabled() {
 		return nil
@@ -41,7 +41,7 @@
 	return err
 }
 
-// open reads certificate files, which are reread from then on.
+// open loads certificate files and registers them for reloading.
 func (c *certificates) open(name string, files tlsconfig.Files) (*tlsconfig.Store, error) {
 	store, err := tlsconfig.Open(tlsconfig.Config{
 		Name:       name,
@@ -51,7 +51,7 @@
 		Log:        c.log,
 	})
 	if err != nil {
-		return nil, fmt.Errorf("certificates of %s: %w", name, err)
+		return nil, fmt.Errorf("load certificates for %s: %w", name, err)
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -59,34 +59,34 @@
 	return store, nil
 }
 
-// links returns the configuration of links between processes, for both sides;
-// nil is plain.
-func (c *certificates) links() *tls.Config {
+// linkTLS returns the configuration of both sides of connections between
+// processes; nil without TLS.
+func (c *certificates) linkTLS() *tls.Config {
 	if c.fleet == nil {
 		return nil
 	}
 	return c.fleet.Link()
 }
 
-// operators returns the configuration of the operators' listener; nil is
-// plain.
-func (c *certificates) operators() *tls.Config {
+// operatorTLS returns the configuration of the listener for operators; nil
+// without TLS.
+func (c *certificates) operatorTLS() *tls.Config {
 	if c.fleet == nil {
 		return nil
 	}
 	return c.fleet.Operators()
 }
 
-// monitoring returns the configuration of the listener for monitoring; nil is
-// plain.
-func (c *certificates) monitoring() *tls.Config {
+// monitoringTLS returns the configuration of the listener for monitoring; nil
+// without TLS.
+func (c *certificates) monitoringTLS() *tls.Config {
 	if c.fleet == nil {
 		return nil
 	}
 	return c.fleet.Server()
 }
 
-// reloadAtInterval rereads all files until the context ends.
+// reloadAtInterval reloads all files periodically until the context ends.
 func (c *certificates) reloadAtInterval(ctx context.Context) {
 	ticker := time.NewTicker(c.settings.ReloadInterval)
 	defer ticker.Stop()
@@ -100,8 +100,8 @@
 	}
 }
 
-// reload rereads all files. What can't be used is logged and counted by its
-// store, and the previous certificates stay in force.
+// reload reloads all files. A store logs and counts files that it cannot use, and
+// keeps its previous certificates.
 func (c *certificates) reload() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -16,12 +16,12 @@
 
 // Exit statuses.
 const (
-	exitDone    = 0
+	exitSuccess = 0
 	exitFailure = 1
 	exitUsage   = 2
 )
 
-// errUsage marks errors of the operator's input.
+// errUsage marks errors in the command line.
 var errUsage = errors.New("usage")
 
 // Main parses arguments and environment, runs the selected command and
@@ -29,10 +29,10 @@
 func Main(ctx context.Context, arguments []string, out, errOut io.Writer) int {
 	root := newRoot(out, errOut)
 	err := root.ParseAndRun(ctx, arguments, ff.WithEnvVarPrefix(settings.EnvironmentPrefix))
-	return report(root, err, errOut)
+	return reportError(root, err, errOut)
 }
 
-// newRoot returns the command tree.
+// newRoot returns the root of the command tree.
 func newRoot(out, errOut io.Writer) *ff.Command {
 	root := &ff.Command{
 		Name:      "quartzdock",
@@ -44,7 +44,7 @@
 	return root
 }
 
-// versionCommand prints the build's revision.
+// versionCommand returns the command that prints the build's revision.
 func versionCommand(out io.Writer) *ff.Command {
 	return &ff.Command{
 		Name:      "version",
@@ -57,20 +57,20 @@
 	}
 }
 
-// report prints an error and returns the exit status.
-func report(root *ff.Command, err error, errOut io.Writer) int {
+// reportError prints an error and returns the exit status.
+func reportError(root *ff.Command, err error, errOut io.Writer) int {
 	var findings settings.Findings
 	switch {
 	case err == nil:
-		return exitDone
+		return exitSuccess
 	case errors.Is(err, ff.ErrHelp):
 		fmt.Fprintln(errOut, ffhelp.Command(root.GetSelected()))
-		return exitDone
+		return exitSuccess
 	case errors.As(err, &findings):
 		fmt.Fprintln(errOut, findings.Error())
 		fmt.Fprintf(errOut, "%d finding(s); nothing was started\n", len(findings))
 		return exitUsage
-	case isUsage(err):
+	case isUsageError(err):
 		fmt.Fprintln(errOut, ffhelp.Command(root.GetSelected()))
 		fmt.Fprintln(errOut, "error:", err)
 		return exitUsage
@@ -80,10 +80,10 @@
 	}
 }
 
-// isUsage says whether an error is about the arguments.
-func isUsage(err error) bool {
-	for _, usage := range []error{errUsage, admin.ErrUsage, ff.ErrUnknownFlag, ff.ErrNoExec, ff.ErrDuplicateFlag} {
-		if errors.Is(err, usage) {
+// isUsageError reports whether an error was caused by the command line.
+func isUsageError(err error) bool {
+	for _, target := range []error{errUsage, admin.ErrUsage, ff.ErrUnknownFlag, ff.ErrNoExec, ff.ErrDuplicateFlag} {
+		if errors.Is(err, target) {
 			return true
 		}
 	}
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -13,10 +13,11 @@
 	"github.com/quartzdock/quartzdock/internal/command"
 )
 
-// exitFindings is the status for settings or arguments that can't be used.
-const exitFindings = 2
+// exitUsage is the exit status for invalid settings or arguments.
+const exitUsage = 2
 
-// run returns the status and both outputs of a command.
+// run runs a command and returns its exit status, standard output and standard
+// error.
 func run(t *testing.T, arguments ...string) (status int, out, errOut string) {
 	t.Helper()
 	var output, errors bytes.Buffer
@@ -24,7 +25,7 @@
 	return status, output.String(), errors.String()
 }
 
-func TestCheckAcceptsTheExamples(t *testing.T) {
+func TestCheckAcceptsExamples(t *testing.T) {
 	for _, role := range []string{"controller", "agent", "router"} {
 		example := filepath.Join("..", "..", "examples", role+".yaml")
 		status, out, errOut := run(t, role, "--config", example, "--check")
@@ -33,20 +34,20 @@
 	}
 }
 
-// TestFindingsOfAllSourcesEndWithStatusTwo: from the file, a flag and the
-// environment together; nothing is started.
-func TestFindingsOfAllSourcesEndWithStatusTwo(t *testing.T) {
+// TestInvalidSettingsOfAllSourcesAreReported checks that mistakes in the file, a
+// flag and the environment are reported together, and that nothing is started.
+func TestInvalidSettingsOfAllSourcesAreReported(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "router.yaml")
 	assert.NilError(t, os.WriteFile(file, []byte("name: x\nnmae: y\nlocation: {region: r}\n"), 0o600))
 	t.Setenv("QUARTZDOCK_STOP_TIMEOUT", "soon")
 	status, _, errOut := run(t, "router", "--config", file, "--log.level", "loud")
-	assert.Equal(t, status, exitFindings)
+	assert.Equal(t, status, exitUsage)
 	for _, part := range []string{file + ":2:1: nmae", "location.zone", "QUARTZDOCK_STOP_TIMEOUT", "log.level", "nothing was started"} {
 		assert.Assert(t, strings.Contains(errOut, part), "%q is missing in:\n%s", part, errOut)
 	}
 }
 
-func TestUnknownSubcommandEndsWithStatusTwo(t *testing.T) {
+func TestUnknownSubcommandIsAUsageError(t *testing.T) {
 	status, _, errOut := run(t, "controler")
-	assert.Equal(t, status, exitFindings, errOut)
+	assert.Equal(t, status, exitUsage, errOut)
 }
--- a/internal/command/controller.go
+++ b/internal/command/controller.go
@@ -21,8 +21,8 @@
 		LeaseDuration:    config.LeaseDuration,
 		RenewInterval:    config.RenewInterval,
 		MachineListURL:   config.MachineList,
-		LinkTLS:          p.certificates.links(),
-		OperatorTLS:      p.certificates.operators(),
+		LinkTLS:          p.certificates.linkTLS(),
+		OperatorTLS:      p.certificates.operatorTLS(),
 		Registerer:       p.registry,
 		Log:              p.log,
 		Replicate:        controller.ReplicateOn(replicaConfig(p, config)),
@@ -47,7 +47,7 @@
 		DataDir: config.DataFolder,
 		Peers:   peers,
 		Listen:  config.PeerListen,
-		TLS:     p.certificates.links(),
+		TLS:     p.certificates.linkTLS(),
 		Logger:  p.log,
 	}
 }
--- a/internal/command/doc.go
+++ b/internal/command/doc.go
@@ -1,5 +1,5 @@
-// Package command is the command tree of the quartzdock binary: one
-// subcommand per role, and admin. A role's subcommand loads settings, starts
-// what all roles share (log, metrics, certificates, monitoring listener,
-// signals) and hands over to the role's package.
+// Package command implements the command line of the quartzdock binary: one
+// subcommand per role, and the tools for operators. The subcommand of a role loads
+// the settings, sets up what all roles share (log, metrics, certificates,
+// monitoring listener, signals) and runs the role's package.
 package command
--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -11,18 +11,19 @@
 	"github.com/quartzdock/quartzdock/internal/requesthistory"
 )
 
-// leastExplainArguments are a request id and one log.
-const leastExplainArguments = 2
+// minExplainArguments counts a request id and one log file.
+const minExplainArguments = 2
 
-// explainCommand tells from log files what became of a request.
+// explainCommand returns the command that reconstructs the history of a request
+// from log files.
 func explainCommand(out io.Writer) *ff.Command {
 	return &ff.Command{
 		Name:      "explain-request",
 		Usage:     "quartzdock explain-request REQUEST-ID LOG-FILE ...",
 		ShortHelp: "tell from the logs of several processes what became of a request, and why",
 		Exec: func(_ context.Context, arguments []string) error {
-			if len(arguments) < leastExplainArguments {
-				return fmt.Errorf("%w: a request id and at least one log file", errUsage)
+			if len(arguments) < minExplainArguments {
+				return fmt.Errorf("%w: want a request id and at least one log file", errUsage)
 			}
 			var lines []requesthistory.Line
 			for _, path := range arguments[1:] {
--- a/internal/command/process.go
+++ b/internal/command/process.go
@@ -16,10 +16,10 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// errStarting is what /readyz answers until the role reports itself.
+// errStarting is the error of /readyz until the role has set its readiness check.
 var errStarting = errors.New("starting")
 
-// process is what every role runs in.
+// process holds what all roles share.
 type process struct {
 	settings     *settings.Process
 	log          *slog.Logger
@@ -29,7 +29,7 @@
 	ready        atomic.Pointer[func() error]
 }
 
-// newProcess starts the log and the metrics and reads the certificates.
+// newProcess sets up the log and the metrics and loads the certificates.
 func newProcess(role string, common *settings.Process, logOut io.Writer) (*process, error) {
 	level := new(slog.LevelVar)
 	if err := ops.SetLevel(level, common.Log.Level); err != nil {
@@ -46,19 +46,20 @@
 	return p, p.certificates.openFleet()
 }
 
-// group returns the group of controllers that the process belongs to.
+// group returns the controller group that the process belongs to.
 func (p *process) group() topology.GroupID { return topology.GroupID(p.settings.Group) }
 
-// setReady replaces what /readyz asks.
+// setReady sets the readiness check of /readyz.
 func (p *process) setReady(ready func() error) { p.ready.Store(&ready) }
 
-// run serves monitoring and the role until a planned stop. The listener for
-// monitoring stays until the role has ended, so that a stop can be watched.
+// run serves monitoring and runs the role until a planned stop. The listener for
+// monitoring stays open until the role has ended, so that the shutdown can be
+// observed.
 func (p *process) run(ctx context.Context, work func(context.Context) error, reload func()) error {
 	server, err := ops.StartServer(ops.ServerConfig{
 		Listen:   p.settings.Ops.Listen,
 		Pprof:    p.settings.Ops.Pprof,
-		TLS:      p.certificates.monitoring(),
+		TLS:      p.certificates.monitoringTLS(),
 		Registry: p.registry,
 		Ready:    func() error { return (*p.ready.Load())() },
 		Log:      p.log,
@@ -79,14 +80,14 @@
 	return errors.Join(err, stopMonitoring(server))
 }
 
-// monitoringStop bounds the wait for the listener for monitoring at the end of a
-// process. A scrape takes less; a profile may last for minutes.
-const monitoringStop = time.Second
+// monitoringStopTimeout limits how long the end of a process waits for requests
+// for monitoring. A scrape takes less; a profile may take minutes.
+const monitoringStopTimeout = time.Second
 
-// stopMonitoring ends the listener for monitoring. A request that is cut off is
-// no failure of the process.
+// stopMonitoring closes the listener for monitoring. A request that is still
+// running at the timeout is not an error of the process.
 func stopMonitoring(server *ops.Server) error {
-	ctx, cancel := context.WithTimeout(context.Background(), monitoringStop)
+	ctx, cancel := context.WithTimeout(context.Background(), monitoringStopTimeout)
 	defer cancel()
 	if err := server.Stop(ctx); !errors.Is(err, context.DeadlineExceeded) {
 		return err
--- a/internal/command/role.go
+++ b/internal/command/role.go
@@ -15,7 +15,7 @@
 type roleSettings[T any] interface {
 	*T
 	settings.Schema
-	// Common returns what all roles have.
+	// Common returns the settings that all roles share.
 	Common() *settings.Process
 }
 
@@ -23,7 +23,7 @@
 type role[T any, S roleSettings[T]] struct {
 	name      string
 	shortHelp string
-	// run does the role's work until the context ends.
+	// run runs the role until the context ends.
 	run func(context.Context, *process, S) error
 }
 
@@ -44,11 +44,11 @@
 	}
 }
 
-// exec loads the settings and runs the role, or only checks.
+// exec loads the settings and runs the role; with --check it only validates them.
 func (r role[T, S]) exec(ctx context.Context, overrides *settings.Overrides, out, errOut io.Writer) error {
 	loader := &settings.Loader{File: overrides.Config, Overrides: overrides}
 	loaded := S(new(T))
-	inForce, err := loader.Load(loaded)
+	current, err := loader.Load(loaded)
 	if err != nil {
 		return err
 	}
@@ -60,23 +60,23 @@
 	if err != nil {
 		return err
 	}
-	reload := func() { r.reload(p, loader, inForce) }
+	reload := func() { r.reload(p, loader, current) }
 	work := func(ctx context.Context) error { return r.run(ctx, p, loaded) }
 	return p.run(ctx, work, reload)
 }
 
-// reload rereads the settings and certificates at SIGHUP.
-func (r role[T, S]) reload(p *process, loader *settings.Loader, inForce *settings.FieldSet) {
+// reload reloads the settings and the certificates on SIGHUP.
+func (r role[T, S]) reload(p *process, loader *settings.Loader, current *settings.FieldSet) {
 	p.certificates.reload()
 	loaded := S(new(T))
 	fields, err := loader.Load(loaded)
 	if err != nil {
-		p.log.Error("settings refused; the previous ones stay in force", "findings", err)
+		p.log.Error("reload of settings failed, keeping the previous ones", "findings", err)
 		return
 	}
-	changed, needRestart := inForce.Adopt(fields)
+	changed, needRestart := current.Adopt(fields)
 	if err := ops.SetLevel(p.level, loaded.Common().Log.Level); err != nil {
-		p.log.Error("log level not changed", "error", err)
+		p.log.Error("failed to change the log level", "error", err)
 	}
-	p.log.Info("settings reread", "changed", changed, "need_restart", needRestart)
+	p.log.Info("settings reloaded", "changed", changed, "need_restart", needRestart)
 }
--- a/internal/command/router.go
+++ b/internal/command/router.go
@@ -23,8 +23,8 @@
 		Location:           config.Location(),
 		Listen:             config.Listen,
 		CallerTLS:          callerTLS,
-		AgentTLS:           p.certificates.links(),
-		ControllerTLS:      p.certificates.links(),
+		AgentTLS:           p.certificates.linkTLS(),
+		ControllerTLS:      p.certificates.linkTLS(),
 		Controllers:        config.Controllers,
 		DefaultTimeout:     config.DefaultTimeout,
 		HeaderTimeout:      config.HeaderTimeout,
@@ -53,23 +53,24 @@
 }
 
 const (
-	// routerEnd is kept of stop-timeout for what a router does after its drain: it
-	// counts what was cut off and closes its connections. An assumption: that
-	// takes milliseconds.
-	routerEnd = 500 * time.Millisecond
-	// routerEndShare is the largest part of the time after drain-delay that is
-	// kept, as 1 of routerEndShare.
-	routerEndShare = 4
+	// routerShutdownReserve is the part of stop-timeout that is reserved for the
+	// end of a router after its drain, in which it counts the interrupted requests
+	// and closes its connections. This is assumed to take milliseconds.
+	routerShutdownReserve = 500 * time.Millisecond
+	// routerReserveDivisor limits the reserve to 1/routerReserveDivisor of the time
+	// that is left after drain-delay.
+	routerReserveDivisor = 4
 )
 
-// drainLimit is how long a planned stop may wait for requests after DrainDelay.
+// drainLimit returns how long a planned stop may wait for running requests after
+// drainDelay.
 func drainLimit(stopTimeout, drainDelay time.Duration) time.Duration {
-	left := stopTimeout - drainDelay
-	return left - min(routerEnd, left/routerEndShare)
+	remaining := stopTimeout - drainDelay
+	return remaining - min(routerShutdownReserve, remaining/routerReserveDivisor)
 }
 
-// callerTLS returns the configuration of the callers' listener; nil is plain
-// HTTP. Its files are reread with the others.
+// callerTLS returns the configuration of the listener for callers; nil means plain
+// HTTP. Its files are reloaded with the others.
 func callerTLS(p *process, config *settings.Router) (*tls.Config, error) {
 	if config.CallerCertificateFile == "" {
 		return nil, nil
--- a/internal/command/tls_test.go
+++ b/internal/command/tls_test.go
@@ -69,7 +69,7 @@
 	return path
 }
 
-// output is written by a process and read by the test.
+// output is a buffer that a process writes while the test reads it.
 type output struct {
 	mutex  sync.Mutex
 	buffer bytes.Buffer
@@ -87,14 +87,14 @@
 	return o.buffer.String()
 }
 
-// roleUnderTLS is a role with the addresses that want a fleet's certificate.
-type roleUnderTLS struct {
+// tlsRole is a role with the listeners that require a certificate of the fleet.
+type tlsRole struct {
 	role, settings string
 	listeners      []string
 }
 
-// Addresses of this test's processes alone.
-var rolesUnderTLS = []roleUnderTLS{
+// The addresses are used by no other test.
+var tlsRoles = []tlsRole{
 	{
 		role: "controller",
 		settings: `replica-id: 1
@@ -117,16 +117,16 @@
 	},
 }
 
-// TestListenersOfEachRoleRefuseWrongCertificates starts each role whole and
-// dials its listeners with certificates that are right, of a stranger, expired,
-// of a name that is not accepted, and none.
-func TestListenersOfEachRoleRefuseWrongCertificates(t *testing.T) {
-	fleet, stranger := newAuthority(t), newAuthority(t)
+// TestListenersRejectInvalidClientCertificates starts the complete process of each
+// role and dials its listeners with a valid certificate, with one of an unknown
+// authority, an expired one, one with a wrong name, and without a certificate.
+func TestListenersRejectInvalidClientCertificates(t *testing.T) {
+	fleet, unknown := newAuthority(t), newAuthority(t)
 	address := net.IPv4(127, 91, 7, 1)
 	later, earlier := time.Now().Add(time.Hour), time.Now().Add(-time.Hour)
-	for _, tested := range rolesUnderTLS {
+	for _, tested := range tlsRoles {
 		t.Run(tested.role, func(t *testing.T) {
-			log := startUnderTLS(t, tested, fleet, fleet.sign(t, "quartzdock", address, later))
+			log := startWithTLS(t, tested, fleet, fleet.sign(t, "quartzdock", address, later))
 			for _, listener := range tested.listeners {
 				poll.WaitOn(t, func(poll.LogT) poll.Result {
 					if refusal := dial(listener, fleet, fleet.sign(t, "quartzdock", address, later)); refusal != nil {
@@ -135,16 +135,16 @@
 					return poll.Success()
 				}, poll.WithTimeout(10*time.Second))
 				for name, wrong := range map[string]tls.Certificate{
-					"unknown-authority": stranger.sign(t, "quartzdock", address, later),
+					"unknown-authority": unknown.sign(t, "quartzdock", address, later),
 					"expired":           fleet.sign(t, "quartzdock", address, earlier),
 					"wrong-name":        fleet.sign(t, "map", address, later),
 					"no-certificate":    {},
 				} {
 					isRPC := strings.HasSuffix(listener, ":7103")
 					if isRPC && name == "wrong-name" {
-						continue // operators are known by their authority
+						continue // operators are identified by their authority only
 					}
-					assert.Assert(t, dial(listener, fleet, wrong) != nil, "%s took a certificate: %s", listener, name)
+					assert.Assert(t, dial(listener, fleet, wrong) != nil, "%s accepted an invalid client: %s", listener, name)
 					poll.WaitOn(t, func(poll.LogT) poll.Result {
 						if strings.Contains(log.String(), "reason="+name) {
 							return poll.Success()
@@ -157,7 +157,7 @@
 	}
 }
 
-func startUnderTLS(t *testing.T, tested roleUnderTLS, fleet *authority, own tls.Certificate) *output {
+func startWithTLS(t *testing.T, tested tlsRole, fleet *authority, own tls.Certificate) *output {
 	t.Helper()
 	folder := t.TempDir()
 	key, err := x509.MarshalPKCS8PrivateKey(own.PrivateKey)
@@ -182,9 +182,9 @@
 	return log
 }
 
-// dial returns why a listener refused a certificate, or nil. A refusal under
-// TLS 1.3 comes with the first read; a listener that waits for a request has
-// taken the certificate.
+// dial returns the error with which a listener rejected a certificate, or nil.
+// With TLS 1.3 the rejection arrives at the first read. A read that times out means
+// that the listener accepted the certificate and waits for a request.
 func dial(address string, trusted *authority, own tls.Certificate) error {
 	roots := x509.NewCertPool()
 	roots.AddCert(trusted.certificate)
