--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -8,7 +8,7 @@
 	"github.com/quartzdock/quartzdock/internal/settings"
 )
 
-// Command returns the admin command with all its subcommands.
+// Command returns the admin command with its subcommands, which print to out.
 func Command(out io.Writer) *ff.Command {
 	s := &session{overrides: settings.NewOverrides("admin", &settings.Admin{}), out: out}
 	return &ff.Command{
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -21,11 +21,11 @@
 	"github.com/quartzdock/quartzdock/api/quartzdock/v1/quartzdockv1connect"
 )
 
-// fakeController answers a few calls and keeps what it was sent.
+// fakeController answers some calls and records the requests to drain.
 type fakeController struct {
 	quartzdockv1connect.UnimplementedAdminServiceHandler
 	drains []*quartzdockv1.DrainBackendRequest
-	// drain answers DrainBackend; the argument counts from 1.
+	// drain answers DrainBackend; call is the number of the call, from 1.
 	drain func(call int) (*quartzdockv1.DrainBackendResponse, error)
 }
 
@@ -74,15 +74,15 @@
 	return server.Listener.Addr().String()
 }
 
-// run runs the command line and returns what it printed.
+// run runs a command line and returns its output.
 func run(arguments ...string) (string, error) {
 	var out bytes.Buffer
 	err := Command(&out).ParseAndRun(context.Background(), arguments)
 	return out.String(), err
 }
 
-// refusal returns an error with a detail.
-func refusal(code connect.Code, detail proto.Message) error {
+// errorWithDetail returns an RPC error with the given detail.
+func errorWithDetail(code connect.Code, detail proto.Message) error {
 	failure := connect.NewError(code, errors.New("refused"))
 	typed, err := connect.NewErrorDetail(detail)
 	if err != nil {
@@ -92,7 +92,7 @@
 	return failure
 }
 
-func TestChangeReadsRevisionAndCarriesOneRequestIDThroughResends(t *testing.T) {
+func TestChangeReadsRevisionAndRetriesWithSameRequestID(t *testing.T) {
 	controller := &fakeController{drain: func(call int) (*quartzdockv1.DrainBackendResponse, error) {
 		if call < 3 {
 			return nil, connect.NewError(connect.CodeUnavailable, errors.New("no leader"))
@@ -111,13 +111,13 @@
 	assert.Assert(t, strings.Contains(out, "it still owns 3 shard(s)"), out)
 }
 
-func TestFollowsTheLeader(t *testing.T) {
+func TestRetriesAtTheLeader(t *testing.T) {
 	leader := &fakeController{drain: func(int) (*quartzdockv1.DrainBackendResponse, error) {
 		return &quartzdockv1.DrainBackendResponse{Result: &quartzdockv1.MutationResult{Revision: 91, Repeated: true}}, nil
 	}}
 	leaderAddress := serve(t, leader)
 	follower := &fakeController{drain: func(int) (*quartzdockv1.DrainBackendResponse, error) {
-		return nil, refusal(connect.CodeUnavailable, &quartzdockv1.NotLeader{LeaderRpcAddress: leaderAddress})
+		return nil, errorWithDetail(connect.CodeUnavailable, &quartzdockv1.NotLeader{LeaderRpcAddress: leaderAddress})
 	}}
 	out, err := run("--rpc.controllers", serve(t, follower), "backend", "drain", "wayfinder", "w1", "--request-id", "r-1", "--expected-revision", "7")
 	assert.NilError(t, err)
@@ -125,45 +125,45 @@
 	assert.Equal(t, leader.drains[0].GetMutation().GetExpectedRevision(), uint64(7))
 }
 
-func TestDeadControllerIsPassedOver(t *testing.T) {
+func TestUnreachableControllerIsSkipped(t *testing.T) {
 	out, err := run("--rpc.controllers", "127.0.0.1:1,"+serve(t, &fakeController{}), "revision")
 	assert.NilError(t, err)
 	assert.Assert(t, strings.Contains(out, "configuration revision 41 by ebba"), out)
 }
 
-func TestRefusalsAreReadable(t *testing.T) {
+func TestErrorDetailsAreExplained(t *testing.T) {
 	cases := map[string]struct {
-		refusal error
-		told    []string
+		failure error
+		want    []string
 	}{
 		"violations": {
-			refusal(connect.CodeInvalidArgument, &quartzdockv1.FieldViolations{Violations: []*quartzdockv1.FieldViolation{
+			errorWithDetail(connect.CodeInvalidArgument, &quartzdockv1.FieldViolations{Violations: []*quartzdockv1.FieldViolation{
 				{Field: "name", Description: "is empty"}, {Field: "service", Description: "is unknown"}}}),
 			[]string{"nothing was changed:\n  name: is empty\n  service: is unknown"},
 		},
 		"lost race": {
-			refusal(connect.CodeAborted, &quartzdockv1.RevisionConflict{ExpectedRevision: 41, WinningRevision: 42, WinningAuthor: "nils"}),
+			errorWithDetail(connect.CodeAborted, &quartzdockv1.RevisionConflict{ExpectedRevision: 41, WinningRevision: 42, WinningAuthor: "nils"}),
 			[]string{"revision 41 was expected, but nils made revision 42 first"},
 		},
 		"reused id": {
-			refusal(connect.CodeAlreadyExists, &quartzdockv1.RequestIDReused{RequestId: "r-1", FirstRevision: 12}),
+			errorWithDetail(connect.CodeAlreadyExists, &quartzdockv1.RequestIDReused{RequestId: "r-1", FirstRevision: 12}),
 			[]string{"request id r-1 was used by an unnamed operator at revision 12"},
 		},
 		"other": {connect.NewError(connect.CodeFailedPrecondition, errors.New("it owns 3 shards")), []string{"refused (failed precondition): it owns 3 shards"}},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			controller := &fakeController{drain: func(int) (*quartzdockv1.DrainBackendResponse, error) { return nil, test.refusal }}
+			controller := &fakeController{drain: func(int) (*quartzdockv1.DrainBackendResponse, error) { return nil, test.failure }}
 			_, err := run("--rpc.controllers", serve(t, controller), "backend", "drain", "wayfinder", "w1")
-			for _, told := range test.told {
-				assert.ErrorContains(t, err, told)
+			for _, want := range test.want {
+				assert.ErrorContains(t, err, want)
 			}
-			assert.Equal(t, len(controller.drains), 1, "a refusal is not sent again")
+			assert.Equal(t, len(controller.drains), 1, "a final error must not be retried")
 		})
 	}
 }
 
-func TestUnknownOutcomeTellsHowToAskAgain(t *testing.T) {
+func TestUnknownOutcomeSuggestsRetryWithRequestID(t *testing.T) {
 	controller := &fakeController{drain: func(int) (*quartzdockv1.DrainBackendResponse, error) {
 		return nil, connect.NewError(connect.CodeUnavailable, errors.New("no leader"))
 	}}
@@ -172,7 +172,7 @@
 	assert.ErrorContains(t, err, "repeat the command with --request-id r-9")
 }
 
-func TestNotInForceEverywhereIsAFailure(t *testing.T) {
+func TestCommandFailsIfChangeIsNotInForceEverywhere(t *testing.T) {
 	controller := &fakeController{drain: func(int) (*quartzdockv1.DrainBackendResponse, error) {
 		return &quartzdockv1.DrainBackendResponse{Result: &quartzdockv1.MutationResult{Revision: 91, InForce: &quartzdockv1.InForce{
 			Revision: 91, Lagging: []*quartzdockv1.Subscriber{{Role: "router", Name: "r2", AppliedRevision: 88}}}}}, nil
@@ -183,7 +183,7 @@
 	assert.Equal(t, controller.drains[0].GetMutation().GetWaitInForce().AsDuration().String(), "3s")
 }
 
-func TestTableAndJSON(t *testing.T) {
+func TestListPrintsTableOrJSON(t *testing.T) {
 	address := serve(t, &fakeController{})
 	out, err := run("--rpc.controllers", address, "backend", "list")
 	assert.NilError(t, err)
@@ -200,7 +200,7 @@
 	assert.Equal(t, strings.Count(out, "revision 2 change"), 1, out)
 }
 
-func TestServiceFileRefusesUnknownFields(t *testing.T) {
+func TestReadServiceRejectsUnknownFields(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "service.yaml")
 	assert.NilError(t, os.WriteFile(file, []byte("name: wayfinder\nshards: 4\n"), 0o600))
 	_, err := run("service", "create", file)
@@ -208,7 +208,7 @@
 	assert.ErrorContains(t, err, `unknown field "shards"`)
 }
 
-func TestExampleServicesAreRead(t *testing.T) {
+func TestReadServiceAcceptsExamples(t *testing.T) {
 	files, err := filepath.Glob("../../examples/service-*.yaml")
 	assert.NilError(t, err)
 	assert.Assert(t, len(files) > 0)
@@ -219,7 +219,7 @@
 	}
 }
 
-// failingWriter checks that a command fails where its output can't be written.
+// failingWriter is an output that cannot be written.
 type failingWriter struct{ writes atomic.Int32 }
 
 func (w *failingWriter) Write([]byte) (int, error) {
@@ -227,7 +227,7 @@
 	return 0, errors.New("pipe closed")
 }
 
-func TestUnwritableOutputIsAFailure(t *testing.T) {
+func TestCommandFailsIfOutputCannotBeWritten(t *testing.T) {
 	out := new(failingWriter)
 	err := Command(out).ParseAndRun(context.Background(), []string{"--rpc.controllers", serve(t, &fakeController{}), "backend", "list"})
 	assert.ErrorContains(t, err, "pipe closed")
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -23,27 +23,28 @@
 // retryInterval is the wait between two attempts of one call.
 const retryInterval = 100 * time.Millisecond
 
-// Bounds of one attempt, so that a silent controller does not use up the
-// whole time of a command.
+// Timeouts of one attempt, so that a controller that does not answer cannot use up
+// the timeout of the whole command.
 const (
 	dialTimeout    = time.Second
 	attemptTimeout = 5 * time.Second
 )
 
-// Client calls the controllers, whichever of them answers or leads.
+// Client calls the controllers. It retries at another one if a controller does not
+// answer, and at the leader if a controller names it.
 type Client struct {
 	addresses []string
 	scheme    string
 	http      *http.Client
-	// next is the address of the next attempt.
-	next string
-	// turn counts attempts at the listed addresses.
-	turn int
+	// nextAddress is used for the next attempt.
+	nextAddress string
+	// attempts selects the next of addresses, in turn.
+	attempts int
 }
 
-// NewClient returns a client of the controllers in the settings.
+// NewClient returns a client for the controllers in the settings.
 func NewClient(config *settings.Admin) (*Client, error) {
-	client := &Client{addresses: config.Controllers, scheme: "http", next: config.Controllers[0]}
+	client := &Client{addresses: config.Controllers, scheme: "http", nextAddress: config.Controllers[0]}
 	transport := &http.Transport{
 		DialContext:       (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		ForceAttemptHTTP2: true,
@@ -59,7 +60,7 @@
 	return client, nil
 }
 
-// clientTLS reads the operator's certificate and the authorities.
+// clientTLS loads the operator's certificate and the certificate authorities.
 func clientTLS(config *settings.Admin) (*tls.Config, error) {
 	certificate, err := tls.LoadX509KeyPair(config.CertificateFile, config.KeyFile)
 	if err != nil {
@@ -80,17 +81,17 @@
 	}, nil
 }
 
-// service returns the stub for the address of the next attempt.
+// service returns an RPC client for the address of the next attempt.
 func (client *Client) service() quartzdockv1connect.AdminServiceClient {
-	return quartzdockv1connect.NewAdminServiceClient(client.http, client.scheme+"://"+client.next)
+	return quartzdockv1connect.NewAdminServiceClient(client.http, client.scheme+"://"+client.nextAddress)
 }
 
-// method is one call of the schema, as a method expression of the stub.
-type method[Request, Response any] func(quartzdockv1connect.AdminServiceClient, context.Context, *connect.Request[Request]) (*connect.Response[Response], error)
+// rpcMethod is a method expression of the generated RPC client.
+type rpcMethod[Request, Response any] func(quartzdockv1connect.AdminServiceClient, context.Context, *connect.Request[Request]) (*connect.Response[Response], error)
 
-// call sends a request until a controller answers it or the context ends. A
-// change carries a request id, so that sending it again is safe.
-func call[Request, Response any](ctx context.Context, client *Client, invoke method[Request, Response], request *Request) (*Response, error) {
+// call sends a request, with retries, until a controller answers it or the context
+// ends. Retrying a change is safe because it carries a request id.
+func call[Request, Response any](ctx context.Context, client *Client, invoke rpcMethod[Request, Response], request *Request) (*Response, error) {
 	var last error
 	for {
 		response, err := attempt(ctx, client, invoke, request)
@@ -112,8 +113,8 @@
 }
 
 // attempt sends a request once.
-func attempt[Request, Response any](ctx context.Context, client *Client, invoke method[Request, Response], request *Request) (*Response, error) {
-	bounded, cancel := context.WithTimeout(ctx, max(attemptTimeout, waitOf(request)+attemptTimeout))
+func attempt[Request, Response any](ctx context.Context, client *Client, invoke rpcMethod[Request, Response], request *Request) (*Response, error) {
+	bounded, cancel := context.WithTimeout(ctx, max(attemptTimeout, requestedWait(request)+attemptTimeout))
 	defer cancel()
 	response, err := invoke(client.service(), bounded, connect.NewRequest(request))
 	if err != nil {
@@ -122,8 +123,9 @@
 	return response.Msg, nil
 }
 
-// waitOf returns how long the request asks the controller to wait.
-func waitOf(request any) time.Duration {
+// requestedWait returns how long a request asks the controller to wait before it
+// answers.
+func requestedWait(request any) time.Duration {
 	switch request := request.(type) {
 	case interface{ GetMutation() *quartzdockv1.Mutation }:
 		return request.GetMutation().GetWaitInForce().AsDuration()
@@ -133,31 +135,31 @@
 	return 0
 }
 
-// prepareRetry chooses the address of the next attempt; false means that the
-// error is an answer and sending again would not change it.
+// prepareRetry chooses the address of the next attempt. It returns false if the
+// error is final, that is, a controller's answer that a retry would not change.
 func (client *Client) prepareRetry(err error) bool {
-	if leader := detailOf[*quartzdockv1.NotLeader](err); leader != nil {
-		if address := leader.GetLeaderRpcAddress(); address != "" && address != client.next {
-			client.next = address
+	if leader := errorDetail[*quartzdockv1.NotLeader](err); leader != nil {
+		if address := leader.GetLeaderRpcAddress(); address != "" && address != client.nextAddress {
+			client.nextAddress = address
 			return true
 		}
 	}
 	code := connect.CodeOf(err)
-	answered := connect.IsWireError(err) && code != connect.CodeUnavailable && code != connect.CodeDeadlineExceeded
-	if answered {
+	final := connect.IsWireError(err) && code != connect.CodeUnavailable && code != connect.CodeDeadlineExceeded
+	if final {
 		return false
 	}
-	client.turn++
-	client.next = client.addresses[client.turn%len(client.addresses)]
+	client.attempts++
+	client.nextAddress = client.addresses[client.attempts%len(client.addresses)]
 	return true
 }
 
-// ErrNoAnswer says that no controller gave an answer in time. A change may or
-// may not have been made.
+// ErrNoAnswer is returned if no controller answers before the timeout. A change
+// may or may not have been made.
 var ErrNoAnswer = errors.New("no controller answered in time")
 
-// detailOf returns the first detail of a type in an error, or nil.
-func detailOf[Detail any](err error) (none Detail) {
+// errorDetail returns the first detail of type Detail in an RPC error, or nil.
+func errorDetail[Detail any](err error) (none Detail) {
 	var failure *connect.Error
 	if !errors.As(err, &failure) {
 		return none
@@ -174,7 +176,7 @@
 	return none
 }
 
-// newRequestID returns a fresh id for a change.
+// newRequestID returns a new random id for a change.
 func newRequestID() string {
 	var random [10]byte
 	// crypto/rand.Read never fails; see its documentation.
--- a/internal/admin/controllers.go
+++ b/internal/admin/controllers.go
@@ -13,13 +13,13 @@
 
 // controllerCommands returns "controller list|add|promote|remove".
 func (s *session) controllerCommands() *ff.Command {
-	return s.group("controller", "show and change the members of the controllers' group",
+	return s.newGroup("controller", "show and change the members of the controllers' group",
 		s.listControllersCommand(), s.addControllerCommand(), s.promoteControllerCommand(), s.removeControllerCommand())
 }
 
-// listControllersCommand lists the members.
+// listControllersCommand returns the command that lists the members of the group.
 func (s *session) listControllersCommand() *ff.Command {
-	return s.leaf("list", "list the members of the group", nil, nil, func(ctx context.Context, _ []string) error {
+	return s.newCommand("list", "list the members of the group", nil, nil, func(ctx context.Context, _ []string) error {
 		response, err := readAtLeader(ctx, s, rpc.ListControllers, &quartzdockv1.ListControllersRequest{})
 		if err != nil {
 			return err
@@ -31,7 +31,7 @@
 	})
 }
 
-// addControllerCommand adds a learner.
+// addControllerCommand returns the command that adds a learner.
 func (s *session) addControllerCommand() *ff.Command {
 	var m mutationFlags
 	var peer, session, rpcAddress string
@@ -41,23 +41,23 @@
 		flags.StringVar(&session, 0, "session-address", "", "its session.listen, IP:port")
 		flags.StringVar(&rpcAddress, 0, "rpc-address", "", "its rpc.listen, IP:port")
 	}
-	return s.leaf("add", "add a controller as a learner, which has no vote", []string{"INCARNATION"}, flags,
-		func(ctx context.Context, given []string) error {
+	return s.newCommand("add", "add a controller as a learner, which has no vote", []string{"INCARNATION"}, flags,
+		func(ctx context.Context, args []string) error {
 			return change(ctx, s, &m, rpc.AddController, func(mutation *quartzdockv1.Mutation) *quartzdockv1.AddControllerRequest {
 				return &quartzdockv1.AddControllerRequest{
-					Mutation: mutation, Incarnation: given[0],
+					Mutation: mutation, Incarnation: args[0],
 					PeerAddress: peer, SessionAddress: session, RpcAddress: rpcAddress,
 				}
 			})
 		})
 }
 
-// promoteControllerCommand gives a learner its vote.
+// promoteControllerCommand returns the command that makes a learner a voter.
 func (s *session) promoteControllerCommand() *ff.Command {
 	var m mutationFlags
-	return s.leaf("promote", "give a learner its vote, once it durably holds all that was committed", []string{"ID"}, m.declare,
-		func(ctx context.Context, given []string) error {
-			id, err := replicaID(given[0])
+	return s.newCommand("promote", "give a learner its vote, once it durably holds all that was committed", []string{"ID"}, m.declare,
+		func(ctx context.Context, args []string) error {
+			id, err := replicaID(args[0])
 			if err != nil {
 				return err
 			}
@@ -67,12 +67,12 @@
 		})
 }
 
-// removeControllerCommand removes a member.
+// removeControllerCommand returns the command that removes a member.
 func (s *session) removeControllerCommand() *ff.Command {
 	var m mutationFlags
-	return s.leaf("remove", "remove a member; its identity is never used again", []string{"ID"}, m.declare,
-		func(ctx context.Context, given []string) error {
-			id, err := replicaID(given[0])
+	return s.newCommand("remove", "remove a member; its identity is never used again", []string{"ID"}, m.declare,
+		func(ctx context.Context, args []string) error {
+			id, err := replicaID(args[0])
 			if err != nil {
 				return err
 			}
@@ -82,7 +82,7 @@
 		})
 }
 
-// replicaID parses the identity of a member.
+// replicaID parses the replica ID of a member.
 func replicaID(text string) (uint64, error) {
 	id, err := strconv.ParseUint(text, 10, 64)
 	if err != nil || id == 0 {
--- a/internal/admin/doc.go
+++ b/internal/admin/doc.go
@@ -1,11 +1,11 @@
-// Package admin is the operators' command line: one command for each call of
-// the RPC schema (api/quartzdock/v1/admin.proto), with tables for people and
-// JSON for programs.
+// Package admin implements the command line for operators: one command for each
+// call of the RPC schema (api/quartzdock/v1/admin.proto), with output as tables for
+// people and as JSON for programs.
 //
-// A command that changes something reads the configuration's revision first
-// and expects it to be unchanged, unless --expected-revision says which
-// revision the operator has seen. It carries one request id through all its
-// resends, so that an answer lost on the way does not make the change twice;
-// where the outcome stays unknown the id is printed for a later resend with
-// --request-id.
+// Changes use optimistic concurrency control: a command first reads the
+// configuration's revision and requires it to be unchanged, unless
+// --expected-revision names the revision that the operator has seen. All retries
+// of a command use the same request id, so that a change is not made twice if its
+// answer is lost. If the outcome remains unknown, the command prints the id, with
+// which it can be repeated later (--request-id).
 package admin
--- a/internal/admin/refusal.go
+++ b/internal/admin/errors.go
@@ -10,21 +10,22 @@
 	quartzdockv1 "github.com/quartzdock/quartzdock/api/quartzdock/v1"
 )
 
-// explain turns an error of a call into what an operator can act on.
-func explain(err error, requestID string) error {
+// explainError converts the error of a call into a message on which an operator
+// can act. requestID is empty for a call that changes nothing.
+func explainError(err error, requestID string) error {
 	if err == nil {
 		return nil
 	}
-	if violations := detailOf[*quartzdockv1.FieldViolations](err); violations != nil {
+	if violations := errorDetail[*quartzdockv1.FieldViolations](err); violations != nil {
 		return explainViolations(violations)
 	}
-	if conflict := detailOf[*quartzdockv1.RevisionConflict](err); conflict != nil {
+	if conflict := errorDetail[*quartzdockv1.RevisionConflict](err); conflict != nil {
 		return fmt.Errorf("refused, nothing was changed: revision %d was expected, but %s made revision %d first; look at the change and try again",
-			conflict.GetExpectedRevision(), authorOf(conflict.GetWinningAuthor()), conflict.GetWinningRevision())
+			conflict.GetExpectedRevision(), authorName(conflict.GetWinningAuthor()), conflict.GetWinningRevision())
 	}
-	if reused := detailOf[*quartzdockv1.RequestIDReused](err); reused != nil {
+	if reused := errorDetail[*quartzdockv1.RequestIDReused](err); reused != nil {
 		return fmt.Errorf("refused, nothing was changed: request id %s was used by %s at revision %d with other content; use a new id",
-			reused.GetRequestId(), authorOf(reused.GetFirstAuthor()), reused.GetFirstRevision())
+			reused.GetRequestId(), authorName(reused.GetFirstAuthor()), reused.GetFirstRevision())
 	}
 	if errors.Is(err, ErrNoAnswer) && requestID != "" {
 		return fmt.Errorf("%w\nthe change may or may not have been made; repeat the command with --request-id %s to learn which", err, requestID)
@@ -36,7 +37,7 @@
 	return err
 }
 
-// explainViolations lists every bad field on a line of its own.
+// explainViolations lists each invalid field on a line of its own.
 func explainViolations(violations *quartzdockv1.FieldViolations) error {
 	lines := []string{"refused, nothing was changed:"}
 	for _, violation := range violations.GetViolations() {
@@ -45,8 +46,8 @@
 	return errors.New(strings.Join(lines, "\n"))
 }
 
-// authorOf names an author, also one that gave no name.
-func authorOf(author string) string {
+// authorName returns the author's name, or a placeholder if it is empty.
+func authorName(author string) string {
 	if author == "" {
 		return "an unnamed operator"
 	}
--- a/internal/admin/output.go
+++ b/internal/admin/output.go
@@ -12,13 +12,13 @@
 	quartzdockv1 "github.com/quartzdock/quartzdock/api/quartzdock/v1"
 )
 
-// table is rows of cells under a header.
+// table holds the header and the rows of a printed table.
 type table struct {
 	header []string
 	rows   [][]string
 }
 
-// add appends a row; cells are printed with their default formats.
+// add appends a row. Cells are printed in their default format, empty ones as "-".
 func (t *table) add(cells ...any) {
 	row := make([]string, len(cells))
 	for i, cell := range cells {
@@ -41,7 +41,7 @@
 	return aligned.Flush()
 }
 
-// writeJSON prints a message as JSON, by the names of the schema.
+// writeJSON prints a message as JSON with the field names of the schema.
 func writeJSON(out io.Writer, message proto.Message) error {
 	text, err := protojson.MarshalOptions{Multiline: true, UseProtoNames: true, EmitUnpopulated: true}.Marshal(message)
 	if err != nil {
@@ -51,7 +51,7 @@
 	return err
 }
 
-// writeAge prints of when an answer is.
+// writeAge prints the revision of an answer and how current it is.
 func writeAge(out io.Writer, age *quartzdockv1.ReadAge) {
 	if age.GetLinearizable() {
 		fmt.Fprintf(out, "at revision %d, the newest\n", age.GetRevision())
@@ -61,14 +61,14 @@
 		age.GetRevision(), age.GetLeaderContact().AsDuration())
 }
 
-// locationText returns "region/zone/rack" without empty trailing parts.
-func locationText(location *quartzdockv1.Location) string {
+// formatLocation returns "region/zone/rack" without empty trailing parts.
+func formatLocation(location *quartzdockv1.Location) string {
 	parts := []string{location.GetRegion(), location.GetZone(), location.GetRack()}
 	return strings.TrimRight(strings.Join(parts, "/"), "/")
 }
 
-// enumText returns an enum's value without its type's prefix, in lower case.
-func enumText(value fmt.Stringer, prefix string) string {
+// formatEnum returns an enum's value without its type's prefix, in lower case.
+func formatEnum(value fmt.Stringer, prefix string) string {
 	text := strings.TrimPrefix(value.String(), prefix)
 	return strings.ToLower(strings.ReplaceAll(text, "_", "-"))
 }
--- a/internal/admin/ownership.go
+++ b/internal/admin/ownership.go
@@ -18,9 +18,9 @@
 	flags := func(flags *ff.FlagSet) {
 		flags.StringVar(&owner, 0, "owner", "", "only those of this back end")
 	}
-	list := s.leaf("list", "list who owns which range of a service's keys", []string{"SERVICE"}, flags,
-		func(ctx context.Context, given []string) error {
-			response, err := s.allShards(ctx, given[0], owner)
+	list := s.newCommand("list", "list who owns which range of a service's keys", []string{"SERVICE"}, flags,
+		func(ctx context.Context, args []string) error {
+			response, err := s.allShards(ctx, args[0], owner)
 			if err != nil {
 				return err
 			}
@@ -29,10 +29,10 @@
 				return shardTable(response.GetShards()).write(out)
 			})
 		})
-	return s.group("shard", "show ownership", list)
+	return s.newGroup("shard", "show ownership", list)
 }
 
-// allShards reads every page of a service's shards.
+// allShards returns all pages of a service's shards as one response.
 func (s *session) allShards(ctx context.Context, service, owner string) (*quartzdockv1.ListShardsResponse, error) {
 	const pageSize = 10000
 	all := new(quartzdockv1.ListShardsResponse)
@@ -55,20 +55,20 @@
 
 // explainCommands returns "explain key|service".
 func (s *session) explainCommands() *ff.Command {
-	key := s.leaf("key", "say where a key's requests go and why", []string{"SERVICE", "KEY"}, nil, s.explainKey)
-	service := s.leaf("service", "show load, moves in progress and the moves that would come next", []string{"SERVICE"}, nil, s.explainService)
-	return s.group("explain", "explain routing and placement", key, service)
+	key := s.newCommand("key", "say where a key's requests go and why", []string{"SERVICE", "KEY"}, nil, s.explainKey)
+	service := s.newCommand("service", "show load, moves in progress and the moves that would come next", []string{"SERVICE"}, nil, s.explainService)
+	return s.newGroup("explain", "explain routing and placement", key, service)
 }
 
-// explainKey prints where a key's requests go.
-func (s *session) explainKey(ctx context.Context, given []string) error {
-	response, err := readAtLeader(ctx, s, rpc.ExplainKey, &quartzdockv1.ExplainKeyRequest{Service: given[0], Key: given[1]})
+// explainKey prints where the requests of a key are routed.
+func (s *session) explainKey(ctx context.Context, args []string) error {
+	response, err := readAtLeader(ctx, s, rpc.ExplainKey, &quartzdockv1.ExplainKeyRequest{Service: args[0], Key: args[1]})
 	if err != nil {
 		return err
 	}
 	return s.print(response, func(out io.Writer) error {
 		writeAge(out, response.GetAge())
-		fmt.Fprintf(out, "key %q is at position %s\n%s\n\n", given[1], positionText(response.GetPosition()), response.GetSummary())
+		fmt.Fprintf(out, "key %q is at position %s\n%s\n\n", args[1], formatPosition(response.GetPosition()), response.GetSummary())
 		if err := shardTable([]*quartzdockv1.Shard{response.GetShard()}).write(out); err != nil {
 			return err
 		}
@@ -77,9 +77,9 @@
 	})
 }
 
-// explainService prints load and moves.
-func (s *session) explainService(ctx context.Context, given []string) error {
-	response, err := read(ctx, s, rpc.ExplainService, &quartzdockv1.ExplainServiceRequest{Service: given[0]})
+// explainService prints the load of a service's back ends and its moves.
+func (s *session) explainService(ctx context.Context, args []string) error {
+	response, err := read(ctx, s, rpc.ExplainService, &quartzdockv1.ExplainServiceRequest{Service: args[0]})
 	if err != nil {
 		return err
 	}
@@ -95,10 +95,10 @@
 
 // shiftCommands returns "shift mark|list".
 func (s *session) shiftCommands() *ff.Command {
-	return s.group("shift", "announce that keys will run hot", s.markShiftCommand(), s.listShiftsCommand())
+	return s.newGroup("shift", "announce that keys will run hot", s.markShiftCommand(), s.listShiftsCommand())
 }
 
-// markShiftCommand announces a shift of load.
+// markShiftCommand returns the command that announces a load shift.
 func (s *session) markShiftCommand() *ff.Command {
 	var m mutationFlags
 	var keys []string
@@ -111,25 +111,25 @@
 		flags.DurationVar(&length, 0, "for", time.Hour, "time from the start to the end")
 		flags.Float64Var(&slots, 0, "expected-slots", 0, "load of all the keys together, in slots")
 	}
-	return s.leaf("mark", "announce that keys of a service will run hot", []string{"SERVICE"}, flags,
-		func(ctx context.Context, given []string) error {
+	return s.newCommand("mark", "announce that keys of a service will run hot", []string{"SERVICE"}, flags,
+		func(ctx context.Context, args []string) error {
 			start := time.Now().Add(in)
 			return change(ctx, s, &m, rpc.MarkLoadShift, func(mutation *quartzdockv1.Mutation) *quartzdockv1.MarkLoadShiftRequest {
 				return &quartzdockv1.MarkLoadShiftRequest{
-					Mutation: mutation, Service: given[0], Keys: keys, ExpectedSlots: slots,
+					Mutation: mutation, Service: args[0], Keys: keys, ExpectedSlots: slots,
 					Start: timestamppb.New(start), End: timestamppb.New(start.Add(length)),
 				}
 			})
 		})
 }
 
-// listShiftsCommand lists announced shifts.
+// listShiftsCommand returns the command that lists announced load shifts.
 func (s *session) listShiftsCommand() *ff.Command {
 	var service string
 	flags := func(flags *ff.FlagSet) {
 		flags.StringVar(&service, 0, "service", "", "only those of this service")
 	}
-	return s.leaf("list", "list announced shifts of load", nil, flags, func(ctx context.Context, _ []string) error {
+	return s.newCommand("list", "list announced shifts of load", nil, flags, func(ctx context.Context, _ []string) error {
 		response, err := read(ctx, s, rpc.ListLoadShifts, &quartzdockv1.ListLoadShiftsRequest{Service: service})
 		if err != nil {
 			return err
--- a/internal/admin/revisions.go
+++ b/internal/admin/revisions.go
@@ -15,9 +15,9 @@
 	quartzdockv1 "github.com/quartzdock/quartzdock/api/quartzdock/v1"
 )
 
-// revisionCommand shows the newest revision.
+// revisionCommand returns the command that shows the newest revision.
 func (s *session) revisionCommand() *ff.Command {
-	return s.leaf("revision", "show the newest committed revision", nil, nil, func(ctx context.Context, _ []string) error {
+	return s.newCommand("revision", "show the newest committed revision", nil, nil, func(ctx context.Context, _ []string) error {
 		response, err := read(ctx, s, rpc.GetRevision, &quartzdockv1.GetRevisionRequest{})
 		if err != nil {
 			return err
@@ -25,19 +25,20 @@
 		return s.print(response, func(out io.Writer) error {
 			writeAge(out, response.GetAge())
 			fmt.Fprintf(out, "configuration revision %d by %s\nleader %s\n",
-				response.GetConfigurationRevision(), authorOf(response.GetAuthor()), response.GetLeaderRpcAddress())
+				response.GetConfigurationRevision(), authorName(response.GetAuthor()), response.GetLeaderRpcAddress())
 			return nil
 		})
 	})
 }
 
-// subscribersCommand shows which processes have which revision in force.
+// subscribersCommand returns the command that shows which revision each process
+// has applied.
 func (s *session) subscribersCommand() *ff.Command {
 	var lagging bool
 	flags := func(flags *ff.FlagSet) {
 		flags.BoolVar(&lagging, 0, "lagging", "only those that have an older revision than the newest")
 	}
-	return s.leaf("subscribers", "show which routers and agents have which revision in force", nil, flags,
+	return s.newCommand("subscribers", "show which routers and agents have which revision in force", nil, flags,
 		func(ctx context.Context, _ []string) error {
 			response, err := readAtLeader(ctx, s, rpc.ListSubscribers, &quartzdockv1.ListSubscribersRequest{LaggingOnly: lagging})
 			if err != nil {
@@ -50,15 +51,16 @@
 		})
 }
 
-// waitCommand waits for a revision to be in force everywhere.
+// waitCommand returns the command that waits until a revision is in force
+// everywhere.
 func (s *session) waitCommand() *ff.Command {
 	var limit time.Duration
 	flags := func(flags *ff.FlagSet) {
 		flags.DurationVar(&limit, 0, "at-most", 10*time.Second, "longest wait; 60s at most")
 	}
-	return s.leaf("wait", "wait until a revision is in force everywhere", []string{"REVISION"}, flags,
-		func(ctx context.Context, given []string) error {
-			revision, err := parseRevision(given[0])
+	return s.newCommand("wait", "wait until a revision is in force everywhere", []string{"REVISION"}, flags,
+		func(ctx context.Context, args []string) error {
+			revision, err := parseRevision(args[0])
 			if err != nil {
 				return err
 			}
@@ -77,7 +79,7 @@
 		})
 }
 
-// parseRevision parses a revision's number.
+// parseRevision parses a revision number.
 func parseRevision(text string) (uint64, error) {
 	revision, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
@@ -86,7 +88,7 @@
 	return revision, nil
 }
 
-// watchCommand prints every change as it is made.
+// watchCommand returns the command that prints each change when it is made.
 func (s *session) watchCommand() *ff.Command {
 	var service string
 	var after uint64
@@ -94,11 +96,11 @@
 		flags.StringVar(&service, 0, "service", "", "only changes of this service")
 		flags.Uint64Var(&after, 0, "after", 0, "changes after this revision; 0 starts with the present state")
 	}
-	return s.leaf("watch", "print every change from now on, until interrupted", nil, flags,
+	return s.newCommand("watch", "print every change from now on, until interrupted", nil, flags,
 		func(ctx context.Context, _ []string) error { return s.watch(ctx, service, after) })
 }
 
-// watch follows the stream of changes and opens it again where it breaks.
+// watch prints the stream of changes and reconnects after an interruption.
 func (s *session) watch(ctx context.Context, service string, after uint64) error {
 	for {
 		last, err := s.watchOnce(ctx, service, after)
@@ -107,7 +109,7 @@
 			return nil
 		}
 		if err != nil && !s.client.prepareRetry(err) {
-			return explain(err, "")
+			return explainError(err, "")
 		}
 		select {
 		case <-ctx.Done():
@@ -117,8 +119,8 @@
 	}
 }
 
-// watchOnce prints changes until the stream ends and returns the last
-// revision printed.
+// watchOnce prints changes until the stream ends, and returns the last revision
+// that it received.
 func (s *session) watchOnce(ctx context.Context, service string, after uint64) (last uint64, err error) {
 	request := connect.NewRequest(&quartzdockv1.WatchRequest{AfterRevision: after, Service: service})
 	stream, err := s.client.service().Watch(ctx, request)
@@ -136,13 +138,13 @@
 	return last, stream.Err()
 }
 
-// writeChange prints one change, a line for each thing that changed.
+// writeChange prints one change, with a line for each changed object.
 func writeChange(out io.Writer, change *quartzdockv1.WatchResponse) error {
 	kind := "change"
 	if change.GetSnapshot() {
 		kind = "state"
 	}
-	fmt.Fprintf(out, "%s revision %d %s\n", timeText(change.GetTime().AsTime()), change.GetRevision(), kind)
+	fmt.Fprintf(out, "%s revision %d %s\n", formatTime(change.GetTime().AsTime()), change.GetRevision(), kind)
 	for _, service := range change.GetServices() {
 		fmt.Fprintf(out, "  service %s\n", service.GetName())
 	}
@@ -150,11 +152,11 @@
 		fmt.Fprintf(out, "  service number %d deleted\n", id)
 	}
 	for _, backend := range change.GetBackends() {
-		fmt.Fprintf(out, "  back end %s/%s %s\n", backend.GetService(), backend.GetName(), enumText(backend.GetState(), "BACKEND_STATE_"))
+		fmt.Fprintf(out, "  back end %s/%s %s\n", backend.GetService(), backend.GetName(), formatEnum(backend.GetState(), "BACKEND_STATE_"))
 	}
 	for _, shard := range change.GetShards() {
 		fmt.Fprintf(out, "  shard %s %s owner=%s target=%s epoch=%d\n", shardName(shard),
-			enumText(shard.GetPhase(), "SHARD_PHASE_"), shard.GetOwner(), shard.GetTarget(), shard.GetEpoch())
+			formatEnum(shard.GetPhase(), "SHARD_PHASE_"), shard.GetOwner(), shard.GetTarget(), shard.GetEpoch())
 	}
 	for _, id := range change.GetRemovedBackendIds() {
 		fmt.Fprintf(out, "  back end number %d removed\n", id)
--- a/internal/admin/services.go
+++ b/internal/admin/services.go
@@ -14,21 +14,21 @@
 	"github.com/quartzdock/quartzdock/api/quartzdock/v1/quartzdockv1connect"
 )
 
-// rpc shortens the method expressions of the stub.
+// rpc is short for use in method expressions.
 type rpc = quartzdockv1connect.AdminServiceClient
 
 // serviceCommands returns "service create|update|delete|list".
 func (s *session) serviceCommands() *ff.Command {
-	return s.group("service", "create, change, delete and list services",
+	return s.newGroup("service", "create, change, delete and list services",
 		s.createServiceCommand(), s.updateServiceCommand(), s.deleteServiceCommand(), s.listServicesCommand())
 }
 
-// createServiceCommand creates a service from a file.
+// createServiceCommand returns the command that creates a service from a file.
 func (s *session) createServiceCommand() *ff.Command {
 	var m mutationFlags
-	return s.leaf("create", "create a service described in a YAML file", []string{"FILE"}, m.declare,
-		func(ctx context.Context, given []string) error {
-			service, err := readService(given[0])
+	return s.newCommand("create", "create a service described in a YAML file", []string{"FILE"}, m.declare,
+		func(ctx context.Context, args []string) error {
+			service, err := readService(args[0])
 			if err != nil {
 				return err
 			}
@@ -38,12 +38,13 @@
 		})
 }
 
-// updateServiceCommand replaces a service's rules and policy.
+// updateServiceCommand returns the command that replaces the rules and the policy
+// of a service.
 func (s *session) updateServiceCommand() *ff.Command {
 	var m mutationFlags
-	return s.leaf("update", "replace a service's description by that of a YAML file", []string{"FILE"}, m.declare,
-		func(ctx context.Context, given []string) error {
-			service, err := readService(given[0])
+	return s.newCommand("update", "replace a service's description by that of a YAML file", []string{"FILE"}, m.declare,
+		func(ctx context.Context, args []string) error {
+			service, err := readService(args[0])
 			if err != nil {
 				return err
 			}
@@ -53,20 +54,21 @@
 		})
 }
 
-// deleteServiceCommand deletes a service without back ends.
+// deleteServiceCommand returns the command that deletes a service without back
+// ends.
 func (s *session) deleteServiceCommand() *ff.Command {
 	var m mutationFlags
-	return s.leaf("delete", "delete a service that has no back ends", []string{"SERVICE"}, m.declare,
-		func(ctx context.Context, given []string) error {
+	return s.newCommand("delete", "delete a service that has no back ends", []string{"SERVICE"}, m.declare,
+		func(ctx context.Context, args []string) error {
 			return change(ctx, s, &m, rpc.DeleteService, func(mutation *quartzdockv1.Mutation) *quartzdockv1.DeleteServiceRequest {
-				return &quartzdockv1.DeleteServiceRequest{Mutation: mutation, Name: given[0]}
+				return &quartzdockv1.DeleteServiceRequest{Mutation: mutation, Name: args[0]}
 			})
 		})
 }
 
-// listServicesCommand lists the services.
+// listServicesCommand returns the command that lists the services.
 func (s *session) listServicesCommand() *ff.Command {
-	return s.leaf("list", "list services", nil, nil, func(ctx context.Context, _ []string) error {
+	return s.newCommand("list", "list services", nil, nil, func(ctx context.Context, _ []string) error {
 		response, err := read(ctx, s, rpc.ListServices, &quartzdockv1.ListServicesRequest{})
 		if err != nil {
 			return err
@@ -78,8 +80,8 @@
 	})
 }
 
-// readService reads a service in the YAML or JSON form of the schema. Unknown
-// fields are refused.
+// readService reads a service from a YAML or JSON file with the field names of the
+// schema. Unknown fields are rejected.
 func readService(file string) (*quartzdockv1.Service, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/admin/session.go
+++ b/internal/admin/session.go
@@ -18,14 +18,14 @@
 	"github.com/quartzdock/quartzdock/internal/settings"
 )
 
-// ErrUsage marks a mistake in the arguments of a command.
+// ErrUsage marks an error in the arguments of a command.
 var ErrUsage = errors.New("usage")
 
-// ErrNotInForce says that a change was accepted but is not yet in force
-// everywhere.
+// ErrNotInForce is returned if a change was accepted but is not in force everywhere
+// at the end of the wait.
 var ErrNotInForce = errors.New("not yet in force everywhere")
 
-// session is one run of the command line.
+// session holds the state of one command-line invocation.
 type session struct {
 	overrides *settings.Overrides
 	out       io.Writer
@@ -33,7 +33,7 @@
 	client    *Client
 }
 
-// open loads the settings and makes the client.
+// open loads the settings and creates the client.
 func (s *session) open() error {
 	loader := &settings.Loader{File: s.overrides.Config, Overrides: s.overrides}
 	if _, err := loader.Load(&s.settings); err != nil {
@@ -44,7 +44,8 @@
 	return err
 }
 
-// author returns who makes a change.
+// author returns the name to record as the author of a change: that of the
+// settings or else of the operating system's user.
 func (s *session) author() string {
 	if s.settings.Author != "" {
 		return s.settings.Author
@@ -55,7 +56,7 @@
 	return ""
 }
 
-// print shows an answer as JSON, or by the given table function.
+// print prints an answer as JSON or with asTable, depending on the settings.
 func (s *session) print(answer proto.Message, asTable func(io.Writer) error) error {
 	if s.settings.JSON {
 		return writeJSON(s.out, answer)
@@ -63,10 +64,10 @@
 	return asTable(s.out)
 }
 
-// leaf returns a command with local flags beside the settings' own. The
-// arguments are named in usage, and exactly that many must be given. Flags may
-// stand before or after them.
-func (s *session) leaf(name, help string, arguments []string, declare func(*ff.FlagSet), exec func(context.Context, []string) error) *ff.Command {
+// newCommand returns a command with the flags of the settings and those that
+// declare adds. The command takes exactly the named arguments, with flags before
+// or after them.
+func (s *session) newCommand(name, help string, arguments []string, declare func(*ff.FlagSet), exec func(context.Context, []string) error) *ff.Command {
 	leading, trailing := ff.NewFlagSet(name), ff.NewFlagSet(name)
 	if declare != nil {
 		declare(leading)
@@ -78,24 +79,24 @@
 		Usage:     strings.Join(append([]string{name}, arguments...), " ") + " [FLAGS]",
 		ShortHelp: help,
 		Flags:     leading.SetParent(s.overrides.Flags()),
-		Exec: func(ctx context.Context, given []string) error {
-			count := min(len(arguments), len(given))
-			if err := trailing.Parse(given[count:]); err != nil {
+		Exec: func(ctx context.Context, args []string) error {
+			count := min(len(arguments), len(args))
+			if err := trailing.Parse(args[count:]); err != nil {
 				return fmt.Errorf("%w: %w", ErrUsage, err)
 			}
 			if rest := trailing.GetArgs(); count < len(arguments) || len(rest) > 0 {
-				return fmt.Errorf("%w: %s takes the arguments %v, got %q", ErrUsage, name, arguments, given)
+				return fmt.Errorf("%w: %s takes the arguments %v, got %q", ErrUsage, name, arguments, args)
 			}
 			if err := s.open(); err != nil {
 				return err
 			}
-			return exec(ctx, given[:count])
+			return exec(ctx, args[:count])
 		},
 	}
 }
 
-// group returns a command that only holds others.
-func (s *session) group(name, help string, commands ...*ff.Command) *ff.Command {
+// newGroup returns a command that only has subcommands.
+func (s *session) newGroup(name, help string, commands ...*ff.Command) *ff.Command {
 	return &ff.Command{
 		Name:        name,
 		Usage:       name + " SUBCOMMAND ...",
@@ -105,28 +106,28 @@
 	}
 }
 
-// read makes a call that changes nothing.
-func read[Request, Response any](ctx context.Context, s *session, invoke method[Request, Response], request *Request) (*Response, error) {
-	bounded, cancel := context.WithTimeout(ctx, s.settings.Timeout+waitOf(request))
+// read makes a read-only call.
+func read[Request, Response any](ctx context.Context, s *session, invoke rpcMethod[Request, Response], request *Request) (*Response, error) {
+	bounded, cancel := context.WithTimeout(ctx, s.settings.Timeout+requestedWait(request))
 	defer cancel()
 	response, err := call(bounded, s.client, invoke, request)
-	return response, explain(err, "")
+	return response, explainError(err, "")
 }
 
-// readAtLeader is read for an answer that the leader alone can give in full. If
-// none is known, any controller's answer must do.
-func readAtLeader[Request, Response any](ctx context.Context, s *session, invoke method[Request, Response], request *Request) (*Response, error) {
+// readAtLeader is like read, for calls that only the leader can answer completely.
+// If no leader is known, it accepts the answer of any controller.
+func readAtLeader[Request, Response any](ctx context.Context, s *session, invoke rpcMethod[Request, Response], request *Request) (*Response, error) {
 	revision, err := read(ctx, s, quartzdockv1connect.AdminServiceClient.GetRevision, &quartzdockv1.GetRevisionRequest{})
 	if err != nil {
 		return nil, err
 	}
 	if leader := revision.GetLeaderRpcAddress(); leader != "" {
-		s.client.next = leader
+		s.client.nextAddress = leader
 	}
 	return read(ctx, s, invoke, request)
 }
 
-// mutationFlags are the flags of every command that changes something.
+// mutationFlags are the flags of all commands that make a change.
 type mutationFlags struct {
 	expectedRevision int
 	requestID        string
@@ -134,18 +135,19 @@
 	wait             time.Duration
 }
 
-// readRevision is the default of --expected-revision.
-const readRevision = -1
+// currentRevision is the default of --expected-revision, which reads the current
+// revision.
+const currentRevision = -1
 
 // declare adds the flags.
 func (m *mutationFlags) declare(flags *ff.FlagSet) {
-	flags.IntVar(&m.expectedRevision, 0, "expected-revision", readRevision, "configuration revision that you have seen; -1 reads it now")
+	flags.IntVar(&m.expectedRevision, 0, "expected-revision", currentRevision, "configuration revision that you have seen; -1 reads it now")
 	flags.StringVar(&m.requestID, 0, "request-id", "", "id of the change, to send it again after a lost answer; empty makes a new one")
 	flags.BoolVar(&m.dryRun, 0, "dry-run", "check everything, change nothing")
 	flags.DurationVar(&m.wait, 0, "wait", 0, "wait until the change is in force everywhere, at most this long")
 }
 
-// mutation returns the part of a request that every change carries.
+// mutation returns the part that the requests of all changes have in common.
 func (m *mutationFlags) mutation(ctx context.Context, s *session) (*quartzdockv1.Mutation, error) {
 	mutation := &quartzdockv1.Mutation{RequestId: m.requestID, Author: s.author(), DryRun: m.dryRun}
 	if mutation.RequestId == "" {
@@ -154,7 +156,7 @@
 	if m.wait > 0 {
 		mutation.WaitInForce = durationpb.New(m.wait)
 	}
-	if m.expectedRevision != readRevision {
+	if m.expectedRevision != currentRevision {
 		mutation.ExpectedRevision = uint64(m.expectedRevision)
 		return mutation, nil
 	}
@@ -163,29 +165,29 @@
 	return mutation, err
 }
 
-// change makes a call that changes something and prints its result.
-func change[Request, Response any](ctx context.Context, s *session, m *mutationFlags, invoke method[Request, Response], build func(*quartzdockv1.Mutation) *Request) error {
+// change makes a call that changes the configuration and prints the result.
+func change[Request, Response any](ctx context.Context, s *session, m *mutationFlags, invoke rpcMethod[Request, Response], build func(*quartzdockv1.Mutation) *Request) error {
 	mutation, err := m.mutation(ctx, s)
 	if err != nil {
 		return err
 	}
 	request := build(mutation)
-	bounded, cancel := context.WithTimeout(ctx, s.settings.Timeout+waitOf(request))
+	bounded, cancel := context.WithTimeout(ctx, s.settings.Timeout+requestedWait(request))
 	defer cancel()
 	response, err := call(bounded, s.client, invoke, request)
 	if err != nil {
-		return explain(err, mutation.GetRequestId())
+		return explainError(err, mutation.GetRequestId())
 	}
 	return s.printResult(any(response).(mutationResponse), mutation)
 }
 
-// mutationResponse is every answer to a change.
+// mutationResponse is implemented by the responses to all changes.
 type mutationResponse interface {
 	proto.Message
 	GetResult() *quartzdockv1.MutationResult
 }
 
-// printResult prints at which revision a change was made and how far it came.
+// printResult prints the revision of a change and whether it is in force.
 func (s *session) printResult(response mutationResponse, mutation *quartzdockv1.Mutation) error {
 	result := response.GetResult()
 	err := s.print(response, func(out io.Writer) error {
@@ -197,7 +199,7 @@
 		default:
 			fmt.Fprintf(out, "accepted at revision %d (request %s)\n", result.GetRevision(), mutation.GetRequestId())
 		}
-		printExtra(out, response)
+		printDetails(out, response)
 		return nil
 	})
 	if err != nil || result.GetInForce() == nil {
@@ -206,8 +208,8 @@
 	return s.printInForce(result.GetInForce())
 }
 
-// printExtra prints what single kinds of answers say besides the revision.
-func printExtra(out io.Writer, response mutationResponse) {
+// printDetails prints the additional fields of some responses.
+func printDetails(out io.Writer, response mutationResponse) {
 	switch response := response.(type) {
 	case *quartzdockv1.DrainBackendResponse:
 		fmt.Fprintf(out, "it still owns %d shard(s)\n", response.GetOwnedShards())
@@ -218,7 +220,8 @@
 	}
 }
 
-// printInForce prints whether a revision is in force everywhere and who lags.
+// printInForce prints that a revision is in force everywhere, or else prints the
+// lagging subscribers and returns ErrNotInForce.
 func (s *session) printInForce(inForce *quartzdockv1.InForce) error {
 	if inForce.GetEverywhere() {
 		if !s.settings.JSON {
