--- a/internal/tlsconfig/doc.go
+++ b/internal/tlsconfig/doc.go
@@ -1,13 +1,14 @@
-// Package tlsconfig serves certificates from files to the listeners and
-// connections of a process, using crypto/tls and crypto/x509 alone.
+// Package tlsconfig provides TLS configurations for the listeners and connections
+// of a process, with certificates that are loaded from files and can be reloaded.
+// It uses only crypto/tls and crypto/x509.
 //
-// Links between processes are mutual: both sides show a certificate of the
-// fleet's authorities, and the dialled side's must carry the IP number or name
-// that was dialled. Certificates, keys and the authorities by which a listener
-// checks its peers are read again at Reload; the authorities by which a dialler
-// checks a listener are those of the start. A file that can't be used leaves
-// the previous material in force.
+// Connections between processes use mutual TLS: both sides present a certificate
+// that an authority of the fleet has signed, and the server's certificate must
+// contain the IP address or name that was dialed. Reload reloads certificates, keys
+// and the authorities with which a listener verifies clients; the authorities with
+// which a client verifies servers remain those loaded at the start. If a file cannot
+// be used, the previous credentials remain in use.
 //
-// A refused peer counts in quartzdock_tls_refused_total by listener and reason,
-// and the first refusal of each kind in a minute is logged.
+// quartzdock_tls_refused_total counts refused clients by listener and reason. The
+// first refusal of each kind in a minute is logged.
 package tlsconfig
--- a/internal/tlsconfig/files.go
+++ b/internal/tlsconfig/files.go
@@ -9,49 +9,49 @@
 	"time"
 )
 
-// Files names the PEM files of a process.
+// Files contains the paths of the PEM files of a process.
 type Files struct {
-	// Certificate and Key are the process's own.
+	// Certificate and Key are those of the process itself.
 	Certificate string
 	Key         string
-	// CA holds the authorities of the fleet; empty for a Store that only
-	// serves strangers, such as callers.
+	// CA contains the authorities of the fleet. It is empty for a Store whose clients
+	// need no certificate, such as callers.
 	CA string
-	// OperatorCA holds the authorities of operators; empty takes CA.
+	// OperatorCA contains the authorities of operators; if it is empty, CA is used.
 	OperatorCA string
 }
 
-// material is what was read from Files.
-type material struct {
+// credentials is what was read from Files.
+type credentials struct {
 	certificate tls.Certificate
 	fleet       *x509.CertPool
 	operators   *x509.CertPool
 }
 
-// ErrExpired says that a certificate's period of validity is over.
+// ErrExpired is returned for a certificate whose validity period has ended.
 var ErrExpired = errors.New("certificate expired")
 
-// ErrNotYetValid says that a certificate's period of validity has not begun.
+// ErrNotYetValid is returned for a certificate whose validity period has not begun.
 var ErrNotYetValid = errors.New("certificate not yet valid")
 
-// read reads all files and returns every problem together.
-func (files Files) read(now time.Time) (*material, error) {
-	loaded := &material{}
+// load reads all files and returns every problem together.
+func (files Files) load(now time.Time) (*credentials, error) {
+	loaded := &credentials{}
 	var problems []error
 	certificate, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
 	if err != nil {
 		problems = append(problems, fmt.Errorf("certificate %s with key %s: %w", files.Certificate, files.Key, err))
-	} else if err := checkPeriod(certificate.Leaf, now); err != nil {
+	} else if err := checkValidity(certificate.Leaf, now); err != nil {
 		problems = append(problems, fmt.Errorf("certificate %s: %w", files.Certificate, err))
 	}
 	loaded.certificate = certificate
 	if files.CA != "" {
-		loaded.fleet, err = readPool(files.CA)
+		loaded.fleet, err = loadCertPool(files.CA)
 		problems = append(problems, err)
 		loaded.operators = loaded.fleet
 	}
 	if files.OperatorCA != "" {
-		loaded.operators, err = readPool(files.OperatorCA)
+		loaded.operators, err = loadCertPool(files.OperatorCA)
 		problems = append(problems, err)
 	}
 	if err := errors.Join(problems...); err != nil {
@@ -60,8 +60,9 @@
 	return loaded, nil
 }
 
-// checkPeriod returns ErrExpired or ErrNotYetValid with the time.
-func checkPeriod(leaf *x509.Certificate, now time.Time) error {
+// checkValidity returns an error that wraps ErrExpired or ErrNotYetValid if now is
+// outside of the validity period of leaf.
+func checkValidity(leaf *x509.Certificate, now time.Time) error {
 	switch {
 	case now.After(leaf.NotAfter):
 		return fmt.Errorf("%w at %s", ErrExpired, leaf.NotAfter.UTC().Format(time.RFC3339))
@@ -71,8 +72,8 @@
 	return nil
 }
 
-// readPool reads the authorities of a PEM file.
-func readPool(file string) (*x509.CertPool, error) {
+// loadCertPool reads the authorities of a PEM file.
+func loadCertPool(file string) (*x509.CertPool, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, fmt.Errorf("certificate authorities: %w", err)
--- a/internal/tlsconfig/store.go
+++ b/internal/tlsconfig/store.go
@@ -15,29 +15,30 @@
 // Config configures a Store.
 type Config struct {
 	Files Files
-	// Name tells several stores of a process apart, in labels; it is the
-	// store's use, for example "fleet" or "callers".
+	// Name is the purpose of the store, for example "fleet" or "callers". It is a
+	// label of the metrics and distinguishes the stores of a process.
 	Name string
-	// PeerNames: a peer's certificate on a link between processes must carry
-	// one of these DNS names; empty accepts all of the fleet's.
+	// PeerNames are the DNS names of which a client's certificate must contain one on
+	// connections between processes; if empty, all certificates of the fleet are
+	// accepted.
 	PeerNames []string
-	// Registerer takes the counters.
+	// Registerer registers the metrics of the store.
 	Registerer prometheus.Registerer
 	Log        *slog.Logger
-	// Now is the clock for periods of validity; nil takes time.Now.
+	// Now is the clock for checking validity periods; nil means time.Now.
 	Now func() time.Time
 }
 
-// Store holds the material in force and makes TLS configurations that follow
-// it.
+// Store holds the current credentials and returns TLS configurations that use them,
+// also after a reload.
 type Store struct {
-	config  Config
-	current atomic.Pointer[material]
-	refused *refusals
-	expiry  prometheus.Gauge
-	reloads *prometheus.CounterVec
-	// failing says that the last reload was refused.
-	failing bool
+	config   Config
+	current  atomic.Pointer[credentials]
+	refusals *refusals
+	expiry   prometheus.Gauge
+	reloads  *prometheus.CounterVec
+	// reloadFailing is set if the last reload failed.
+	reloadFailing bool
 }
 
 // Results of a reload, as a label.
@@ -46,14 +47,14 @@
 	reloadRefused = "refused"
 )
 
-// Open reads the files. The error lists every problem.
+// Open loads the files. The error lists all problems.
 func Open(config Config) (*Store, error) {
 	if config.Now == nil {
 		config.Now = time.Now
 	}
 	store := &Store{
-		config:  config,
-		refused: newRefusals(config),
+		config:   config,
+		refusals: newRefusals(config),
 		expiry: prometheus.NewGauge(prometheus.GaugeOpts{
 			Namespace: metrics.Namespace, Subsystem: "tls", Name: "certificate_expiry_timestamp_seconds",
 			Help:        "When the process's own certificate expires, in seconds since 1970.",
@@ -65,37 +66,37 @@
 			ConstLabels: prometheus.Labels{"store": config.Name},
 		}, []string{"result"}),
 	}
-	loaded, err := config.Files.read(config.Now())
+	loaded, err := config.Files.load(config.Now())
 	if err != nil {
 		return nil, err
 	}
-	store.use(loaded)
-	config.Registerer.MustRegister(store.expiry, store.reloads, store.refused.counter)
+	store.activate(loaded)
+	config.Registerer.MustRegister(store.expiry, store.reloads, store.refusals.counter)
 	return store, nil
 }
 
-// use puts material in force.
-func (store *Store) use(loaded *material) {
+// activate makes the loaded credentials the current ones.
+func (store *Store) activate(loaded *credentials) {
 	store.current.Store(loaded)
 	store.expiry.Set(float64(loaded.certificate.Leaf.NotAfter.Unix()))
 }
 
-// Reload reads the files again. On an error, which is logged where the last
-// reload had none, the previous material stays in force. Calls must not
-// overlap.
+// Reload reloads the files. After an error the previous credentials remain in use;
+// only the first of consecutive errors is logged. Reload must not be called
+// concurrently.
 func (store *Store) Reload() error {
-	loaded, err := store.config.Files.read(store.config.Now())
+	loaded, err := store.config.Files.load(store.config.Now())
 	if err != nil {
 		store.reloads.WithLabelValues(reloadRefused).Inc()
-		if !store.failing {
-			store.config.Log.Error("certificate files refused; the previous ones stay in force", "store", store.config.Name, "error", err)
+		if !store.reloadFailing {
+			store.config.Log.Error("reload of certificate files failed, keeping the previous ones", "store", store.config.Name, "error", err)
 		}
-		store.failing = true
+		store.reloadFailing = true
 		return err
 	}
-	store.failing = false
+	store.reloadFailing = false
 	previous := store.current.Load()
-	store.use(loaded)
+	store.activate(loaded)
 	store.reloads.WithLabelValues(reloadDone).Inc()
 	if !previous.certificate.Leaf.Equal(loaded.certificate.Leaf) {
 		store.config.Log.Info("certificate replaced", "store", store.config.Name, "expires", loaded.certificate.Leaf.NotAfter)
@@ -103,10 +104,10 @@
 	return nil
 }
 
-// Link returns the configuration of links between processes, for both sides:
-// mutual, TLS 1.3.
+// Link returns the configuration of both sides of connections between processes:
+// mutual TLS 1.3.
 func (store *Store) Link() *tls.Config {
-	config := store.server("links", func() *x509.CertPool { return store.current.Load().fleet }, store.config.PeerNames)
+	config := store.mutualTLS("links", func() *x509.CertPool { return store.current.Load().fleet }, store.config.PeerNames)
 	config.RootCAs = store.current.Load().fleet
 	config.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 		return &store.current.Load().certificate, nil
@@ -114,14 +115,14 @@
 	return config
 }
 
-// Operators returns the configuration of a listener for operators: mutual,
-// against the operators' authorities.
+// Operators returns the configuration of a listener for operators: mutual TLS with
+// the operators' authorities.
 func (store *Store) Operators() *tls.Config {
-	return store.server("operators", func() *x509.CertPool { return store.current.Load().operators }, nil)
+	return store.mutualTLS("operators", func() *x509.CertPool { return store.current.Load().operators }, nil)
 }
 
-// Server returns the configuration of a listener that asks no certificate of
-// its clients, for monitoring and for callers.
+// Server returns the configuration of a listener that requires no client
+// certificate, for monitoring and for callers.
 func (store *Store) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion:     tls.VersionTLS12,
@@ -129,25 +130,25 @@
 	}
 }
 
-// server returns a configuration that demands a certificate of the client and
-// verifies it against the pool in force. Verification runs in VerifyConnection,
-// which also runs for resumed sessions, so that each refusal can be counted.
-func (store *Store) server(listener string, pool func() *x509.CertPool, names []string) *tls.Config {
+// mutualTLS returns a configuration that requires a client certificate and verifies
+// it with the current pool. Verification runs in VerifyConnection, so that each
+// refusal can be counted; it also runs for resumed sessions.
+func (store *Store) mutualTLS(listener string, pool func() *x509.CertPool, names []string) *tls.Config {
 	return &tls.Config{
 		MinVersion:     tls.VersionTLS13,
 		GetCertificate: store.certificate,
 		ClientAuth:     tls.RequestClientCert,
 		VerifyConnection: func(state tls.ConnectionState) error {
 			if len(state.VerifiedChains) > 0 {
-				// The dialling side: crypto/tls has verified the listener.
+				// This is the client: crypto/tls has verified the server.
 				return nil
 			}
-			return store.refused.note(listener, verifyClient(state, pool(), names, store.config.Now()))
+			return store.refusals.record(listener, verifyClient(state, pool(), names, store.config.Now()))
 		},
 	}
 }
 
-// certificate returns the process's own certificate in force.
+// certificate returns the current certificate of the process.
 func (store *Store) certificate(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 	return &store.current.Load().certificate, nil
 }
--- a/internal/tlsconfig/tlsconfig_test.go
+++ b/internal/tlsconfig/tlsconfig_test.go
@@ -23,7 +23,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// now is when all tests take place.
+// now is the current time in all tests.
 var now = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 
 // authority signs certificates for tests.
@@ -49,15 +49,15 @@
 	return &authority{t: t, certificate: certificate, key: key}
 }
 
-// leaf describes a certificate to sign.
-type leaf struct {
+// leafTemplate describes a certificate to sign.
+type leafTemplate struct {
 	names    []string
 	address  string
 	notAfter time.Time
 }
 
 // files writes a signed certificate, its key and the authorities' file.
-func (a *authority) files(described leaf, trusted ...*authority) Files {
+func (a *authority) files(described leafTemplate, trusted ...*authority) Files {
 	a.t.Helper()
 	folder := a.t.TempDir()
 	files := Files{
@@ -75,7 +75,7 @@
 }
 
 // sign writes the certificate and key files.
-func (a *authority) sign(files Files, described leaf) {
+func (a *authority) sign(files Files, described leafTemplate) {
 	a.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	assert.NilError(a.t, err)
@@ -97,12 +97,12 @@
 	assert.NilError(a.t, os.WriteFile(files.Key, block, 0o600))
 }
 
-// good is a certificate that every test accepts.
-func good() leaf {
-	return leaf{names: []string{"agent.fleet"}, address: "127.0.0.1", notAfter: now.Add(time.Minute)}
+// validLeaf is a certificate that every test accepts.
+func validLeaf() leafTemplate {
+	return leafTemplate{names: []string{"agent.fleet"}, address: "127.0.0.1", notAfter: now.Add(time.Minute)}
 }
 
-func open(t *testing.T, files Files, log *bytes.Buffer, clock *time.Time, names ...string) *Store {
+func openStore(t *testing.T, files Files, log *bytes.Buffer, clock *time.Time, names ...string) *Store {
 	t.Helper()
 	store, err := Open(Config{
 		Files: files, PeerNames: names, Registerer: prometheus.NewRegistry(),
@@ -141,28 +141,28 @@
 	client.Time = func() time.Time { return now }
 	secured := tls.Client(raw, client)
 	if clientError = secured.Handshake(); clientError == nil {
-		// With TLS 1.3 the listener's refusal arrives at the first read.
+		// With TLS 1.3 the server's rejection arrives at the first read.
 		_, clientError = secured.Read(make([]byte, 1))
 	}
 	raw.Close()
 	return <-accepted, clientError
 }
 
-func refusedCount(store *Store, reason string) float64 {
-	return testutil.ToFloat64(store.refused.counter.WithLabelValues("links", reason))
+func refusalCount(store *Store, reason string) float64 {
+	return testutil.ToFloat64(store.refusals.counter.WithLabelValues("links", reason))
 }
 
-func TestMutualLinkIsAccepted(t *testing.T) {
+func TestMutualTLSConnectionIsAccepted(t *testing.T) {
 	ca, log, clock := newAuthority(t, "fleet"), new(bytes.Buffer), now
-	store := open(t, ca.files(good()), log, &clock, "router.fleet", "agent.fleet")
+	store := openStore(t, ca.files(validLeaf()), log, &clock, "router.fleet", "agent.fleet")
 	serverError, clientError := handshake(t, store.Link(), store.Link())
 	assert.NilError(t, serverError)
 	assert.NilError(t, clientError)
 	assert.Equal(t, log.String(), "")
 }
 
-func TestListenerRefusesWithReasonInLogAndCounter(t *testing.T) {
-	fleet, stranger := newAuthority(t, "fleet"), newAuthority(t, "stranger")
+func TestListenerLogsAndCountsRefusalsByReason(t *testing.T) {
+	fleet, unknown := newAuthority(t, "fleet"), newAuthority(t, "unknown")
 	early := now.Add(-30 * time.Minute)
 	cases := []struct {
 		name   string
@@ -170,14 +170,14 @@
 		reason string
 	}{
 		{"no certificate", nil, reasonNoCertificate},
-		{"another authority", clientOf(t, stranger, good(), now, fleet), reasonUnknownAuthority},
-		{"expired", clientOf(t, fleet, leaf{names: []string{"agent.fleet"}, notAfter: early.Add(time.Minute)}, early), reasonExpired},
-		{"name not accepted", clientOf(t, fleet, leaf{names: []string{"map.fleet"}, notAfter: now.Add(time.Minute)}, now), reasonWrongName},
+		{"unknown authority", clientConfig(t, unknown, validLeaf(), now, fleet), reasonUnknownAuthority},
+		{"expired", clientConfig(t, fleet, leafTemplate{names: []string{"agent.fleet"}, notAfter: early.Add(time.Minute)}, early), reasonExpired},
+		{"name not accepted", clientConfig(t, fleet, leafTemplate{names: []string{"map.fleet"}, notAfter: now.Add(time.Minute)}, now), reasonWrongName},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			log, clock := new(bytes.Buffer), now
-			store := open(t, fleet.files(good()), log, &clock, "agent.fleet")
+			store := openStore(t, fleet.files(validLeaf()), log, &clock, "agent.fleet")
 			client := test.client
 			if client == nil {
 				client = &tls.Config{RootCAs: store.current.Load().fleet}
@@ -187,27 +187,27 @@
 				assert.Equal(t, reasonOf(serverError), test.reason)
 				assert.Assert(t, clientError != nil)
 			}
-			assert.Equal(t, refusedCount(store, test.reason), 2.0)
+			assert.Equal(t, refusalCount(store, test.reason), 2.0)
 			assert.Equal(t, strings.Count(log.String(), "reason="+test.reason), 1, "one line for two refusals: %s", log)
 		})
 	}
 }
 
-// clientOf returns a dialling configuration that was loaded at a time.
-func clientOf(t *testing.T, ca *authority, described leaf, at time.Time, trusted ...*authority) *tls.Config {
+// clientConfig returns a dialling configuration that was loaded at a time.
+func clientConfig(t *testing.T, ca *authority, described leafTemplate, at time.Time, trusted ...*authority) *tls.Config {
 	t.Helper()
-	return open(t, ca.files(described, trusted...), new(bytes.Buffer), &at).Link()
+	return openStore(t, ca.files(described, trusted...), new(bytes.Buffer), &at).Link()
 }
 
-func TestDiallerRefusesListener(t *testing.T) {
-	fleet, stranger := newAuthority(t, "fleet"), newAuthority(t, "stranger")
-	client := clientOf(t, fleet, good(), now)
-	elsewhere := good()
+func TestDialerRejectsInvalidServerCertificate(t *testing.T) {
+	fleet, unknown := newAuthority(t, "fleet"), newAuthority(t, "unknown")
+	client := clientConfig(t, fleet, validLeaf(), now)
+	elsewhere := validLeaf()
 	elsewhere.address = "127.0.0.9"
 	cases := map[string]*tls.Config{
-		"unknown authority":               clientOf(t, stranger, good(), now, fleet),
-		"valid for 127.0.0.9, not 127.0.": clientOf(t, fleet, elsewhere, now),
-		"expired":                         clientOf(t, fleet, leaf{address: "127.0.0.1", notAfter: now.Add(-time.Minute)}, now.Add(-30*time.Minute)),
+		"unknown authority":               clientConfig(t, unknown, validLeaf(), now, fleet),
+		"valid for 127.0.0.9, not 127.0.": clientConfig(t, fleet, elsewhere, now),
+		"expired":                         clientConfig(t, fleet, leafTemplate{address: "127.0.0.1", notAfter: now.Add(-time.Minute)}, now.Add(-30*time.Minute)),
 	}
 	for problem, server := range cases {
 		_, err := handshake(t, server, client)
@@ -215,10 +215,10 @@
 	}
 }
 
-func TestReloadFollowsFilesAndKeepsWhatWorks(t *testing.T) {
+func TestReloadAppliesValidFilesAndKeepsPreviousOnError(t *testing.T) {
 	ca, log, clock := newAuthority(t, "fleet"), new(bytes.Buffer), now
-	files := ca.files(good())
-	store := open(t, files, log, &clock)
+	files := ca.files(validLeaf())
+	store := openStore(t, files, log, &clock)
 	link := store.Link()
 
 	assert.NilError(t, os.WriteFile(files.Key, []byte("damaged"), 0o600))
@@ -226,11 +226,11 @@
 	_, err := handshake(t, link, link)
 	assert.NilError(t, err)
 
-	ca.sign(files, leaf{address: "127.0.0.1", notAfter: now.Add(-time.Minute)})
+	ca.sign(files, leafTemplate{address: "127.0.0.1", notAfter: now.Add(-time.Minute)})
 	assert.ErrorIs(t, store.Reload(), ErrExpired)
 	assert.Equal(t, testutil.ToFloat64(store.reloads.WithLabelValues(reloadRefused)), 2.0)
 
-	renewed := good()
+	renewed := validLeaf()
 	renewed.notAfter = now.Add(30 * time.Minute)
 	ca.sign(files, renewed)
 	assert.NilError(t, store.Reload())
@@ -240,7 +240,7 @@
 	assert.NilError(t, serverError)
 }
 
-func TestOpenReportsEveryUnusableFile(t *testing.T) {
+func TestOpenReportsAllUnusableFiles(t *testing.T) {
 	folder := t.TempDir()
 	_, err := Open(Config{Files: Files{
 		Certificate: folder + "/no-certificate.pem", Key: folder + "/no-key.pem",
--- a/internal/tlsconfig/verify.go
+++ b/internal/tlsconfig/verify.go
@@ -16,20 +16,21 @@
 	"github.com/quartzdock/quartzdock/internal/metrics"
 )
 
-// ErrNoCertificate says that a client showed no certificate.
-var ErrNoCertificate = errors.New("client showed no certificate")
+// ErrNoCertificate is returned if a client presents no certificate.
+var ErrNoCertificate = errors.New("client presented no certificate")
 
-// ErrWrongName says that a client's certificate carries none of the names
-// that are accepted.
-var ErrWrongName = errors.New("certificate carries no accepted name")
+// ErrWrongName is returned if a client's certificate contains none of the accepted
+// names.
+var ErrWrongName = errors.New("certificate contains no accepted name")
 
-// verifyClient checks a client's certificate: chain, period, usage and name.
+// verifyClient verifies a client's certificate: chain, validity period, key usage
+// and name.
 func verifyClient(state tls.ConnectionState, pool *x509.CertPool, names []string, now time.Time) error {
 	if len(state.PeerCertificates) == 0 {
 		return ErrNoCertificate
 	}
 	leaf := state.PeerCertificates[0]
-	if err := checkPeriod(leaf, now); err != nil {
+	if err := checkValidity(leaf, now); err != nil {
 		return fmt.Errorf("client %q: %w", leaf.Subject.CommonName, err)
 	}
 	intermediates := x509.NewCertPool()
@@ -51,7 +52,7 @@
 	return fmt.Errorf("client %q with names %s: %w", leaf.Subject.CommonName, strings.Join(leaf.DNSNames, ", "), ErrWrongName)
 }
 
-// Reasons of a refusal, as a label.
+// Values of the reason label of refused connections.
 const (
 	reasonNoCertificate    = "no-certificate"
 	reasonExpired          = "expired"
@@ -80,14 +81,14 @@
 	}
 }
 
-// refusalLogInterval is the least time between two lines about refusals of
-// one kind.
+// refusalLogInterval is the minimum time between two log lines about refusals of
+// the same kind.
 const refusalLogInterval = time.Minute
 
-// refusalKind is what a counter and a log line tell apart.
+// refusalKind identifies the refusals that are counted and rate-limited together.
 type refusalKind struct{ listener, reason string }
 
-// refusals counts and logs refused peers.
+// refusals counts and logs refused clients.
 type refusals struct {
 	counter *prometheus.CounterVec
 	log     *slog.Logger
@@ -97,7 +98,7 @@
 	logged map[refusalKind]time.Time
 }
 
-// newRefusals returns the counter, not yet registered.
+// newRefusals returns refusals whose counter is not registered yet.
 func newRefusals(config Config) *refusals {
 	return &refusals{
 		counter: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -111,22 +112,23 @@
 	}
 }
 
-// note counts an error and returns it.
-func (refusals *refusals) note(listener string, err error) error {
+// record counts and logs an error, and returns it.
+func (refusals *refusals) record(listener string, err error) error {
 	if err == nil {
 		return nil
 	}
 	kind := refusalKind{listener: listener, reason: reasonOf(err)}
 	refusals.counter.WithLabelValues(kind.listener, kind.reason).Inc()
-	if refusals.dueForLog(kind) {
-		refusals.log.Warn("connection refused for its certificate",
+	if refusals.shouldLog(kind) {
+		refusals.log.Warn("connection rejected: no valid client certificate",
 			"listener", kind.listener, "reason", kind.reason, "error", err)
 	}
 	return err
 }
 
-// dueForLog says whether no refusal of the kind was logged in the interval.
-func (refusals *refusals) dueForLog(kind refusalKind) bool {
+// shouldLog reports whether no refusal of this kind was logged in the last
+// refusalLogInterval, and if so records that one is logged now.
+func (refusals *refusals) shouldLog(kind refusalKind) bool {
 	refusals.mutex.Lock()
 	defer refusals.mutex.Unlock()
 	now := refusals.now()
