--- a/internal/command/certificates.go
+++ b/internal/command/certificates.go
@@ -26,7 +26,8 @@
 	stores []*tlsconfig.Store
 }
 
-// openFleet loads the certificates of internal connections if TLS is enabled.
+// openFleet opens the store for internal connections and operators if TLS is
+// enabled.
 func (c *certificates) openFleet() error {
 	if !c.settings.Enabled() {
 		return nil
--- a/internal/topology/service.go
+++ b/internal/topology/service.go
@@ -7,12 +7,12 @@
 
 // Kinds of key sources.
 const (
-	// KeyFromPathSegment takes segment Index of the path, counted from 0
+	// KeyFromPathSegment uses segment Index of the path, counted from 0
 	// after the service's name.
 	KeyFromPathSegment KeySourceKind = iota + 1
-	// KeyFromQuery takes the first value of query parameter Name.
+	// KeyFromQuery uses the first value of query parameter Name.
 	KeyFromQuery
-	// KeyFromHeader takes the first value of header Name.
+	// KeyFromHeader uses the first value of header Name.
 	KeyFromHeader
 )
 
@@ -43,8 +43,8 @@
 	Timeout time.Duration
 }
 
-// PlacementWeights are the weights of the three terms of the placement cost of a
-// service. Only their ratio matters.
+// PlacementWeights weigh imbalance, churn and unavailability against each other in
+// the placement of a service's shards. Only their ratio matters.
 type PlacementWeights struct {
 	Imbalance   float64
 	Churn       float64
@@ -81,7 +81,7 @@
 	DrainLimit time.Duration
 }
 
-// Backend is one server of a service and the agent beside it.
+// Backend is one server of a service, together with its agent.
 type Backend struct {
 	ID       BackendID
 	Service  ServiceID
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -68,7 +68,7 @@
 // Zero is no service.
 type ServiceID uint32
 
-// BackendID identifies a back end and the agent beside it. It is assigned at
+// BackendID identifies a back end together with its agent. It is assigned at
 // creation and never reused. Zero is no back end.
 type BackendID uint32
 
--- a/internal/wire/session.go
+++ b/internal/wire/session.go
@@ -84,7 +84,7 @@
 	HotKeys []KeyLoad
 }
 
-// MaximumHotKeys bounds ShardLoad.HotKeys.
+// MaximumHotKeys is the maximum length of ShardLoad.HotKeys.
 const MaximumHotKeys = 4
 
 // KeyLoad is the estimated share of one key in a shard's requests.
--- a/internal/wire/shard_loads_test.go
+++ b/internal/wire/shard_loads_test.go
@@ -61,11 +61,11 @@
 }
 
 func TestShardLoadsRejectsCorruptData(t *testing.T) {
-	whole, err := ShardLoads{{Shard: 7, Requests: 300, BusyMicros: 70_000, Refused: 3, LongRunning: 2, HotKeys: []KeyLoad{{Key: 5, Share: 1}}}}.GobEncode()
+	encoded, err := ShardLoads{{Shard: 7, Requests: 300, BusyMicros: 70_000, Refused: 3, LongRunning: 2, HotKeys: []KeyLoad{{Key: 5, Share: 1}}}}.GobEncode()
 	assert.NilError(t, err)
-	for size := 1; size < len(whole); size++ {
+	for size := 1; size < len(encoded); size++ {
 		var loads ShardLoads
-		assert.ErrorIs(t, loads.GobDecode(whole[:size]), errCorrupt, "%d bytes", size)
+		assert.ErrorIs(t, loads.GobDecode(encoded[:size]), errCorrupt, "%d bytes", size)
 	}
 	var loads ShardLoads
 	assert.ErrorIs(t, loads.GobDecode([]byte{1, 0, 0}), errCorrupt, "a negative number")
--- a/internal/wire/shards_test.go
+++ b/internal/wire/shards_test.go
@@ -67,11 +67,11 @@
 }
 
 func TestShardsRejectsCorruptData(t *testing.T) {
-	whole, err := Shards{{ID: topology.ShardID{Service: 1, Shard: 300}, Start: 1 << 60, Phase: topology.ShardWarming, Owner: 300, Target: 400, Epoch: 500}}.GobEncode()
+	encoded, err := Shards{{ID: topology.ShardID{Service: 1, Shard: 300}, Start: 1 << 60, Phase: topology.ShardWarming, Owner: 300, Target: 400, Epoch: 500}}.GobEncode()
 	assert.NilError(t, err)
-	for size := 1; size < len(whole); size++ {
+	for size := 1; size < len(encoded); size++ {
 		var shards Shards
-		assert.ErrorIs(t, shards.GobDecode(whole[:size]), errCorrupt, "%d bytes", size)
+		assert.ErrorIs(t, shards.GobDecode(encoded[:size]), errCorrupt, "%d bytes", size)
 	}
 	var shards Shards
 	assert.ErrorIs(t, shards.GobDecode([]byte{1, 2, 0, 2, 1, 1}), errCorrupt, "a negative service")
