--- a/internal/backendapi/client.go
+++ b/internal/backendapi/client.go
@@ -36,7 +36,7 @@
 
 // ErrOvertaken is returned if the back end has already applied a later message.
 // It applied no part of this one.
-var ErrOvertaken = errors.New("back end has already applied a later message")
+var ErrOvertaken = errors.New("message was overtaken by a later one")
 
 // LowerEpochError is returned if the back end has seen a higher epoch of a shard.
 // It applied no part of the message.
@@ -48,7 +48,7 @@
 
 // Error implements error.
 func (e *LowerEpochError) Error() string {
-	return fmt.Sprintf("back end has seen epoch %d of shard %s, which is higher than %d", e.Highest, e.Shard, e.Epoch)
+	return fmt.Sprintf("back end saw epoch %d of shard %s, above %d", e.Highest, e.Shard, e.Epoch)
 }
 
 // StatusError is returned if the back end answers with an unexpected status.
--- a/internal/incarnation/incarnation.go
+++ b/internal/incarnation/incarnation.go
@@ -32,10 +32,10 @@
 
 // Errors of Check.
 var (
-	ErrNoID           = errors.New("missing id")
+	ErrNoID           = errors.New("no id")
 	ErrIDTooLong      = errors.New("id is too long")
-	ErrIDHasSeparator = errors.New("id contains the reserved separator of id and start time")
-	ErrNegativeStart  = errors.New("start time is negative")
+	ErrIDHasSeparator = errors.New("id has a character that separates it from the start")
+	ErrNegativeStart  = errors.New("start is before all times")
 )
 
 // Check reports why an incarnation has no valid name; nil if it has one.
--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -18,10 +18,10 @@
 
 // Errors of Unmarshal in addition to those of encoding/json.
 var (
-	ErrNotObject     = errors.New("not a JSON object")
-	ErrDuplicateName = errors.New("duplicate name")
-	ErrTooDeep       = errors.New("nested too deeply")
-	ErrTrailingData  = errors.New("data after the object")
+	ErrNotObject     = errors.New("no object")
+	ErrDuplicateName = errors.New("name stands twice")
+	ErrTooDeep       = errors.New("nested too deep")
+	ErrTrailingData  = errors.New("bytes after the object")
 )
 
 // Unmarshal parses data, which must be exactly one object. Unknown names are ignored.
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -16,7 +16,7 @@
 // response is seen.
 const inlineBodyLimit = 32 << 10
 
-var errHeaderTooLarge = fmt.Errorf("response header longer than %d bytes", maxHeaderBytes)
+var errHeaderTooLarge = fmt.Errorf("answer header longer than %d bytes", maxHeaderBytes)
 
 // Do sends the request once and returns the response when its header has
 // arrived. The caller must read Response.Body to its end and close it; a
@@ -148,7 +148,7 @@
 			return nil, err
 		}
 		if response.StatusCode == http.StatusSwitchingProtocols {
-			return nil, errors.New("peer switched protocols without a request to do so")
+			return nil, errors.New("peer switched protocols unasked")
 		}
 		if response.StatusCode >= http.StatusOK {
 			return response, nil
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -18,7 +18,7 @@
 	// response header arrived: the peer may have run the request.
 	ErrInterrupted = errors.New("request interrupted")
 	// ErrUndelimited means that the response had neither length nor chunks.
-	ErrUndelimited = errors.New("response without length or chunks")
+	ErrUndelimited = errors.New("answer without length or chunks")
 	// ErrClosed means that the pool was closed.
 	ErrClosed = errors.New("connection pool closed")
 )
