--- a/internal/storage/datadir/datadir.go
+++ b/internal/storage/datadir/datadir.go
@@ -1,8 +1,8 @@
-// Package datadir opens the data folder of a replica and keeps its identity:
-// the group, the ReplicaID once one was given, and the incarnation, a random
-// number drawn when the folder is made. A replica that lost its disk gets a
-// new folder and so a new incarnation, and no member of the group takes it for
-// the old one.
+// Package datadir opens the data folder of a replica and stores the replica's
+// identity: the group, the ReplicaID once it is assigned, and the incarnation, a
+// random number generated when the folder is created. A replica that lost its
+// disk gets a new folder and therefore a new incarnation, so no member of the
+// group mistakes it for the old replica.
 package datadir
 
 import (
@@ -25,14 +25,14 @@
 	lockName     = "lock"
 )
 
-// Identity is what a data folder says of its replica.
+// Identity identifies the replica that a data folder belongs to.
 type Identity struct {
 	Group       topology.GroupID
 	Incarnation topology.Incarnation
-	// Replica is zero until the group has given an ID.
+	// Replica is zero until the group has assigned an ID.
 	Replica topology.ReplicaID
-	// File identifies the identity file itself, so that a copied folder is
-	// told from the folder that was used last.
+	// File identifies the identity file itself, so that a copied folder can be
+	// distinguished from the folder that was used last.
 	File vfs.FileIdentity
 }
 
@@ -49,36 +49,37 @@
 	dir      string
 	lock     io.Closer
 	identity Identity
-	made     bool
-	run      runFile
+	created  bool
+	run      runRecordFile
 }
 
-// ErrCopied says that the folder is a copy of the one that was used last. What
-// the replica promised after the copy was taken is not in it.
+// ErrCopied reports that the folder is a copy of the one that was used last. It
+// lacks the votes and entries that the replica acknowledged after the copy was
+// taken.
 var ErrCopied = errors.New("the data folder is a copy: its identity file is not the file that was written here; start with an empty data folder and replace the member, or, if the folder was only moved to another file system and nothing was lost, see docs/operators/replace-a-lost-disk.md, \"A moved data folder\"")
 
-// Open opens a data folder, and makes it where there is none. A copy of the
-// folder is refused.
+// Open opens a data folder and creates it if it does not exist. It rejects a copy
+// of the folder with ErrCopied.
 func Open(fs vfs.FS, dir string, group topology.GroupID) (*Folder, error) {
-	return openFolder(fs, dir, group, refuseCopies)
+	return openFolder(fs, dir, group, rejectCopies)
 }
 
-// OpenTrusted is Open on a storage that never brings a folder back from a copy.
-// The files' identities, which may change there with each start of the machine,
-// are not looked at.
+// OpenTrusted is like Open, for storage that never restores a folder from a copy.
+// It does not check file identities, which may change there each time the machine
+// starts.
 func OpenTrusted(fs vfs.FS, dir string, group topology.GroupID) (*Folder, error) {
-	return openFolder(fs, dir, group, trustCopies)
+	return openFolder(fs, dir, group, acceptCopies)
 }
 
-// copies says what becomes of a folder that looks like a copy.
-type copies bool
+// copyPolicy decides whether a folder that looks like a copy is accepted.
+type copyPolicy bool
 
 const (
-	refuseCopies copies = false
-	trustCopies  copies = true
+	rejectCopies copyPolicy = false
+	acceptCopies copyPolicy = true
 )
 
-func openFolder(fs vfs.FS, dir string, group topology.GroupID, trust copies) (*Folder, error) {
+func openFolder(fs vfs.FS, dir string, group topology.GroupID, policy copyPolicy) (*Folder, error) {
 	if err := fs.MakeDir(dir); err != nil {
 		return nil, fmt.Errorf("data folder: %w", err)
 	}
@@ -87,26 +88,26 @@
 		return nil, fmt.Errorf("data folder %s: %w", dir, err)
 	}
 	folder := &Folder{fs: fs, dir: dir, lock: lock}
-	if err := folder.load(group, trust); err != nil {
+	if err := folder.load(group, policy); err != nil {
 		lock.Close()
 		return nil, err
 	}
 	return folder, nil
 }
 
-func (f *Folder) load(group topology.GroupID, trust copies) error {
+func (f *Folder) load(group topology.GroupID, policy copyPolicy) error {
 	content, err := vfs.ReadAll(f.fs, f.path())
 	if errors.Is(err, iofs.ErrNotExist) {
-		if err := f.checkUnused(); err != nil {
+		if err := f.checkNoStoredData(); err != nil {
 			return err
 		}
-		f.made = true
+		f.created = true
 		return f.write(Identity{Group: group, Incarnation: newIncarnation()})
 	}
 	if err != nil {
 		return fmt.Errorf("data folder: %w", err)
 	}
-	if err := f.checkCondemned(); err != nil {
+	if err := f.checkMarkedUnusable(); err != nil {
 		return err
 	}
 	identity, err := decode(content)
@@ -120,16 +121,16 @@
 	if err != nil {
 		return fmt.Errorf("data folder: %w", err)
 	}
-	if trust == refuseCopies && actual.Inode != identity.File.Inode {
+	if policy == rejectCopies && actual.Inode != identity.File.Inode {
 		return fmt.Errorf("data folder %s: %w", f.dir, ErrCopied)
 	}
 	f.identity = identity
 	return nil
 }
 
-// checkUnused refuses a folder that holds a log or snapshots but no identity: a
-// new identity must not take them over.
-func (f *Folder) checkUnused() error {
+// checkNoStoredData rejects a folder that holds a log or snapshots but no
+// identity: they must not be assigned to a new identity.
+func (f *Folder) checkNoStoredData() error {
 	for _, dir := range []string{f.WAL(), f.Snapshots()} {
 		names, err := f.fs.List(dir)
 		if err != nil && !errors.Is(err, iofs.ErrNotExist) {
@@ -151,24 +152,25 @@
 // Identity returns the folder's identity.
 func (f *Folder) Identity() Identity { return f.identity }
 
-// Made reports whether Open made the folder.
-func (f *Folder) Made() bool { return f.made }
+// Created reports whether Open created the folder.
+func (f *Folder) Created() bool { return f.created }
 
-// SetReplica stores the ReplicaID that the group gave. It is given once.
+// SetReplica stores the ReplicaID that the group assigned. It cannot be changed
+// afterwards.
 func (f *Folder) SetReplica(id topology.ReplicaID) error {
 	if f.identity.Replica == id {
 		return nil
 	}
 	if f.identity.Replica != 0 {
-		return fmt.Errorf("data folder %s: is replica %d and cannot become replica %d", f.dir, f.identity.Replica, id)
+		return fmt.Errorf("data folder %s: belongs to replica %d and cannot become replica %d", f.dir, f.identity.Replica, id)
 	}
 	identity := f.identity
 	identity.Replica = id
 	return f.write(identity)
 }
 
-// write stores the identity with the inode number of the file itself: the
-// file is made first, then identified, then written.
+// write stores the identity together with the inode number of its own file. The
+// file is therefore created first, then identified, then written.
 func (f *Folder) write(identity Identity) error {
 	temporary := f.path() + vfs.TemporarySuffix
 	file, err := f.fs.Create(temporary)
@@ -197,22 +199,22 @@
 
 func (f *Folder) path() string { return f.dir + "/" + identityName }
 
-// WAL is the folder of the log.
+// WAL returns the path of the log's folder.
 func (f *Folder) WAL() string { return f.dir + "/wal" }
 
-// Snapshots is the folder of the snapshots.
+// Snapshots returns the path of the snapshots' folder.
 func (f *Folder) Snapshots() string { return f.dir + "/snap" }
 
-// FS is the file system that holds the folder.
+// FS returns the file system that holds the folder.
 func (f *Folder) FS() vfs.FS { return f.fs }
 
-// Close ends the lock.
+// Close closes run.json and releases the lock.
 func (f *Folder) Close() error { return errors.Join(f.run.close(), f.lock.Close()) }
 
 func encode(identity Identity) []byte {
 	content, err := json.MarshalIndent(stored{identity, checksum(identity)}, "", "  ")
 	if err != nil {
-		panic(err) // plain fields cannot fail
+		panic(err) // cannot fail: the type has only plain fields
 	}
 	return append(content, '\n')
 }
@@ -231,7 +233,7 @@
 func checksum(identity Identity) uint32 {
 	content, err := json.Marshal(identity)
 	if err != nil {
-		panic(err) // plain fields cannot fail
+		panic(err) // cannot fail: the type has only plain fields
 	}
 	return crc32.Checksum(content, crc32.MakeTable(crc32.Castagnoli))
 }
--- a/internal/storage/datadir/datadir_test.go
+++ b/internal/storage/datadir/datadir_test.go
@@ -30,25 +30,25 @@
 	assert.NilError(t, file.Sync())
 }
 
-func TestTheIdentityOutlivesACrash(t *testing.T) {
+func TestIdentitySurvivesCrash(t *testing.T) {
 	fs := vfs.NewMemory(1)
 	folder := open(t, fs)
-	assert.Assert(t, folder.Made())
+	assert.Assert(t, folder.Created())
 	assert.NilError(t, folder.SetReplica(3))
 	made := folder.Identity()
 	fs.Crash()
 	folder = open(t, fs)
-	assert.Assert(t, !folder.Made())
+	assert.Assert(t, !folder.Created())
 	assert.DeepEqual(t, folder.Identity(), made)
 	assert.ErrorContains(t, folder.SetReplica(4), "cannot become")
 }
 
-func TestTwoFoldersHaveTwoIncarnations(t *testing.T) {
+func TestNewFoldersHaveDistinctIncarnations(t *testing.T) {
 	one, other := open(t, vfs.NewMemory(1)), open(t, vfs.NewMemory(1))
 	assert.Assert(t, one.Identity().Incarnation != other.Identity().Incarnation)
 }
 
-func TestOneProcessUsesAFolder(t *testing.T) {
+func TestFolderIsLockedAgainstSecondOpen(t *testing.T) {
 	fs := vfs.NewMemory(1)
 	folder := open(t, fs)
 	_, err := Open(fs, dir, 1)
@@ -57,14 +57,14 @@
 	open(t, fs)
 }
 
-func TestAFolderOfAnotherGroupIsRefused(t *testing.T) {
+func TestOpenRejectsFolderOfAnotherGroup(t *testing.T) {
 	fs := vfs.NewMemory(1)
 	assert.NilError(t, open(t, fs).Close())
 	_, err := Open(fs, dir, 2)
 	assert.ErrorContains(t, err, "belongs to group 1")
 }
 
-func TestACopiedFolderIsRefused(t *testing.T) {
+func TestOpenRejectsCopiedFolder(t *testing.T) {
 	fs := vfs.NewMemory(1)
 	assert.NilError(t, open(t, fs).Close())
 	content, err := vfs.ReadAll(fs, dir+"/"+identityName)
@@ -74,7 +74,7 @@
 	assert.ErrorIs(t, err, ErrCopied)
 }
 
-func TestAFolderWithAnotherInodeIsTakenWhereTheStorageIsTrusted(t *testing.T) {
+func TestOpenTrustedAcceptsChangedInode(t *testing.T) {
 	fs := vfs.NewMemory(1)
 	folder := open(t, fs)
 	incarnation := folder.Identity().Incarnation
@@ -88,7 +88,7 @@
 	assert.NilError(t, trusted.Close())
 }
 
-func TestADamagedIdentityStopsTheStart(t *testing.T) {
+func TestOpenFailsOnDamagedIdentity(t *testing.T) {
 	fs := vfs.NewMemory(1)
 	assert.NilError(t, open(t, fs).Close())
 	fs.Damage(dir+"/"+identityName, 40)
@@ -97,7 +97,7 @@
 	assert.Assert(t, errors.As(err, &damage))
 }
 
-func TestALostIdentityIsNotMadeAnewOverALog(t *testing.T) {
+func TestOpenDoesNotRecreateIdentityOverExistingLog(t *testing.T) {
 	fs := vfs.NewMemory(1)
 	assert.NilError(t, open(t, fs).Close())
 	write(t, fs, segment, "frames")
@@ -105,11 +105,12 @@
 	_, err := Open(fs, dir, 1)
 	assert.ErrorContains(t, err, "is missing, but data/wal is not empty")
 	_, err = fs.Open(dir + "/" + identityName)
-	assert.Assert(t, err != nil, "nothing is written")
+	assert.Assert(t, err != nil, "Open must not write an identity file")
 }
 
-// left is a folder whose run ended after a write that was noted.
-func left(t *testing.T) *vfs.Memory {
+// folderAfterRun returns a file system with a folder whose last run ended after a
+// write with an up-to-date run record.
+func folderAfterRun(t *testing.T) *vfs.Memory {
 	fs := vfs.NewMemory(1)
 	folder := open(t, fs)
 	write(t, fs, segment, "frame 1")
@@ -119,7 +120,7 @@
 	return fs
 }
 
-func TestWhatProvesThatADiskIsWhole(t *testing.T) {
+func TestProven(t *testing.T) {
 	for name, test := range map[string]struct {
 		change func(fs *vfs.Memory)
 		proven bool
@@ -136,13 +137,13 @@
 			write(t, fs, dir+"/wal/0.wal", "older")
 			assert.NilError(t, fs.Remove(segment))
 		}, false},
-		"a write that was not noted": {func(fs *vfs.Memory) { write(t, fs, dir+"/wal/2.wal", "frame 2") }, false},
-		"no note":                    {func(fs *vfs.Memory) { assert.NilError(t, fs.Remove(dir+"/"+runName)) }, false},
-		"a damaged note":             {func(fs *vfs.Memory) { fs.Damage(dir+"/"+runName, 3) }, false},
-		"the operator's word":        {func(fs *vfs.Memory) { fs.Crash(); write(t, fs, dir+"/"+trustName, "") }, true},
+		"write without a run record": {func(fs *vfs.Memory) { write(t, fs, dir+"/wal/2.wal", "frame 2") }, false},
+		"no run record":              {func(fs *vfs.Memory) { assert.NilError(t, fs.Remove(dir+"/"+runRecordName)) }, false},
+		"damaged run record":         {func(fs *vfs.Memory) { fs.Damage(dir+"/"+runRecordName, 3) }, false},
+		"operator's confirmation":    {func(fs *vfs.Memory) { fs.Crash(); write(t, fs, dir+"/"+trustName, "") }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			fs := left(t)
+			fs := folderAfterRun(t)
 			test.change(fs)
 			folder := open(t, fs)
 			proven, err := folder.Proven()
@@ -151,15 +152,15 @@
 			assert.NilError(t, folder.Forget())
 			proven, err = folder.Proven()
 			assert.NilError(t, err)
-			assert.Assert(t, !proven, "the word counts once, and a note that was forgotten proves nothing")
+			assert.Assert(t, !proven, "a confirmation counts once, and a removed run record proves nothing")
 		})
 	}
 }
 
-func TestANoteOfTheOperatingSystemsFiles(t *testing.T) {
+func TestProvenOnOperatingSystemFiles(t *testing.T) {
 	fs, data := vfs.OS{}, t.TempDir()
 	if fs.Session(data) == "" {
-		t.Skip("this kernel tells no mount from another (Linux 6.8 does)")
+		t.Skip("this kernel has no unique mount IDs (Linux 6.8 and later do)")
 	}
 	folder, err := Open(fs, data, 1)
 	assert.NilError(t, err)
@@ -183,7 +184,7 @@
 	}
 }
 
-func TestACondemnedFolderIsNotUsedAgain(t *testing.T) {
+func TestOpenRejectsFolderMarkedUnusable(t *testing.T) {
 	fs := vfs.NewMemory(1)
 	folder := open(t, fs)
 	assert.NilError(t, folder.Condemn("replica 2 knows of more"))
--- a/internal/storage/snap/snap.go
+++ b/internal/storage/snap/snap.go
@@ -1,9 +1,9 @@
-// Package snap keeps snapshots of a replica's state machine as files.
+// Package snap stores snapshots of a replica's state machine in files.
 //
-// A file holds, in this order: a magic number, the length of the encoded meta
-// data, the meta data (gob), the state machine's data, and the SHA-256 digest
-// of all before it. Files are written under a temporary name, synced and then
-// renamed, so a file with a final name is whole; where its digest does not
+// A file holds, in this order: a magic number, the length of the encoded
+// metadata, the metadata (gob), the state machine's data, and the SHA-256 digest
+// of everything before it. Files are written under a temporary name, synced and
+// then renamed, so a file with a final name is complete; if its digest does not
 // match, the disk has damaged it.
 package snap
 
@@ -26,18 +26,18 @@
 const (
 	magic  = "QDSNAP01"
 	suffix = ".snap"
-	// kept is how many snapshots stay; the older one only for inspection.
-	kept = 2
+	// retainedSnapshots is the number of snapshots that are retained. The older
+	// one is for inspection only.
+	retainedSnapshots = 2
 )
 
-// Store keeps the snapshots in one folder. It is not safe for use by several
-// goroutines.
+// Store manages the snapshots in one folder. It is not safe for concurrent use.
 type Store struct {
 	fs  vfs.FS
 	dir string
 }
 
-// Open returns the store of a folder, which is made where it is not there.
+// Open returns the store of a folder and creates the folder if it does not exist.
 func Open(fs vfs.FS, dir string) (*Store, error) {
 	if err := fs.MakeDir(dir); err != nil {
 		return nil, fmt.Errorf("open snapshots: %w", err)
@@ -46,7 +46,7 @@
 	return s, s.removeUnfinished()
 }
 
-// removeUnfinished removes what a crash left of a snapshot.
+// removeUnfinished removes the partial files of saves that a crash interrupted.
 func (s *Store) removeUnfinished() error {
 	names, err := s.fs.List(s.dir)
 	if err != nil {
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// Load returns the newest snapshot; ok is false where there is none. A
-// snapshot that does not match its digest is a *storage.DamageError.
+// Load returns the newest snapshot; ok is false if there is none. If the snapshot
+// does not match its digest, the error is a *storage.DamageError.
 func (s *Store) Load() (snapshot consensus.Snapshot, ok bool, err error) {
 	names, err := s.list()
 	if err != nil || len(names) == 0 {
@@ -82,21 +82,22 @@
 	return snapshot, true, nil
 }
 
-// Save writes a snapshot and returns once it is durable. Older snapshots are
-// then removed.
+// Save writes a snapshot durably and then removes all but the newest
+// retainedSnapshots.
 func (s *Store) Save(snapshot consensus.Snapshot) error {
 	name := fmt.Sprintf("%016x%s", snapshot.Meta.Index, suffix)
 	if err := vfs.WriteAtomically(s.fs, s.dir, name, Encode(snapshot)); err != nil {
-		if vfs.IsFull(err) {
-			return s.giveUp(name)
+		if vfs.IsDiskFull(err) {
+			return s.discardPartialSave(name)
 		}
 		return &storage.SyncError{File: s.path(name), Err: err}
 	}
 	return s.prune()
 }
 
-// giveUp removes what was written of a snapshot that did not fit.
-func (s *Store) giveUp(name string) error {
+// discardPartialSave removes the partial file of a snapshot that did not fit on
+// the disk.
+func (s *Store) discardPartialSave(name string) error {
 	err := s.fs.Remove(s.path(name + vfs.TemporarySuffix))
 	if err != nil && !errors.Is(err, iofs.ErrNotExist) {
 		return fmt.Errorf("remove unfinished snapshot: %w", err)
@@ -109,10 +110,10 @@
 	if err != nil {
 		return err
 	}
-	if len(names) <= kept {
+	if len(names) <= retainedSnapshots {
 		return nil
 	}
-	for _, name := range names[:len(names)-kept] {
+	for _, name := range names[:len(names)-retainedSnapshots] {
 		if err := s.fs.Remove(s.path(name)); err != nil {
 			return fmt.Errorf("remove old snapshot: %w", err)
 		}
@@ -132,11 +133,11 @@
 
 func (s *Store) path(name string) string { return s.dir + "/" + name }
 
-// Encode returns a snapshot as it is stored and sent.
+// Encode returns a snapshot in the format in which it is stored and sent.
 func Encode(snapshot consensus.Snapshot) []byte {
 	var meta bytes.Buffer
 	if err := gob.NewEncoder(&meta).Encode(snapshot.Meta); err != nil {
-		panic(err) // plain fields into memory cannot fail
+		panic(err) // cannot fail: plain fields encoded into memory
 	}
 	content := make([]byte, 0, len(magic)+4+meta.Len()+len(snapshot.Data)+sha256.Size)
 	content = append(content, magic...)
@@ -150,11 +151,11 @@
 // Errors of Decode.
 var (
 	errShort  = errors.New("the snapshot is too short")
-	errMagic  = errors.New("the file is no snapshot")
+	errMagic  = errors.New("the file is not a snapshot")
 	errDigest = errors.New("the snapshot does not match its digest")
 )
 
-// Decode reads what Encode returned and checks its digest.
+// Decode decodes the output of Encode and checks its digest.
 func Decode(content []byte) (consensus.Snapshot, error) {
 	if len(content) < len(magic)+4+sha256.Size {
 		return consensus.Snapshot{}, errShort
@@ -174,7 +175,7 @@
 	}
 	var snapshot consensus.Snapshot
 	if err := gob.NewDecoder(bytes.NewReader(rest[:metaLength])).Decode(&snapshot.Meta); err != nil {
-		return consensus.Snapshot{}, fmt.Errorf("snapshot meta data: %w", err)
+		return consensus.Snapshot{}, fmt.Errorf("snapshot metadata: %w", err)
 	}
 	snapshot.Data = rest[metaLength:]
 	return snapshot, nil
--- a/internal/storage/snap/snap_test.go
+++ b/internal/storage/snap/snap_test.go
@@ -36,7 +36,7 @@
 	return found
 }
 
-func TestASavedSnapshotOutlivesACrash(t *testing.T) {
+func TestSavedSnapshotSurvivesCrash(t *testing.T) {
 	for seed := range uint64(20) {
 		fs := vfs.NewMemory(seed)
 		store := open(t, fs)
@@ -47,11 +47,11 @@
 		assert.DeepEqual(t, load(t, fs), snapshot(4))
 		names, err := fs.List(dir)
 		assert.NilError(t, err)
-		assert.Assert(t, len(names) <= kept+1, "%v", names)
+		assert.Assert(t, len(names) <= retainedSnapshots+1, "%v", names)
 	}
 }
 
-func TestACrashDuringASaveLeavesTheOlderOne(t *testing.T) {
+func TestCrashDuringSaveKeepsOlderSnapshot(t *testing.T) {
 	for seed := range uint64(20) {
 		fs := vfs.NewMemory(seed)
 		assert.NilError(t, open(t, fs).Save(snapshot(1)))
@@ -67,11 +67,11 @@
 		assert.DeepEqual(t, load(t, fs), snapshot(1))
 		names, err := fs.List(dir)
 		assert.NilError(t, err)
-		assert.Equal(t, len(names), 1, "unfinished files are removed: %v", names)
+		assert.Equal(t, len(names), 1, "unfinished files should be removed: %v", names)
 	}
 }
 
-func TestADamagedSnapshotStopsTheStart(t *testing.T) {
+func TestLoadFailsOnDamagedSnapshot(t *testing.T) {
 	fs := vfs.NewMemory(1)
 	store := open(t, fs)
 	assert.NilError(t, store.Save(snapshot(1)))
@@ -88,30 +88,31 @@
 	}
 }
 
-func TestASnapshotThatDoesNotFitIsRefused(t *testing.T) {
+func TestSaveFailsOnFullDiskAndKeepsOlderSnapshot(t *testing.T) {
 	fs := vfs.NewMemory(1)
 	store := open(t, fs)
 	assert.NilError(t, store.Save(snapshot(1)))
 	used := fs.Used()
 	fs.SetCapacity(used + 100)
 	assert.ErrorIs(t, store.Save(snapshot(2)), storage.ErrDiskFull)
-	assert.Equal(t, fs.Used(), used, "what was written of it is removed")
+	assert.Equal(t, fs.Used(), used, "the partial file should be removed")
 	assert.DeepEqual(t, load(t, fs), snapshot(1))
 	fs.SetCapacity(0)
 	assert.NilError(t, store.Save(snapshot(2)))
 }
 
-// noCreate is a full file system that has no room for one more name.
-type noCreate struct{ *vfs.Memory }
+// failingCreate is a full file system on which not even an empty file can be
+// created.
+type failingCreate struct{ *vfs.Memory }
 
-func (noCreate) Create(string) (vfs.File, error) { return nil, syscall.ENOSPC }
+func (failingCreate) Create(string) (vfs.File, error) { return nil, syscall.ENOSPC }
 
-func TestADiskWithoutRoomForANameIsFullToo(t *testing.T) {
-	store := open(t, noCreate{vfs.NewMemory(1)})
+func TestSaveReportsDiskFullWhenCreateFails(t *testing.T) {
+	store := open(t, failingCreate{vfs.NewMemory(1)})
 	assert.ErrorIs(t, store.Save(snapshot(1)), storage.ErrDiskFull)
 }
 
-func TestAFailedSyncIsNotTriedAgain(t *testing.T) {
+func TestSaveReportsSyncError(t *testing.T) {
 	fs := vfs.NewMemory(1)
 	store := open(t, fs)
 	fs.FailSync(syscall.EIO)
--- a/internal/storage/snap/transfer.go
+++ b/internal/storage/snap/transfer.go
@@ -17,18 +17,18 @@
 // Digest is the SHA-256 digest that ends a snapshot's file.
 type Digest [sha256.Size]byte
 
-// Image names a snapshot's file as it is sent from replica to replica.
+// Image identifies a snapshot's file when it is sent from one replica to another.
 type Image struct {
 	Index  uint64
 	Size   int64
 	Digest Digest
 }
 
-// partSuffix ends the names of files that are being received. They outlive a
-// restart, so that a transfer goes on where it was.
+// partSuffix is the suffix of the names of files that are being received. They
+// survive a restart, so that a transfer can resume.
 const partSuffix = ".part"
 
-// Newest returns the image of the newest snapshot; ok is false where there is
+// Newest returns the image of the newest snapshot; ok is false if there is
 // none.
 func (s *Store) Newest() (image Image, ok bool, err error) {
 	names, err := s.list()
@@ -55,7 +55,7 @@
 }
 
 // ReadPart returns up to length bytes of the newest snapshot's file from an
-// offset, and nothing where the newest is another image by now.
+// offset. It returns nothing if the newest snapshot does not have the given digest.
 func (s *Store) ReadPart(digest Digest, offset int64, length int) ([]byte, error) {
 	image, ok, err := s.Newest()
 	if err != nil || !ok || image.Digest != digest || offset < 0 || offset >= image.Size {
@@ -73,17 +73,17 @@
 	return part, nil
 }
 
-// Incoming is a snapshot that is being received. It is not synced: what a
-// crash leaves of it is checked by its digest, as all of it is.
+// Incoming is a snapshot that is being received. Its file is not synced, because
+// the digest of the complete file also detects damage from a crash.
 type Incoming struct {
-	store *Store
-	image Image
-	file  vfs.File
-	have  int64
+	store    *Store
+	image    Image
+	file     vfs.File
+	received int64
 }
 
-// Receive begins to receive an image, or goes on with what is there of it.
-// What is there of other images is removed.
+// Receive starts or resumes receiving an image. Partial files of other images are
+// removed.
 func (s *Store) Receive(image Image) (*Incoming, error) {
 	name := hex.EncodeToString(image.Digest[:]) + partSuffix
 	if err := s.removeParts(name); err != nil {
@@ -98,24 +98,24 @@
 	if err != nil {
 		return nil, receiveError(err)
 	}
-	if in.have, err = in.file.Size(); err != nil || in.have > image.Size {
-		in.have = 0
+	if in.received, err = in.file.Size(); err != nil || in.received > image.Size {
+		in.received = 0
 	}
 	return in, err
 }
 
-// RemoveParts removes what is there of images that were not received whole.
+// RemoveParts removes all partially received files.
 func (s *Store) RemoveParts() error { return s.removeParts("") }
 
-func (s *Store) removeParts(but string) error {
+func (s *Store) removeParts(except string) error {
 	names, err := s.fs.List(s.dir)
 	if err != nil {
 		return fmt.Errorf("list snapshots: %w", err)
 	}
 	for _, name := range names {
-		if strings.HasSuffix(name, partSuffix) && name != but {
+		if strings.HasSuffix(name, partSuffix) && name != except {
 			if err := s.fs.Remove(s.path(name)); err != nil {
-				return fmt.Errorf("remove part of a snapshot: %w", err)
+				return fmt.Errorf("remove partially received snapshot: %w", err)
 			}
 		}
 	}
@@ -123,35 +123,36 @@
 }
 
 func receiveError(err error) error {
-	if vfs.IsFull(err) {
+	if vfs.IsDiskFull(err) {
 		return fmt.Errorf("receive snapshot: %w", storage.ErrDiskFull)
 	}
 	return fmt.Errorf("receive snapshot: %w", err)
 }
 
-// Image is what is received.
+// Image returns the image that is being received.
 func (in *Incoming) Image() Image { return in.image }
 
-// Have is how many bytes, from the start, are there.
-func (in *Incoming) Have() int64 { return in.have }
+// Have returns the number of bytes received so far.
+func (in *Incoming) Have() int64 { return in.received }
 
-// Whole reports whether all bytes are there.
-func (in *Incoming) Whole() bool { return in.have == in.image.Size }
+// Whole reports whether all bytes have been received.
+func (in *Incoming) Whole() bool { return in.received == in.image.Size }
 
-// Write adds a part. One that does not follow what is there is dropped.
+// Write appends a part. It ignores a part that does not start at the end of the
+// received bytes or exceeds the image's size.
 func (in *Incoming) Write(offset int64, part []byte) error {
-	if offset != in.have || offset+int64(len(part)) > in.image.Size {
+	if offset != in.received || offset+int64(len(part)) > in.image.Size {
 		return nil
 	}
 	if _, err := in.file.WriteAt(part, offset); err != nil {
 		return receiveError(err)
 	}
-	in.have += int64(len(part))
+	in.received += int64(len(part))
 	return nil
 }
 
-// Finish returns the snapshot, once it is whole, and removes the part. On an
-// error the transfer begins anew.
+// Finish decodes the completely received snapshot and removes its file. After an
+// error the transfer starts again from the beginning.
 func (in *Incoming) Finish() (consensus.Snapshot, error) {
 	content := make([]byte, in.image.Size)
 	_, err := in.file.ReadAt(content, 0)
@@ -168,5 +169,5 @@
 	return snapshot, err
 }
 
-// Close ends the receiving; what is there stays for the next Receive.
+// Close closes the file. It stays on disk, so that a later Receive can resume.
 func (in *Incoming) Close() error { return in.file.Close() }
--- a/internal/storage/snap/transfer_test.go
+++ b/internal/storage/snap/transfer_test.go
@@ -8,8 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// transfer copies the newest snapshot in parts until it ends or fails.
-func transfer(t *testing.T, from *Store, in *Incoming, parts int) error {
+// copyParts copies up to parts parts of the newest snapshot until it is complete or
+// a write fails.
+func copyParts(t *testing.T, from *Store, in *Incoming, parts int) error {
 	t.Helper()
 	for range parts {
 		if in.Whole() {
@@ -24,7 +25,7 @@
 	return nil
 }
 
-func offered(t *testing.T) (*Store, Image) {
+func savedSnapshot(t *testing.T) (*Store, Image) {
 	t.Helper()
 	from := open(t, vfs.NewMemory(1))
 	assert.NilError(t, from.Save(snapshot(5)))
@@ -34,19 +35,19 @@
 	return from, image
 }
 
-func TestATransferGoesOnAfterARestart(t *testing.T) {
-	from, image := offered(t)
+func TestTransferResumesAfterRestart(t *testing.T) {
+	from, image := savedSnapshot(t)
 	fs := vfs.NewMemory(2)
 	in, err := open(t, fs).Receive(image)
 	assert.NilError(t, err)
-	assert.NilError(t, transfer(t, from, in, 3))
+	assert.NilError(t, copyParts(t, from, in, 3))
 	assert.NilError(t, in.Close())
 
 	to := open(t, fs)
 	in, err = to.Receive(image)
 	assert.NilError(t, err)
 	assert.Equal(t, in.Have(), int64(900))
-	assert.NilError(t, transfer(t, from, in, 100))
+	assert.NilError(t, copyParts(t, from, in, 100))
 	found, err := in.Finish()
 	assert.NilError(t, err)
 	assert.DeepEqual(t, found, snapshot(5))
@@ -55,21 +56,21 @@
 	assert.Equal(t, len(names), 0, "%v", names)
 }
 
-func TestAPartThatACrashTookIsFoundByTheDigest(t *testing.T) {
-	from, image := offered(t)
+func TestDigestDetectsPartialFileDamagedByCrash(t *testing.T) {
+	from, image := savedSnapshot(t)
 	damaged := 0
 	for seed := range uint64(20) {
 		fs := vfs.NewMemory(seed)
 		in, err := open(t, fs).Receive(image)
 		assert.NilError(t, err)
-		assert.NilError(t, transfer(t, from, in, 4))
+		assert.NilError(t, copyParts(t, from, in, 4))
 		assert.NilError(t, fs.SyncDir(dir))
 		fs.Crash()
 		to := open(t, fs)
 		for {
 			in, err = to.Receive(image)
 			assert.NilError(t, err)
-			assert.NilError(t, transfer(t, from, in, 100))
+			assert.NilError(t, copyParts(t, from, in, 100))
 			found, err := in.Finish()
 			if err == nil {
 				assert.DeepEqual(t, found, snapshot(5))
@@ -78,25 +79,25 @@
 			damaged++
 			names, err := fs.List(dir)
 			assert.NilError(t, err)
-			assert.Equal(t, len(names), 0, "the transfer begins anew")
+			assert.Equal(t, len(names), 0, "the transfer starts again from the beginning")
 		}
 	}
-	assert.Assert(t, damaged > 0, "no crash tore a part")
+	assert.Assert(t, damaged > 0, "no crash damaged a partial file")
 }
 
-func TestAnotherImageReplacesAPart(t *testing.T) {
-	from, image := offered(t)
+func TestReceivingAnotherImageRemovesPartialFile(t *testing.T) {
+	from, image := savedSnapshot(t)
 	fs := vfs.NewMemory(2)
 	to := open(t, fs)
 	in, err := to.Receive(image)
 	assert.NilError(t, err)
-	assert.NilError(t, transfer(t, from, in, 2))
+	assert.NilError(t, copyParts(t, from, in, 2))
 	assert.NilError(t, in.Write(5, []byte("out of order")))
 	assert.Equal(t, in.Have(), int64(600))
 	assert.NilError(t, from.Save(snapshot(6)))
 	part, err := from.ReadPart(image.Digest, 0, 300)
 	assert.NilError(t, err)
-	assert.Equal(t, len(part), 0, "the older image is not offered any more")
+	assert.Equal(t, len(part), 0, "the older image is no longer served")
 	newer, _, err := from.Newest()
 	assert.NilError(t, err)
 	in, err = to.Receive(newer)
@@ -107,12 +108,12 @@
 	assert.Equal(t, len(names), 1)
 }
 
-func TestAFullDiskIsToldToTheReceiver(t *testing.T) {
-	from, image := offered(t)
+func TestReceiverReportsDiskFull(t *testing.T) {
+	from, image := savedSnapshot(t)
 	fs := vfs.NewMemory(2)
 	fs.SetCapacity(1000)
 	in, err := open(t, fs).Receive(image)
 	assert.NilError(t, err)
-	assert.ErrorIs(t, transfer(t, from, in, 100), storage.ErrDiskFull)
+	assert.ErrorIs(t, copyParts(t, from, in, 100), storage.ErrDiskFull)
 	assert.Equal(t, in.Have(), int64(900))
 }
--- a/internal/storage/vfs/allocate_linux.go
+++ b/internal/storage/vfs/allocate_linux.go
@@ -18,7 +18,7 @@
 	return &os.PathError{Op: "allocate", Path: f.Name(), Err: err}
 }
 
-// Sync implements File. fdatasync writes the length too, where it changed.
+// Sync implements File. fdatasync also writes the length if it changed.
 func (f osFile) Sync() error {
 	for {
 		err := syscall.Fdatasync(int(f.Fd()))
--- a/internal/storage/vfs/memory.go
+++ b/internal/storage/vfs/memory.go
@@ -13,27 +13,29 @@
 	"syscall"
 )
 
-// sectorSize is what a disk writes whole or not at all.
+// sectorSize is the unit that a disk writes atomically.
 const sectorSize = 512
 
-// Memory is a file system in memory. Crash forgets what was not synced, except
-// for a random part of it, as a disk does that loses power. It is safe for use
-// by several goroutines.
+// Memory is a file system in memory. Crash discards unsynced data except for a
+// random part of it, as a disk does that loses power. Memory is safe for
+// concurrent use.
 type Memory struct {
-	mu        sync.Mutex
-	random    *rand.Rand
-	names     map[string]*memoryNode
-	durable   map[string]*memoryNode
-	locks     map[string]bool
-	nextInode uint64
-	// capacity in bytes; zero is no bound.
+	mu           sync.Mutex
+	random       *rand.Rand
+	names        map[string]*memoryNode
+	durableNames map[string]*memoryNode
+	locks        map[string]bool
+	nextInode    uint64
+	// capacity in bytes; zero means no limit.
 	capacity  int64
 	syncError error
 	syncs     int
-	// changes numbers the writes, sessions the crashes and restored disks.
-	changes  int64
-	sessions int
-	// generation ends the handles opened before a crash.
+	// writeCount counts writes and serves as the time of change. sessionCount
+	// counts crashes and restores.
+	writeCount   int64
+	sessionCount int
+	// generation counts crashes and restores. It invalidates the file handles
+	// that were opened before.
 	generation int
 }
 
@@ -45,27 +47,28 @@
 	reserved int64
 }
 
-// NewMemory returns an empty file system whose crashes are drawn from a seed.
+// NewMemory returns an empty file system. The seed determines what its crashes
+// discard.
 func NewMemory(seed uint64) *Memory {
 	return &Memory{
-		random:  rand.New(rand.NewPCG(seed, 0)),
-		names:   map[string]*memoryNode{},
-		durable: map[string]*memoryNode{},
-		locks:   map[string]bool{},
+		random:       rand.New(rand.NewPCG(seed, 0)),
+		names:        map[string]*memoryNode{},
+		durableNames: map[string]*memoryNode{},
+		locks:        map[string]bool{},
 	}
 }
 
-// Crash forgets what was not synced and ends all open files and locks. Of each
-// file's unsynced sectors a random part is kept.
+// Crash discards unsynced data, invalidates all open files and releases all
+// locks. A random part of each file's unsynced sectors is kept.
 func (m *Memory) Crash() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.generation++
-	m.sessions++
+	m.sessionCount++
 	m.names = map[string]*memoryNode{}
-	for _, name := range sortedNames(m.durable) {
-		node := m.durable[name]
-		m.tear(node)
+	for _, name := range sortedNames(m.durableNames) {
+		node := m.durableNames[name]
+		m.loseUnsynced(node)
 		m.names[name] = node
 	}
 	m.locks = map[string]bool{}
@@ -81,7 +84,7 @@
 	return names
 }
 
-func (m *Memory) tear(node *memoryNode) {
+func (m *Memory) loseUnsynced(node *memoryNode) {
 	kept := slices.Clone(node.synced)
 	if len(node.content) > len(kept) && m.random.IntN(2) == 0 {
 		kept = append(kept, make([]byte, len(node.content)-len(kept))...)
@@ -96,13 +99,12 @@
 	node.synced = slices.Clone(kept)
 }
 
-// Clone returns a copy of what is durable: an older copy of the disk, to be
-// brought back by Restore.
+// Clone returns a copy of the durable files, which Restore can put back later.
 func (m *Memory) Clone() map[string][]byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	files := make(map[string][]byte, len(m.durable))
-	for name, node := range m.durable {
+	files := make(map[string][]byte, len(m.durableNames))
+	for name, node := range m.durableNames {
 		files[name] = slices.Clone(node.synced)
 	}
 	return files
@@ -114,11 +116,11 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.generation++
-	m.sessions++
+	m.sessionCount++
 	restored := map[string]*memoryNode{}
 	for name, content := range files {
 		node := &memoryNode{content: slices.Clone(content), synced: slices.Clone(content)}
-		if old, ok := m.durable[name]; ok {
+		if old, ok := m.durableNames[name]; ok {
 			node.inode = old.inode
 		} else {
 			m.nextInode++
@@ -127,21 +129,21 @@
 		restored[name] = node
 	}
 	m.names = restored
-	m.durable = make(map[string]*memoryNode, len(restored))
+	m.durableNames = make(map[string]*memoryNode, len(restored))
 	for name, node := range restored {
-		m.durable[name] = node
+		m.durableNames[name] = node
 	}
 	m.locks = map[string]bool{}
 }
 
-// SetCapacity bounds the bytes of all files; zero is no bound.
+// SetCapacity limits the total size of all files in bytes; zero means no limit.
 func (m *Memory) SetCapacity(bytes int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.capacity = bytes
 }
 
-// Used counts the bytes of all files.
+// Used returns the total size of all files in bytes.
 func (m *Memory) Used() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -156,21 +158,22 @@
 	return used
 }
 
-// FailSync lets the next Sync fail, and what it should have synced is lost.
+// FailSync makes the next Sync fail with err and discard the data that it should
+// have synced.
 func (m *Memory) FailSync(err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.syncError = err
 }
 
-// Syncs counts the Sync calls that succeeded.
+// Syncs returns the number of successful Sync calls.
 func (m *Memory) Syncs() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.syncs
 }
 
-// Damage inverts the byte of a file at an offset, on the disk.
+// Damage inverts the byte at an offset of a file, also in its synced content.
 func (m *Memory) Damage(name string, offset int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -179,7 +182,7 @@
 	node.synced = slices.Clone(node.content)
 }
 
-// MakeDir implements FS. Folders exist by their files.
+// MakeDir implements FS. Folders need no creation: they exist through their files.
 func (m *Memory) MakeDir(string) error { return nil }
 
 // Create implements FS.
@@ -244,14 +247,14 @@
 func (m *Memory) SyncDir(dir string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for name := range m.durable {
+	for name := range m.durableNames {
 		if path.Dir(name) == dir {
-			delete(m.durable, name)
+			delete(m.durableNames, name)
 		}
 	}
 	for name, node := range m.names {
 		if path.Dir(name) == dir {
-			m.durable[name] = node
+			m.durableNames[name] = node
 		}
 	}
 	return nil
@@ -283,10 +286,10 @@
 func (m *Memory) Session(string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return fmt.Sprint("session ", m.sessions)
+	return fmt.Sprint("session ", m.sessionCount)
 }
 
-// Overwrite replaces a file's content in place, as a copying program does.
+// Overwrite replaces a file's content in place, as a copy program does.
 func (m *Memory) Overwrite(name string, content []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -296,8 +299,8 @@
 }
 
 func (m *Memory) touch(node *memoryNode) {
-	m.changes++
-	node.changed = m.changes
+	m.writeCount++
+	node.changed = m.writeCount
 }
 
 type memoryLock struct {
@@ -305,7 +308,7 @@
 	name string
 }
 
-// Close ends the lock.
+// Close releases the lock.
 func (l memoryLock) Close() error {
 	l.fs.mu.Lock()
 	defer l.fs.mu.Unlock()
@@ -320,7 +323,7 @@
 	generation int
 }
 
-// lock takes the file system's lock, unless a crash has ended the file.
+// lock locks the file system's mutex. It fails if a crash has invalidated the file.
 func (f *memoryFile) lock() error {
 	f.fs.mu.Lock()
 	if f.generation != f.fs.generation {
--- a/internal/storage/vfs/session_linux.go
+++ b/internal/storage/vfs/session_linux.go
@@ -9,12 +9,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// bootIDFile holds a number that the kernel draws when it starts (proc(5)).
+// bootIDFile holds a random ID that the kernel generates at boot (proc(5)).
 const bootIDFile = "/proc/sys/kernel/random/boot_id"
 
-// Session implements FS. A mount has a number of its own since Linux 6.8
-// (statx(2), STATX_MNT_ID_UNIQUE); older kernels use numbers again, so nothing
-// is known there.
+// Session implements FS. Since Linux 6.8 every mount has a unique ID (statx(2),
+// STATX_MNT_ID_UNIQUE). Older kernels reuse mount IDs, so the session is unknown
+// there.
 func (OS) Session(dir string) string {
 	boot, err := os.ReadFile(filepath.Clean(bootIDFile))
 	if err != nil {
--- a/internal/storage/vfs/session_other.go
+++ b/internal/storage/vfs/session_other.go
@@ -2,5 +2,5 @@
 
 package vfs
 
-// Session implements FS. Nothing is known.
+// Session implements FS. On this platform the session is unknown.
 func (OS) Session(string) string { return "" }
--- a/internal/storage/vfs/vfs_test.go
+++ b/internal/storage/vfs/vfs_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func put(t *testing.T, fs FS, name, text string, sync bool) {
+func writeFile(t *testing.T, fs FS, name, text string, sync bool) {
 	t.Helper()
 	file, err := fs.Create(name)
 	assert.NilError(t, err)
@@ -18,11 +18,11 @@
 	assert.NilError(t, file.Close())
 }
 
-func TestACrashForgetsNamesWhoseFolderWasNotSynced(t *testing.T) {
+func TestCrashLosesNamesOfUnsyncedFolder(t *testing.T) {
 	fs := NewMemory(1)
-	put(t, fs, "d/kept", "a", true)
+	writeFile(t, fs, "d/kept", "a", true)
 	assert.NilError(t, fs.SyncDir("d"))
-	put(t, fs, "d/forgotten", "b", true)
+	writeFile(t, fs, "d/forgotten", "b", true)
 	assert.NilError(t, fs.Rename("d/kept", "d/renamed"))
 	fs.Crash()
 	names, err := fs.List("d")
@@ -30,11 +30,11 @@
 	assert.DeepEqual(t, names, []string{"kept"})
 }
 
-func TestACrashKeepsAnyPartOfWhatWasNotSynced(t *testing.T) {
+func TestCrashKeepsRandomPartOfUnsyncedContent(t *testing.T) {
 	outcomes := map[string]bool{}
 	for seed := range uint64(50) {
 		fs := NewMemory(seed)
-		put(t, fs, "d/a", "old", true)
+		writeFile(t, fs, "d/a", "old", true)
 		assert.NilError(t, fs.SyncDir("d"))
 		file, err := fs.Open("d/a")
 		assert.NilError(t, err)
@@ -42,7 +42,7 @@
 		assert.NilError(t, err)
 		fs.Crash()
 		_, err = file.WriteAt([]byte("x"), 0)
-		assert.Assert(t, err != nil, "files of the crashed process are closed")
+		assert.Assert(t, err != nil, "a crash invalidates open files")
 		content, err := ReadAll(fs, "d/a")
 		assert.NilError(t, err)
 		outcomes[string(content)] = true
@@ -50,7 +50,8 @@
 	assert.DeepEqual(t, outcomes, map[string]bool{"old": true, "new": true})
 }
 
-// Either the old or the new content is there, wherever the crash comes.
+// A crash right after WriteAtomically must keep the new content and leave no
+// temporary file.
 func TestWriteAtomically(t *testing.T) {
 	for name, fs := range map[string]FS{t.TempDir(): OS{}, "d": NewMemory(1)} {
 		assert.NilError(t, fs.MakeDir(name))
@@ -68,17 +69,17 @@
 	}
 }
 
-func TestAFullDiskIsToldAsFull(t *testing.T) {
+func TestIsDiskFullOnWriteAndAllocate(t *testing.T) {
 	fs := NewMemory(1)
 	fs.SetCapacity(100)
 	err := WriteAtomically(fs, "d", "file", make([]byte, 101))
-	assert.Assert(t, IsFull(err))
+	assert.Assert(t, IsDiskFull(err))
 	file, err := fs.Create("d/file")
 	assert.NilError(t, err)
-	assert.Assert(t, IsFull(file.Allocate(200)))
+	assert.Assert(t, IsDiskFull(file.Allocate(200)))
 }
 
-func TestTheOperatingSystemLocksAndAllocates(t *testing.T) {
+func TestOperatingSystemLockAndAllocate(t *testing.T) {
 	fs, dir := OS{}, t.TempDir()
 	lock, err := fs.Lock(dir + "/lock")
 	assert.NilError(t, err)
--- a/internal/storage/wal/written_test.go
+++ b/internal/storage/wal/content_test.go
@@ -9,12 +9,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// A segment is allocated whole, and a process that starts holds up its group's election.
-func TestOpeningTakesMemoryForWhatWasWrittenAlone(t *testing.T) {
+// Segments are allocated at full size. Reading one whole would slow down a starting process, and
+// its group may have no leader until it has started.
+func TestOpenAllocatesOnlyForWrittenBytes(t *testing.T) {
 	fs := vfs.NewMemory(1)
 	log, _, err := Open(fs, dir, Options{})
 	assert.NilError(t, err)
-	all := fill(t, log, 20)
+	all := appendEach(t, log, 20)
 	assert.NilError(t, log.Close())
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -22,19 +23,19 @@
 	runtime.ReadMemStats(&after)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, contents.Entries, all)
-	const most = 8 * blockBytes
-	assert.Assert(t, after.TotalAlloc-before.TotalAlloc < most, "%d bytes of a segment of %d", after.TotalAlloc-before.TotalAlloc, DefaultSegmentBytes)
+	const maxAllocated = 8 * blockBytes
+	assert.Assert(t, after.TotalAlloc-before.TotalAlloc < maxAllocated, "%d bytes of a segment of %d", after.TotalAlloc-before.TotalAlloc, DefaultSegmentBytes)
 }
 
-// What a frame ends in may be zeros, in any number, and so may the end of its header.
-func TestFramesThatEndInZerosAreWhole(t *testing.T) {
+// A frame, or its header, may end in any number of zeros.
+func TestFramesEndingInZerosAreRead(t *testing.T) {
 	for _, size := range []int{0, 1, blockBytes - 3*headerSize, blockBytes, 3 * blockBytes} {
 		for shift := 0; shift < 4*headerSize; shift += 5 {
 			fs := vfs.NewMemory(1)
 			log, _, err := Open(fs, dir, Options{})
 			assert.NilError(t, err)
 			// The next frame begins around the end of a block.
-			first := consensus.Entry{Index: 1, Term: 1, Kind: consensus.EntryCommand, Data: make([]byte, blockBytes-int(log.offset)-3*headerSize+shift)}
+			first := consensus.Entry{Index: 1, Term: 1, Kind: consensus.EntryCommand, Data: make([]byte, blockBytes-int(log.writeOffset)-3*headerSize+shift)}
 			last := consensus.Entry{Index: 2, Term: 1, Kind: consensus.EntryCommand, Data: make([]byte, size)}
 			assert.NilError(t, log.Append(nil, []consensus.Entry{first}))
 			assert.NilError(t, log.Append(nil, []consensus.Entry{last}))
--- a/internal/storage/wal/frame.go
+++ b/internal/storage/wal/frame.go
@@ -10,45 +10,47 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-// A frame is what one synced write holds:
+// A frame is the unit of one synced write:
 //
 //	magic     4 bytes
-//	checksum  4 bytes, CRC-32C of what follows
+//	checksum  4 bytes, CRC-32C of the rest of the frame
 //	length    4 bytes, of the payload
 //	kind      4 bytes
 //	sequence  8 bytes, consecutive over all segments
 //	payload   padded with zeros to a multiple of 8 bytes
 //
-// Numbers are little endian, or varints within the payload.
+// Numbers are little-endian in the header and varints in the payload.
 const (
 	frameMagic     = 0x51445731
 	headerSize     = 24
 	frameAlignment = 8
-	// maxPayload bounds what a length may claim.
+	// maxPayload is the largest payload length that a valid header may declare.
 	maxPayload = 1 << 30
 )
 
 type frameKind uint32
 
 const (
-	// kindSegment begins a segment: hard state, and where the log ended.
+	// kindSegment is the first frame of a segment. It holds the hard state and
+	// the position of the last entry before the segment.
 	kindSegment frameKind = iota + 1
 	// kindAppend holds a hard state and entries.
 	kindAppend
-	// kindReset empties the log: it goes on after a snapshot.
+	// kindReset empties the log after a snapshot was installed. It holds the
+	// hard state and the snapshot's position.
 	kindReset
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// errFrame is why bytes are not a frame.
-var errFrame = errors.New("not a whole frame")
+// errInvalidFrame reports that data does not start with a complete, intact frame.
+var errInvalidFrame = errors.New("incomplete or damaged frame")
 
 type frame struct {
 	kind     frameKind
 	sequence uint64
 	payload  []byte
-	// size with header and padding.
+	// size includes the header and the padding.
 	size int64
 }
 
@@ -68,9 +70,9 @@
 	return buffer
 }
 
-// claimedLength returns the length of the payload that the header at the start of data
-// gives; ok is false where there is no header.
-func claimedLength(data []byte) (length int64, ok bool) {
+// declaredLength returns the payload length in the header at the start of data; ok is false if
+// there is no valid header.
+func declaredLength(data []byte) (length int64, ok bool) {
 	if len(data) < headerSize || binary.LittleEndian.Uint32(data) != frameMagic {
 		return 0, false
 	}
@@ -80,16 +82,16 @@
 
 // parseFrame reads the frame at the start of data.
 func parseFrame(data []byte) (frame, error) {
-	length, ok := claimedLength(data)
+	length, ok := declaredLength(data)
 	if !ok {
-		return frame{}, errFrame
+		return frame{}, errInvalidFrame
 	}
 	size := paddedSize(length)
 	if size > int64(len(data)) {
-		return frame{}, errFrame
+		return frame{}, errInvalidFrame
 	}
 	if crc32.Checksum(data[8:size], castagnoli) != binary.LittleEndian.Uint32(data[4:]) {
-		return frame{}, errFrame
+		return frame{}, errInvalidFrame
 	}
 	return frame{
 		kind:     frameKind(binary.LittleEndian.Uint32(data[12:])),
@@ -127,19 +129,19 @@
 	return buffer
 }
 
-// decoder reads a payload; the first error stays.
+// decoder reads a payload. After the first error it returns zero values and keeps the error.
 type decoder struct {
 	rest []byte
 	err  error
 }
 
-func (d *decoder) number() uint64 {
+func (d *decoder) uvarint() uint64 {
 	if d.err != nil {
 		return 0
 	}
 	value, size := binary.Uvarint(d.rest)
 	if size <= 0 {
-		d.err = fmt.Errorf("payload: number expected, %d bytes left", len(d.rest))
+		d.err = fmt.Errorf("payload: varint expected, %d bytes left", len(d.rest))
 		return 0
 	}
 	d.rest = d.rest[size:]
@@ -147,7 +149,7 @@
 }
 
 func (d *decoder) bytes() []byte {
-	length := d.number()
+	length := d.uvarint()
 	if d.err == nil && length > uint64(len(d.rest)) {
 		d.err = fmt.Errorf("payload: %d bytes expected, %d left", length, len(d.rest))
 	}
@@ -160,16 +162,16 @@
 }
 
 func (d *decoder) hardState() consensus.HardState {
-	return consensus.HardState{Term: d.number(), Vote: topology.ReplicaID(d.number()), Commit: d.number()}
+	return consensus.HardState{Term: d.uvarint(), Vote: topology.ReplicaID(d.uvarint()), Commit: d.uvarint()}
 }
 
 func (d *decoder) position() position {
-	return position{index: d.number(), term: d.number()}
+	return position{index: d.uvarint(), term: d.uvarint()}
 }
 
 func (d *decoder) entries() []consensus.Entry {
-	count := d.number()
-	// Each entry takes at least four bytes, which bounds the allocation.
+	count := d.uvarint()
+	// Each entry takes at least four bytes, so this bounds the allocation below.
 	if d.err == nil && count > uint64(len(d.rest))/4 {
 		d.err = fmt.Errorf("payload: %d entries in %d bytes", count, len(d.rest))
 	}
@@ -178,7 +180,7 @@
 	}
 	entries := make([]consensus.Entry, 0, count)
 	for range count {
-		entry := consensus.Entry{Index: d.number(), Term: d.number(), Kind: consensus.EntryKind(d.number()), Data: d.bytes()}
+		entry := consensus.Entry{Index: d.uvarint(), Term: d.uvarint(), Kind: consensus.EntryKind(d.uvarint()), Data: d.bytes()}
 		entries = append(entries, entry)
 	}
 	return entries
--- a/internal/storage/wal/wal.go
+++ b/internal/storage/wal/wal.go
@@ -1,22 +1,22 @@
-// Package wal keeps a replica's hard state and log entries in segment files.
+// Package wal stores a replica's hard state and log entries in segment files.
 //
 // # Writing
 //
-// Each Append is one frame, written at the end of the newest segment and
-// synced before Append returns, so at most the last frame of the newest
-// segment can be torn. Segments are allocated whole; where no further segment
-// can be allocated, Append returns storage.ErrDiskFull before it has written
-// anything. The end of each segment is reserved for hard states, so a replica
-// whose disk is full still votes and follows terms.
+// Each Append writes one frame at the end of the newest segment and syncs it
+// before it returns, so at most the last frame of the newest segment can be
+// torn. Segments are allocated at full size; if no further segment can be
+// allocated, Append returns storage.ErrDiskFull before it has written anything.
+// The end of each segment is reserved for frames without entries, so a replica
+// whose disk is full can still vote and record new terms.
 //
 // # Reading
 //
-// An invalid frame in the newest segment after which no valid frame follows is
-// a torn write: it was never acknowledged, and it is cut off. An invalid frame
-// that valid frames follow was synced once: that is damage, and Open returns a
-// *storage.DamageError without changing any file. Damage to the very last
-// frame cannot be told from a torn write by the file alone; the replica finds
-// it by asking its peers when it starts (docs/decisions/003-storage-and-lost-disks.md).
+// An invalid frame in the newest segment with no valid frame after it is a torn
+// write: it was never acknowledged, and it is truncated. An invalid frame with
+// valid frames after it was once synced: this is damage, and Open returns a
+// *storage.DamageError without changing any file. Damage to the very last frame
+// cannot be distinguished from a torn write by the file alone; the replica
+// detects it by asking its peers when it starts (docs/decisions/003-storage-and-lost-disks.md).
 package wal
 
 import (
@@ -28,11 +28,12 @@
 	"github.com/quartzdock/quartzdock/internal/storage/vfs"
 )
 
-// Options of a Log. Zero fields take the defaults.
+// Options configures a Log. Zero fields take the defaults.
 type Options struct {
 	// SegmentBytes is the size of a segment file.
 	SegmentBytes int64
-	// ReserveBytes at the end of each segment take hard states only.
+	// ReserveBytes is the space at the end of each segment that is reserved for
+	// frames without entries.
 	ReserveBytes int64
 }
 
@@ -42,40 +43,42 @@
 	DefaultReserveBytes = 64 << 10
 )
 
-// position is an entry's place in the log.
+// position is the index and term of a log entry.
 type position struct{ index, term uint64 }
 
-// Log is an open log. It is not safe for use by several goroutines.
+// Log is an open log. It is not safe for concurrent use.
 type Log struct {
 	fs      vfs.FS
 	dir     string
 	options Options
-	// segments by age; the last one is written.
-	segments []segment
-	file     vfs.File
-	offset   int64
-	size     int64
-	sequence uint64
-	hard     consensus.HardState
-	end      position
-	buffer   []byte
-	failed   error
+	// segments are ordered from oldest to newest; frames are written to the last.
+	segments    []segment
+	file        vfs.File
+	writeOffset int64
+	segmentSize int64
+	sequence    uint64
+	hardState   consensus.HardState
+	// end is the position of the last entry.
+	end    position
+	buffer []byte
+	// failed is the error after which all writes are rejected.
+	failed error
 }
 
-// segment is a file and the highest entry in it.
+// segment is a segment file and the highest entry index in it.
 type segment struct {
 	name     string
 	maxIndex uint64
 }
 
-// Append writes a hard state, if it is not nil, and entries, and syncs them.
-// Entries replace those of the same and higher indexes. After any error but
-// storage.ErrDiskFull the log takes nothing more.
+// Append writes entries and, if it is not nil, a hard state, and syncs them.
+// The entries replace existing ones at the same and higher indexes. After any
+// error other than storage.ErrDiskFull, all later writes fail with that error.
 func (l *Log) Append(hard *consensus.HardState, entries []consensus.Entry) error {
 	if l.failed != nil {
 		return l.failed
 	}
-	state := l.hard
+	state := l.hardState
 	if hard != nil {
 		state = *hard
 	}
@@ -85,15 +88,15 @@
 	if err := l.write(kindAppend, payload, len(entries) == 0); err != nil {
 		return err
 	}
-	l.hard = state
+	l.hardState = state
 	if count := len(entries); count > 0 {
-		l.noteEnd(position{entries[count-1].Index, entries[count-1].Term})
+		l.setEnd(position{entries[count-1].Index, entries[count-1].Term})
 	}
 	return nil
 }
 
-// Reset empties the log after a snapshot was installed: it goes on after the
-// snapshot's index.
+// Reset empties the log after a snapshot was installed. The next entry is the
+// one after the snapshot's index.
 func (l *Log) Reset(hard consensus.HardState, snapshotIndex, snapshotTerm uint64) error {
 	if l.failed != nil {
 		return l.failed
@@ -103,12 +106,12 @@
 	if err := l.write(kindReset, payload, true); err != nil {
 		return err
 	}
-	l.hard = hard
-	l.noteEnd(at)
+	l.hardState = hard
+	l.setEnd(at)
 	return nil
 }
 
-func (l *Log) noteEnd(at position) {
+func (l *Log) setEnd(at position) {
 	l.end = at
 	newest := &l.segments[len(l.segments)-1]
 	newest.maxIndex = max(newest.maxIndex, at.index)
@@ -118,36 +121,36 @@
 // without entries.
 func (l *Log) write(kind frameKind, payload []byte, mayUseReserve bool) error {
 	need := paddedSize(int64(len(payload)))
-	limit := l.size - l.options.ReserveBytes
-	if l.offset+need > limit {
+	limit := l.segmentSize - l.options.ReserveBytes
+	if l.writeOffset+need > limit {
 		err := l.roll(need)
-		if err != nil && !(mayUseReserve && errors.Is(err, storage.ErrDiskFull) && l.offset+need <= l.size) {
+		if err != nil && !(mayUseReserve && errors.Is(err, storage.ErrDiskFull) && l.writeOffset+need <= l.segmentSize) {
 			return err
 		}
 	}
 	data := appendFrame(nil, kind, l.sequence+1, payload)
-	if _, err := l.file.WriteAt(data, l.offset); err != nil {
+	if _, err := l.file.WriteAt(data, l.writeOffset); err != nil {
 		return l.writeError(err)
 	}
 	if err := l.file.Sync(); err != nil {
 		return l.fail(&storage.SyncError{File: l.newest(), Err: err})
 	}
 	l.sequence++
-	l.offset += int64(len(data))
+	l.writeOffset += int64(len(data))
 	return nil
 }
 
-// writeError handles a failed write. A file system that does not keep its
-// reservations may be full; the part that was written is then cut off, and the
-// segment takes no more.
+// writeError handles a failed write. A file system that does not honor
+// allocations may be full; the partial write is then truncated, and the segment
+// accepts no further frames.
 func (l *Log) writeError(err error) error {
-	if !vfs.IsFull(err) {
+	if !vfs.IsDiskFull(err) {
 		return l.fail(fmt.Errorf("write log: %w", err))
 	}
-	if err := l.file.Truncate(l.offset); err != nil {
+	if err := l.file.Truncate(l.writeOffset); err != nil {
 		return l.fail(fmt.Errorf("write log: %w", err))
 	}
-	l.size = l.offset
+	l.segmentSize = l.writeOffset
 	return fmt.Errorf("%s: %w", l.newest(), storage.ErrDiskFull)
 }
 
@@ -160,10 +163,10 @@
 
 func (l *Log) path(name string) string { return l.dir + "/" + name }
 
-// roll begins a segment that has room for a frame of need bytes. Where there
-// is no space, the log goes on with the present segment.
+// roll starts a new segment with space for a frame of need bytes. If the disk is
+// full, the current segment stays in use.
 func (l *Log) roll(need int64) error {
-	header := appendPosition(appendHardState(nil, l.hard), l.end)
+	header := appendPosition(appendHardState(nil, l.hardState), l.end)
 	headerSize := paddedSize(int64(len(header)))
 	size := max(l.options.SegmentBytes, headerSize+need+l.options.ReserveBytes)
 	name := segmentName(l.sequence + 1)
@@ -186,13 +189,14 @@
 			return l.fail(fmt.Errorf("close log: %w", err))
 		}
 	}
-	l.file, l.offset, l.size = file, int64(len(data)), size
+	l.file, l.writeOffset, l.segmentSize = file, int64(len(data)), size
 	l.sequence++
 	l.segments = append(l.segments, segment{name: name})
 	return nil
 }
 
-// allocate makes a segment file of full size, or none.
+// allocate creates a segment file and allocates its full size. If that fails, it
+// leaves no file.
 func (l *Log) allocate(name string, size int64) (vfs.File, error) {
 	file, err := l.fs.Create(l.path(name))
 	if err != nil {
@@ -209,29 +213,30 @@
 }
 
 func (l *Log) allocationError(name string, err error) error {
-	if vfs.IsFull(err) {
+	if vfs.IsDiskFull(err) {
 		return fmt.Errorf("%s: %w", l.path(name), storage.ErrDiskFull)
 	}
 	return l.fail(fmt.Errorf("allocate log segment: %w", err))
 }
 
-// HasRoom reports whether an Append of a number of bytes of entries needs no
-// new segment. It is a hint for refusing proposals early.
-func (l *Log) HasRoom(bytes int64) bool {
-	return l.offset+paddedSize(bytes) <= l.size-l.options.ReserveBytes
+// HasSpaceFor reports whether an Append with the given number of bytes needs no
+// new segment. It is a hint for rejecting proposals early.
+func (l *Log) HasSpaceFor(bytes int64) bool {
+	return l.writeOffset+paddedSize(bytes) <= l.segmentSize-l.options.ReserveBytes
 }
 
-// TryRoll begins a new segment if an Append of a number of bytes would need
-// one, and returns storage.ErrDiskFull where there is no space.
+// TryRoll starts a new segment if an Append with the given number of bytes would
+// need one, and returns storage.ErrDiskFull if there is not enough space.
 func (l *Log) TryRoll(bytes int64) error {
-	if l.failed != nil || l.HasRoom(bytes) {
+	if l.failed != nil || l.HasSpaceFor(bytes) {
 		return l.failed
 	}
 	return l.roll(paddedSize(bytes))
 }
 
 // Compact removes the oldest segments that hold only entries before index. The
-// entry at index stays, because Open compares it with the snapshot.
+// entry at index is kept, because the caller compares it with the snapshot when
+// it opens the log.
 func (l *Log) Compact(index uint64) error {
 	removed := 0
 	for removed < len(l.segments)-1 && l.segments[removed].maxIndex < index {
@@ -250,10 +255,10 @@
 	return nil
 }
 
-// Newest is the path of the segment that is written.
+// Newest returns the path of the segment that is being written.
 func (l *Log) Newest() string { return l.newest() }
 
-// Segments counts the segment files.
+// Segments returns the number of segment files.
 func (l *Log) Segments() int { return len(l.segments) }
 
 // Close closes the log.
--- a/internal/storage/wal/wal_test.go
+++ b/internal/storage/wal/wal_test.go
@@ -16,11 +16,11 @@
 
 const dir = "data/wal"
 
-var small = Options{SegmentBytes: 4096, ReserveBytes: 512}
+var smallSegments = Options{SegmentBytes: 4096, ReserveBytes: 512}
 
 func open(t testing.TB, fs vfs.FS) (*Log, Contents) {
 	t.Helper()
-	log, contents, err := Open(fs, dir, small)
+	log, contents, err := Open(fs, dir, smallSegments)
 	assert.NilError(t, err)
 	return log, contents
 }
@@ -34,8 +34,8 @@
 	return made
 }
 
-// fill appends one entry after the other.
-func fill(t testing.TB, log *Log, count int) []consensus.Entry {
+// appendEach appends count entries, each with its own call of Append.
+func appendEach(t testing.TB, log *Log, count int) []consensus.Entry {
 	t.Helper()
 	all := entries(1, 1, count)
 	for i := range all {
@@ -44,11 +44,11 @@
 	return all
 }
 
-func TestWhatWasAppendedOutlivesACrash(t *testing.T) {
+func TestAppendedEntriesSurviveCrash(t *testing.T) {
 	for seed := range uint64(20) {
 		fs := vfs.NewMemory(seed)
 		log, _ := open(t, fs)
-		all := fill(t, log, 300)
+		all := appendEach(t, log, 300)
 		assert.Assert(t, log.Segments() > 3)
 		fs.Crash()
 		_, contents := open(t, fs)
@@ -57,27 +57,27 @@
 	}
 }
 
-func TestEntriesReplaceThoseOfTheSameAndHigherIndexes(t *testing.T) {
+func TestAppendReplacesEntriesAtSameAndHigherIndexes(t *testing.T) {
 	fs := vfs.NewMemory(1)
 	log, _ := open(t, fs)
-	fill(t, log, 10)
+	appendEach(t, log, 10)
 	assert.NilError(t, log.Append(nil, entries(2, 6, 2)))
 	_, contents := open(t, fs)
 	assert.DeepEqual(t, contents.Entries, append(entries(1, 1, 5), entries(2, 6, 2)...))
 	assert.Equal(t, contents.HardState.Vote, consensus.HardState{Vote: 2}.Vote, "a write without a hard state keeps it")
 }
 
-// A write that was torn by a power cut is cut off, whatever sectors of it
-// reached the disk; all before it stays.
-func TestATornWriteIsCutOff(t *testing.T) {
+// A write torn by a power loss is truncated, whichever of its sectors reached the
+// disk; all frames before it are kept.
+func TestTornWriteIsTruncated(t *testing.T) {
 	torn := 0
 	for seed := range uint64(60) {
 		fs := vfs.NewMemory(seed)
 		log, _ := open(t, fs)
-		all := fill(t, log, 5)
-		// A frame over several sectors, which is not synced.
-		frame := appendFrame(nil, kindAppend, log.sequence+1, appendEntries(appendHardState(nil, log.hard), entries(9, 6, 150)))
-		_, err := log.file.WriteAt(frame[:min(len(frame), int(log.size-log.offset))], log.offset)
+		all := appendEach(t, log, 5)
+		// A frame that spans several sectors and is not synced.
+		frame := appendFrame(nil, kindAppend, log.sequence+1, appendEntries(appendHardState(nil, log.hardState), entries(9, 6, 150)))
+		_, err := log.file.WriteAt(frame[:min(len(frame), int(log.segmentSize-log.writeOffset))], log.writeOffset)
 		assert.NilError(t, err)
 		fs.Crash()
 		reopened, contents := open(t, fs)
@@ -98,17 +98,17 @@
 	assert.Assert(t, torn > 20, "%d of 60 crashes tore a write", torn)
 }
 
-func TestDamageInTheMiddleStopsTheStartAndChangesNothing(t *testing.T) {
+func TestOpenFailsOnDamagedFrameWithoutChangingFiles(t *testing.T) {
 	fs := vfs.NewMemory(1)
 	log, _ := open(t, fs)
-	fill(t, log, 200)
+	appendEach(t, log, 200)
 	names, err := fs.List(dir)
 	assert.NilError(t, err)
 	for _, name := range []string{names[0], names[1], names[len(names)-1]} {
 		for _, offset := range []int64{0, 9, 100, 300} {
 			fs.Damage(dir+"/"+name, offset)
 			before := fs.Clone()
-			_, _, err := Open(fs, dir, small)
+			_, _, err := Open(fs, dir, smallSegments)
 			var damage *storage.DamageError
 			assert.Assert(t, errors.As(err, &damage), "%s at %d: %v", name, offset, err)
 			assert.Equal(t, damage.File, dir+"/"+name)
@@ -121,27 +121,27 @@
 	open(t, fs)
 }
 
-func TestAMissingSegmentIsDamage(t *testing.T) {
+func TestOpenFailsOnMissingSegment(t *testing.T) {
 	fs := vfs.NewMemory(1)
 	log, _ := open(t, fs)
-	fill(t, log, 200)
+	appendEach(t, log, 200)
 	names, err := fs.List(dir)
 	assert.NilError(t, err)
 	assert.NilError(t, fs.Remove(dir+"/"+names[1]))
-	_, _, err = Open(fs, dir, small)
+	_, _, err = Open(fs, dir, smallSegments)
 	assert.ErrorContains(t, err, "follows frame")
 }
 
-func TestAFailedSyncEndsTheLog(t *testing.T) {
+func TestAppendFailsAfterSyncError(t *testing.T) {
 	fs := vfs.NewMemory(1)
 	log, _ := open(t, fs)
-	fill(t, log, 3)
+	appendEach(t, log, 3)
 	fs.FailSync(syscall.EIO)
 	err := log.Append(nil, entries(1, 4, 1))
 	var failed *storage.SyncError
 	assert.Assert(t, errors.As(err, &failed))
 	assert.ErrorIs(t, err, syscall.EIO)
-	// The next sync would succeed, and say nothing of what was lost.
+	// The next sync would succeed, although the data was lost.
 	syncs := fs.Syncs()
 	assert.ErrorIs(t, log.Append(nil, entries(1, 4, 1)), err)
 	assert.Equal(t, fs.Syncs(), syncs)
@@ -149,10 +149,10 @@
 	assert.Equal(t, len(contents.Entries), 3)
 }
 
-func TestAFullDiskRefusesEntriesAndStillTakesVotes(t *testing.T) {
+func TestFullDiskRejectsEntriesButAcceptsHardState(t *testing.T) {
 	fs := vfs.NewMemory(1)
 	log, _ := open(t, fs)
-	fs.SetCapacity(fs.Used() + 2*small.SegmentBytes)
+	fs.SetCapacity(fs.Used() + 2*smallSegments.SegmentBytes)
 	written := 0
 	var err error
 	for err == nil {
@@ -174,10 +174,10 @@
 	assert.NilError(t, log.Append(nil, entries(1, uint64(written)+1, 1)))
 }
 
-func TestResetGoesOnAfterTheSnapshot(t *testing.T) {
+func TestLogContinuesAfterResetToSnapshot(t *testing.T) {
 	fs := vfs.NewMemory(1)
 	log, _ := open(t, fs)
-	fill(t, log, 10)
+	appendEach(t, log, 10)
 	assert.NilError(t, log.Reset(consensus.HardState{Term: 3, Commit: 50}, 50, 2))
 	assert.NilError(t, log.Append(nil, entries(3, 51, 2)))
 	fs.Crash()
@@ -187,21 +187,22 @@
 	assert.DeepEqual(t, contents.Entries, entries(3, 51, 2))
 }
 
-func TestCompactKeepsWhatTheSnapshotLacks(t *testing.T) {
+func TestCompactKeepsEntriesAfterSnapshot(t *testing.T) {
 	fs := vfs.NewMemory(1)
 	log, _ := open(t, fs)
-	all := fill(t, log, 300)
+	all := appendEach(t, log, 300)
 	before := log.Segments()
 	assert.NilError(t, log.Compact(200))
 	assert.Assert(t, log.Segments() < before)
 	fs.Crash()
 	_, contents := open(t, fs)
-	assert.Assert(t, contents.BaseIndex < 200, "the snapshot's own entry stays")
+	assert.Assert(t, contents.BaseIndex < 200, "the entry at the snapshot's index is kept")
 	assert.DeepEqual(t, contents.Entries, all[contents.BaseIndex:])
 }
 
-// TestRandomCrashesLoseOnlyWhatWasNotSynced compares the log with a list.
-func TestRandomCrashesLoseOnlyWhatWasNotSynced(t *testing.T) {
+// TestSyncedEntriesSurviveRandomCrashes compares the log with a slice of entries
+// as its model.
+func TestSyncedEntriesSurviveRandomCrashes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		fs := vfs.NewMemory(rapid.Uint64().Draw(rt, "seed"))
 		log, _ := open(t, fs)
@@ -237,15 +238,15 @@
 	})
 }
 
-// FuzzOpen feeds any bytes as the newest segment: Open must end with contents
-// or an error, and what it returns must open again.
+// FuzzOpen opens arbitrary bytes as the newest segment: Open must return contents
+// or an error, and reopening must return the same entries.
 func FuzzOpen(f *testing.F) {
 	fs := vfs.NewMemory(1)
 	log, _ := open(f, fs)
-	fill(f, log, 4)
+	appendEach(f, log, 4)
 	content, err := vfs.ReadAll(fs, log.newest())
 	assert.NilError(f, err)
-	whole := content[:log.offset]
+	whole := content[:log.writeOffset]
 	f.Add(whole)
 	f.Add(whole[:len(whole)-3])
 	f.Add([]byte{})
@@ -255,7 +256,7 @@
 		assert.NilError(t, err)
 		_, err = file.WriteAt(content, 0)
 		assert.NilError(t, err)
-		log, contents, err := Open(fs, dir, small)
+		log, contents, err := Open(fs, dir, smallSegments)
 		if err != nil {
 			return
 		}
@@ -265,7 +266,7 @@
 	})
 }
 
-// FuzzPayload feeds any bytes as a frame's payload, past the checksum.
+// FuzzPayload decodes arbitrary bytes as a frame's payload, without a checksum.
 func FuzzPayload(f *testing.F) {
 	whole := appendEntries(appendPosition(appendHardState(nil, consensus.HardState{Term: 300, Vote: 2, Commit: 9}), position{8, 1}), entries(1, 9, 2))
 	f.Add(whole)
