--- a/internal/requestid/requestid.go
+++ b/internal/requestid/requestid.go
@@ -1,7 +1,7 @@
-// Package requestid reads and makes the ids by which a caller names a request
-// that must not run twice: UUIDs of version 7 (RFC 9562 section 5.7). The time
-// stamp inside an id bounds how old the request can be, which lets an owner
-// that lost the record of earlier ids tell new requests from possible repeats
+// Package requestid parses and generates the IDs with which callers identify
+// requests that must not run twice: UUIDs of version 7 (RFC 9562 section 5.7).
+// The timestamp in an ID bounds the age of the request. It lets an owner that lost
+// its record of earlier IDs distinguish new requests from possible repeats
 // (docs/decisions/007-request-record.md).
 package requestid
 
@@ -13,31 +13,31 @@
 	"time"
 )
 
-// Findings of Parse.
+// Errors that Parse wraps.
 var (
 	ErrSyntax  = errors.New("not a UUID in the form xxxxxxxx-xxxx-xxxx-xxxx-xxxxxxxxxxxx")
 	ErrVersion = errors.New("not a UUID of version 7 and the RFC 9562 variant")
 )
 
 const (
-	textLength   = 36
-	version7     = 0x70
-	versionMask  = 0xf0
-	variantRFC   = 0x80
-	variantMask  = 0xc0
-	stampBytes   = 6
-	versionByte  = 6
-	variantByte  = 8
-	stampPadding = 8 - stampBytes
+	textLength       = 36
+	version7         = 0x70
+	versionMask      = 0xf0
+	variantRFC       = 0x80
+	variantMask      = 0xc0
+	timestampBytes   = 6
+	versionByte      = 6
+	variantByte      = 8
+	timestampPadding = 8 - timestampBytes
 )
 
 // ID is a UUID of version 7 in network byte order.
 type ID [16]byte
 
-// groups are the ranges of hexadecimal digits in the text form.
-var groups = [...]struct{ from, to int }{{0, 8}, {9, 13}, {14, 18}, {19, 23}, {24, 36}}
+// hexGroups holds the ranges of hexadecimal digits in the text form.
+var hexGroups = [...]struct{ from, to int }{{0, 8}, {9, 13}, {14, 18}, {19, 23}, {24, 36}}
 
-// Parse reads the text form, in either case. The error wraps ErrSyntax or
+// Parse parses the text form in upper or lower case. Errors wrap ErrSyntax or
 // ErrVersion.
 func Parse(text string) (ID, error) {
 	if len(text) != textLength {
@@ -45,7 +45,7 @@
 	}
 	var id ID
 	next := 0
-	for i, group := range groups {
+	for i, group := range hexGroups {
 		if i > 0 && text[group.from-1] != '-' {
 			return ID{}, fmt.Errorf("request id %q: %w", text, ErrSyntax)
 		}
@@ -61,30 +61,30 @@
 	return id, nil
 }
 
-// New makes an id from a time and random bits, of which 74 are used.
+// New returns an ID with the given time and 74 of the given random bits.
 func New(now time.Time, random [10]byte) ID {
 	var id ID
-	var stamp [8]byte
-	binary.BigEndian.PutUint64(stamp[:], uint64(now.UnixMilli()))
-	copy(id[:stampBytes], stamp[stampPadding:])
-	copy(id[stampBytes:], random[:])
+	var timestamp [8]byte
+	binary.BigEndian.PutUint64(timestamp[:], uint64(now.UnixMilli()))
+	copy(id[:timestampBytes], timestamp[timestampPadding:])
+	copy(id[timestampBytes:], random[:])
 	id[versionByte] = id[versionByte]&^versionMask | version7
 	id[variantByte] = id[variantByte]&^variantMask | variantRFC
 	return id
 }
 
-// UnixMilli returns the id's time stamp in milliseconds since 1970 UTC.
+// UnixMilli returns the ID's timestamp in milliseconds since the Unix epoch.
 func (id ID) UnixMilli() int64 {
-	var stamp [8]byte
-	copy(stamp[stampPadding:], id[:stampBytes])
-	return int64(binary.BigEndian.Uint64(stamp[:]))
+	var timestamp [8]byte
+	copy(timestamp[timestampPadding:], id[:timestampBytes])
+	return int64(binary.BigEndian.Uint64(timestamp[:]))
 }
 
 // String returns the text form in lower case.
 func (id ID) String() string {
 	var text [textLength]byte
 	next := 0
-	for i, group := range groups {
+	for i, group := range hexGroups {
 		if i > 0 {
 			text[group.from-1] = '-'
 		}
--- a/internal/requestid/requestid_test.go
+++ b/internal/requestid/requestid_test.go
@@ -10,17 +10,17 @@
 	_ "github.com/quartzdock/quartzdock/internal/rapidseed"
 )
 
-// The example of RFC 9562, appendix A.6.
+// rfcExample is the example in RFC 9562, appendix A.6.
 const rfcExample = "017f22e2-79b0-7cc3-98c4-dc0c0c07398f"
 
-func TestParseReadsTheExampleOfTheRFC(t *testing.T) {
+func TestParseReadsRFCExample(t *testing.T) {
 	id, err := Parse(rfcExample)
 	assert.NilError(t, err)
 	assert.Equal(t, id.UnixMilli(), int64(1645557742000))
 	assert.Equal(t, id.String(), rfcExample)
 }
 
-func TestParseRefusesWhatHasNoTimeStamp(t *testing.T) {
+func TestParseRejectsInvalidIDs(t *testing.T) {
 	for text, want := range map[string]error{
 		"":                                     ErrSyntax,
 		"017f22e2-79b0-7cc3-98c4-dc0c0c07398":  ErrSyntax,
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestNewIsReadBack(t *testing.T) {
+func TestParseReadsIDsMadeByNew(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		milli := rapid.Int64Range(0, 1<<48-1).Draw(t, "milli")
 		var random [10]byte
