--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -19,27 +19,27 @@
 
 // Defaults of Options.
 const (
-	// DefaultMaxFrame bounds a frame, in bytes of payload.
+	// DefaultMaxFrame is the maximum payload of a frame in bytes.
 	DefaultMaxFrame = 64 << 20
-	// DefaultWriteTimeout is how long a peer may leave a frame unread.
+	// DefaultWriteTimeout is the time within which a peer must accept a frame.
 	DefaultWriteTimeout = 5 * time.Second
-	// DefaultIdleTimeout is how long a peer may send nothing.
+	// DefaultIdleTimeout is the time for which a peer may send nothing.
 	DefaultIdleTimeout = 30 * time.Second
-	// closeLimit is how long a peer may leave the last word of TLS unread: a few
-	// round trips between regions.
-	closeLimit = 300 * time.Millisecond
+	// closeTimeout bounds the sending of TLS's close_notify alert to a peer that
+	// does not read. It allows for a few round trips between regions.
+	closeTimeout = 300 * time.Millisecond
 )
 
-// Options of a connection or a listener. The zero value means plain TCP with
+// Options configures a connection or a listener. The zero value means plain TCP with
 // the defaults above.
 type Options struct {
 	// TLS, if set, runs the connection over TLS.
 	TLS *tls.Config
-	// MaxFrame bounds what is sent and received, in bytes of payload.
+	// MaxFrame is the maximum payload in bytes of a frame sent or received.
 	MaxFrame int
-	// WriteTimeout bounds one Send. Negative means no bound.
+	// WriteTimeout is the time limit of one Send. Negative means no limit.
 	WriteTimeout time.Duration
-	// IdleTimeout bounds the wait of one Receive. Negative means no bound.
+	// IdleTimeout is the time limit of one Receive. Negative means no limit.
 	IdleTimeout time.Duration
 }
 
@@ -57,15 +57,16 @@
 }
 
 // Conn sends and receives messages. One goroutine may send while another
-// receives; Close and the counters may be called from any.
+// receives; Close and the counters may be called from any goroutine.
 type Conn struct {
 	stream  net.Conn
 	options Options
 
-	sending sync.Mutex
-	outBuf  bytes.Buffer
-	encoder *gob.Encoder
-	// sentTypes holds the message types whose descriptors the peer has.
+	sendMutex sync.Mutex
+	outBuf    bytes.Buffer
+	encoder   *gob.Encoder
+	// sentTypes holds the message types whose descriptors have been sent to the
+	// peer.
 	sentTypes map[reflect.Type]bool
 
 	reader  *bufio.Reader
@@ -77,7 +78,7 @@
 	received counter
 }
 
-// counter counts one direction of a connection.
+// counter counts the frames and bytes of one direction of a connection.
 type counter struct {
 	frames, bytes atomic.Uint64
 }
@@ -88,7 +89,7 @@
 }
 
 // Dial opens a connection. The context bounds the dial and, with TLS, the
-// handshake; it does not bound the connection's life.
+// handshake, but not the lifetime of the connection.
 func Dial(ctx context.Context, address string, options Options) (*Conn, error) {
 	var dialer net.Dialer
 	stream, err := dialer.DialContext(ctx, "tcp", address)
@@ -106,7 +107,7 @@
 	return NewConn(secured, options), nil
 }
 
-// clientConfig fills in the name to verify, as tls.Dial does.
+// clientConfig sets the server name to verify if it is missing, as tls.Dial does.
 func clientConfig(config *tls.Config, address string) *tls.Config {
 	if config.ServerName != "" || config.InsecureSkipVerify {
 		return config
@@ -120,21 +121,22 @@
 	return named
 }
 
-// NewConn carries messages over a stream that is already open.
+// NewConn returns a connection that sends and receives messages over an open
+// stream.
 func NewConn(stream net.Conn, options Options) *Conn {
 	c := &Conn{stream: stream, options: options.withDefaults(), sentTypes: make(map[reflect.Type]bool)}
-	c.reader = bufio.NewReaderSize(stream, readBuffer)
+	c.reader = bufio.NewReaderSize(stream, readBufferSize)
 	c.encoder = gob.NewEncoder(&c.outBuf)
 	c.decoder = gob.NewDecoder(&c.inBuf)
 	return c
 }
 
-// Send writes one message. Calls from several goroutines take turns. Any error
-// closes the connection.
+// Send writes one message. Concurrent calls are serialized. Any error closes the
+// connection.
 func (c *Conn) Send(message any) error {
-	c.sending.Lock()
-	defer c.sending.Unlock()
-	return c.finish("send to", c.sendLocked(message))
+	c.sendMutex.Lock()
+	defer c.sendMutex.Unlock()
+	return c.closeOnError("send to", c.sendLocked(message))
 }
 
 func (c *Conn) sendLocked(message any) error {
@@ -152,13 +154,14 @@
 	return c.write(frame)
 }
 
-// messageType is the type that gob sends for a message: pointers are followed.
+// messageType returns the type that gob sends for a message: pointers are
+// dereferenced.
 func messageType(message any) reflect.Type {
-	kind := reflect.TypeOf(message)
-	for kind != nil && kind.Kind() == reflect.Pointer {
-		kind = kind.Elem()
+	typ := reflect.TypeOf(message)
+	for typ != nil && typ.Kind() == reflect.Pointer {
+		typ = typ.Elem()
 	}
-	return kind
+	return typ
 }
 
 func (c *Conn) write(frame []byte) error {
@@ -172,11 +175,11 @@
 	return err
 }
 
-// Receive reads one message into the value that message points to. Fields that
-// the sender left at zero keep the value they had, as gob does; pass a zero
-// value. One goroutine at a time may receive. Any error closes the connection.
+// Receive reads one message into the value that message points to. This should be
+// a zero value, because gob leaves fields unchanged that are zero at the sender.
+// Only one goroutine at a time may receive. Any error closes the connection.
 func (c *Conn) Receive(message any) error {
-	return c.finish("receive from", c.receive(message))
+	return c.closeOnError("receive from", c.receive(message))
 }
 
 func (c *Conn) receive(message any) error {
@@ -206,25 +209,26 @@
 	return nil
 }
 
-// Await returns once the next message has begun to arrive, or the idle timeout
-// is over. The goroutine that receives may call it.
+// Await blocks until the next message starts to arrive or the idle timeout
+// expires. Only the receiving goroutine may call it.
 func (c *Conn) Await() error {
 	if c.options.IdleTimeout > 0 {
 		if err := c.stream.SetReadDeadline(time.Now().Add(c.options.IdleTimeout)); err != nil {
-			return c.finish("receive from", err)
+			return c.closeOnError("receive from", err)
 		}
 	}
 	_, err := c.reader.Peek(1)
-	return c.finish("receive from", err)
+	return c.closeOnError("receive from", err)
 }
 
-// SetIdleTimeout changes Options.IdleTimeout for later calls of Receive. It is
-// called by the goroutine that receives.
+// SetIdleTimeout changes Options.IdleTimeout for later calls of Receive. Only the
+// receiving goroutine may call it.
 func (c *Conn) SetIdleTimeout(timeout time.Duration) { c.options.IdleTimeout = timeout }
 
-// finish closes the connection on an error and says which connection failed.
-// The end of the stream between two frames stays a bare io.EOF.
-func (c *Conn) finish(doing string, err error) error {
+// closeOnError closes the connection if err is not nil and wraps err with the
+// operation and the peer's address. It returns io.EOF, the end of the stream
+// between two frames, unwrapped.
+func (c *Conn) closeOnError(operation string, err error) error {
 	if err == nil {
 		return nil
 	}
@@ -236,11 +240,11 @@
 	if wasClosed {
 		err = ErrClosed
 	}
-	return fmt.Errorf("%s %s: %w", doing, c.stream.RemoteAddr(), err)
+	return fmt.Errorf("%s %s: %w", operation, c.stream.RemoteAddr(), err)
 }
 
 // Close closes the connection and ends Send and Receive calls in progress. It
-// may be called more than once. Over TLS it waits at most closeLimit for a peer
+// may be called more than once. Over TLS it waits at most closeTimeout for a peer
 // that does not read.
 func (c *Conn) Close() error {
 	if c.closed.Swap(true) {
@@ -250,26 +254,27 @@
 	if !ok {
 		return c.stream.Close()
 	}
-	cut := time.AfterFunc(closeLimit, func() { _ = secured.NetConn().Close() })
-	defer cut.Stop()
+	forceClose := time.AfterFunc(closeTimeout, func() { _ = secured.NetConn().Close() })
+	defer forceClose.Stop()
 	return secured.Close()
 }
 
-// BytesSent counts the bytes written, frame headers included, TLS records and
-// packet headers not.
+// BytesSent returns the number of bytes written. It includes frame headers but not
+// the overhead of TLS and of packets.
 func (c *Conn) BytesSent() uint64 { return c.sent.bytes.Load() }
 
-// BytesReceived counts the bytes of whole frames received.
+// BytesReceived returns the number of bytes in complete frames received.
 func (c *Conn) BytesReceived() uint64 { return c.received.bytes.Load() }
 
-// FramesSent counts frames written, for an estimate of the packets below them.
+// FramesSent returns the number of frames written, from which the number of
+// packets can be estimated.
 func (c *Conn) FramesSent() uint64 { return c.sent.frames.Load() }
 
-// FramesReceived counts whole frames received.
+// FramesReceived returns the number of complete frames received.
 func (c *Conn) FramesReceived() uint64 { return c.received.frames.Load() }
 
-// RemoteAddress is the peer's "IP:port".
+// RemoteAddress returns the peer's "IP:port".
 func (c *Conn) RemoteAddress() string { return c.stream.RemoteAddr().String() }
 
-// LocalAddress is this end's "IP:port".
+// LocalAddress returns the local "IP:port".
 func (c *Conn) LocalAddress() string { return c.stream.LocalAddr().String() }
--- a/internal/transport/encoded.go
+++ b/internal/transport/encoded.go
@@ -9,25 +9,25 @@
 	"sync"
 )
 
-// Encoded is a message that was encoded once and can be sent on any number of
-// connections, for data that many peers receive. It is immutable; the message
-// must not change either.
+// Encoded is a message that is encoded once and can be sent on any number of
+// connections, for data that many peers receive. It is immutable, and the
+// message must not be changed either.
 //
-// This rests on two properties of encoding/gob: a type has the same number in
+// This relies on two properties of encoding/gob: a type has the same number in
 // all encoders of a process, and its descriptors, with those of all types it
-// refers to, travel before its first value. A frame without descriptors is
+// refers to, are sent before its first value. A frame without descriptors is
 // therefore valid on every connection that has already sent a message of the
 // same type.
 type Encoded struct {
 	message any
-	kind    reflect.Type
+	typ     reflect.Type
 	frame   []byte
 }
 
 // Encode encodes a message for SendEncoded.
 func Encode(message any) (*Encoded, error) {
-	kind := messageType(message)
-	primed, err := primedEncoder(kind)
+	typ := messageType(message)
+	primed, err := primedEncoder(typ)
 	if err != nil {
 		return nil, err
 	}
@@ -35,51 +35,53 @@
 	if err != nil {
 		return nil, fmt.Errorf("encode %T: %w", message, err)
 	}
-	return &Encoded{message: message, kind: kind, frame: frame}, nil
+	return &Encoded{message: message, typ: typ, frame: frame}, nil
 }
 
-// Size is the bytes of the frame.
+// Size returns the size of the frame in bytes.
 func (e *Encoded) Size() int { return len(e.frame) }
 
 // SendEncoded writes an encoded message, with the same effect as Send of the
 // message itself. On a connection that has not sent this type of message yet,
 // the message is encoded again with its descriptors.
 func (c *Conn) SendEncoded(encoded *Encoded) error {
-	c.sending.Lock()
-	defer c.sending.Unlock()
-	if !c.sentTypes[encoded.kind] {
-		return c.finish("send to", c.sendLocked(encoded.message))
+	c.sendMutex.Lock()
+	defer c.sendMutex.Unlock()
+	if !c.sentTypes[encoded.typ] {
+		return c.closeOnError("send to", c.sendLocked(encoded.message))
 	}
 	if size := len(encoded.frame) - headerSize; size > c.options.MaxFrame {
-		return c.finish("send to", &FrameTooLargeError{Size: size, Limit: c.options.MaxFrame})
+		return c.closeOnError("send to", &FrameTooLargeError{Size: size, Limit: c.options.MaxFrame})
 	}
-	return c.finish("send to", c.write(encoded.frame))
+	return c.closeOnError("send to", c.write(encoded.frame))
 }
 
-// primed is an encoder that has already sent the descriptors of its type.
+// primed is an encoder that has already emitted the descriptors of its type, so
+// that its output holds only values.
 type primed struct {
 	mutex   sync.Mutex
 	buffer  bytes.Buffer
 	encoder *gob.Encoder
 }
 
-// primedEncoders holds a *primed for each type, as types are few.
+// primedEncoders maps each message type to its *primed. It never shrinks, because
+// there are few types.
 var primedEncoders sync.Map
 
-func primedEncoder(kind reflect.Type) (*primed, error) {
-	if known, ok := primedEncoders.Load(kind); ok {
+func primedEncoder(typ reflect.Type) (*primed, error) {
+	if known, ok := primedEncoders.Load(typ); ok {
 		return known.(*primed), nil
 	}
 	p := &primed{}
 	p.encoder = gob.NewEncoder(&p.buffer)
-	if err := p.encoder.EncodeValue(reflect.New(kind)); err != nil {
-		return nil, fmt.Errorf("encode descriptors of %v: %w", kind, err)
+	if err := p.encoder.EncodeValue(reflect.New(typ)); err != nil {
+		return nil, fmt.Errorf("encode descriptors of %v: %w", typ, err)
 	}
-	known, _ := primedEncoders.LoadOrStore(kind, p)
+	known, _ := primedEncoders.LoadOrStore(typ, p)
 	return known.(*primed), nil
 }
 
-// frame returns a whole frame, descriptors left out.
+// frame returns a complete frame without type descriptors.
 func (p *primed) frame(message any) ([]byte, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/transport/encoded_test.go
+++ b/internal/transport/encoded_test.go
@@ -9,8 +9,8 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// snapshotOf has shards enough for the frame to be larger than the buffers
-// that connections keep.
+// snapshotOf returns a snapshot message with the given number of shards. With
+// 2,000 shards its frame is larger than the buffer that a connection retains.
 func snapshotOf(shards int) wire.FromController {
 	routes := wire.ServiceRoutes{Service: topology.Service{ID: 1, Name: "one"}}
 	for number := range shards {
@@ -22,12 +22,12 @@
 	return wire.FromController{Snapshot: &wire.RoutingSnapshot{Revision: 9, Services: []wire.ServiceRoutes{routes}}}
 }
 
-func TestEncodedMessageArrivesOnEveryConnectionAsIfSent(t *testing.T) {
+func TestSendEncodedIsEquivalentToSend(t *testing.T) {
 	want := snapshotOf(2000)
 	encoded, err := Encode(want)
 	assert.NilError(t, err)
 	later := wire.FromController{Alive: &wire.Alive{Revision: 10}}
-	for name, first := range map[string]bool{"first message": false, "after another kind": true} {
+	for name, first := range map[string]bool{"first message": false, "after another message": true} {
 		t.Run(name, func(t *testing.T) {
 			near, far := connect(t, Options{}, Options{})
 			sent := make(chan error, 1)
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestEncodedOverLimitIsRefused(t *testing.T) {
+func TestSendEncodedRejectsOversizedFrame(t *testing.T) {
 	encoded, err := Encode(snapshotOf(2000))
 	assert.NilError(t, err)
 	near, _ := connect(t, Options{MaxFrame: 4096}, Options{})
@@ -65,7 +65,7 @@
 	assert.ErrorIs(t, near.SendEncoded(encoded), ErrFrameTooLarge)
 }
 
-func TestEncodeRefusesWhatGobCannotCarry(t *testing.T) {
+func TestEncodeRejectsTypesGobCannotEncode(t *testing.T) {
 	_, err := Encode(struct{ F func() }{})
 	assert.ErrorContains(t, err, "descriptors")
 }
--- a/internal/transport/errors.go
+++ b/internal/transport/errors.go
@@ -5,20 +5,20 @@
 	"fmt"
 )
 
-// Errors of a connection. Receive returns io.EOF when the peer closed between
-// two frames, and an error that wraps os.ErrDeadlineExceeded when a timeout of
-// Options passed.
+// Errors of a connection. Receive also returns io.EOF if the peer closed the
+// connection between two frames, and an error that wraps os.ErrDeadlineExceeded
+// if a timeout of Options expired.
 var (
-	// ErrFrameTooLarge: a frame is longer than Options.MaxFrame.
+	// ErrFrameTooLarge means that a frame is longer than Options.MaxFrame.
 	ErrFrameTooLarge = errors.New("frame too large")
-	// ErrDamaged: a frame was cut short, its checksum is wrong, or its payload
-	// is not exactly one message of the expected type.
+	// ErrDamaged means that a frame was truncated, that its checksum is wrong, or
+	// that its payload is not exactly one message of the expected type.
 	ErrDamaged = errors.New("damaged frame")
-	// ErrClosed: the connection was closed at this end.
+	// ErrClosed means that the connection or listener was closed locally.
 	ErrClosed = errors.New("connection closed")
 )
 
-// FrameTooLargeError gives the sizes of a frame that was refused. It wraps
+// FrameTooLargeError reports the size of a rejected frame and the limit. It wraps
 // ErrFrameTooLarge.
 type FrameTooLargeError struct {
 	// Size and Limit are in bytes of payload.
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// headerSize is the bytes of a frame before its payload.
+	// headerSize is the size of a frame's header in bytes.
 	headerSize = 8
-	// readBuffer is the bytes read ahead, so that a small frame costs one call
-	// of the system.
-	readBuffer = 1 << 10
-	// keptBuffer is the largest buffer, in bytes, that a connection keeps
-	// between messages, so that one large snapshot does not stay in memory for
-	// as long as the connection lives.
-	keptBuffer = 16 << 10
-	// firstRead is the most, in bytes, that is allocated for a payload before
-	// any of it has arrived.
-	firstRead = 64 << 10
+	// readBufferSize is the size of the read-ahead buffer in bytes. It allows a
+	// small frame to be read with one system call.
+	readBufferSize = 1 << 10
+	// maxRetainedBuffer is the largest buffer, in bytes, that a connection keeps
+	// between messages, so that one large snapshot does not occupy memory for the
+	// lifetime of the connection.
+	maxRetainedBuffer = 16 << 10
+	// initialPayloadCapacity is the maximum number of bytes that is allocated for
+	// a payload before any of it has arrived.
+	initialPayloadCapacity = 64 << 10
 )
 
 var checksumTable = crc32.MakeTable(crc32.Castagnoli)
@@ -32,20 +32,20 @@
 	checksum uint32
 }
 
-// putHeader fills the first headerSize bytes of frame for the payload that
-// follows them.
+// putHeader writes the header into the first headerSize bytes of frame, which the
+// payload follows.
 func putHeader(frame []byte) {
 	payload := frame[headerSize:]
 	binary.BigEndian.PutUint32(frame[0:4], uint32(len(payload)))
 	binary.BigEndian.PutUint32(frame[4:8], crc32.Checksum(payload, checksumTable))
 }
 
-// readHeader returns io.EOF only when not a single byte arrived.
+// readHeader reads a frame's header. It returns io.EOF only if no byte arrived.
 func readHeader(reader io.Reader) (frameHeader, error) {
 	var header [headerSize]byte
 	if _, err := io.ReadFull(reader, header[:]); err != nil {
 		if errors.Is(err, io.ErrUnexpectedEOF) {
-			return frameHeader{}, fmt.Errorf("%w: header cut short", ErrDamaged)
+			return frameHeader{}, fmt.Errorf("%w: truncated header", ErrDamaged)
 		}
 		return frameHeader{}, err
 	}
@@ -55,12 +55,13 @@
 	}, nil
 }
 
-// readPayload reads and checks the payload that header announces into buffer.
+// readPayload reads the payload that header declares into buffer and verifies its
+// checksum.
 func readPayload(reader io.Reader, header frameHeader, limit int, buffer *bytes.Buffer) error {
 	if uint64(header.length) > uint64(limit) {
 		return &FrameTooLargeError{Size: int(header.length), Limit: limit}
 	}
-	buffer.Grow(min(int(header.length), firstRead))
+	buffer.Grow(min(int(header.length), initialPayloadCapacity))
 	count, err := io.CopyN(buffer, reader, int64(header.length))
 	if errors.Is(err, io.EOF) {
 		return fmt.Errorf("%w: %d of %d bytes arrived", ErrDamaged, count, header.length)
@@ -69,15 +70,15 @@
 		return err
 	}
 	if crc32.Checksum(buffer.Bytes(), checksumTable) != header.checksum {
-		return fmt.Errorf("%w: checksum differs", ErrDamaged)
+		return fmt.Errorf("%w: checksum mismatch", ErrDamaged)
 	}
 	return nil
 }
 
-// resetBuffer empties buffer and lets go of memory that only a large message
-// needed.
+// resetBuffer empties buffer and releases its memory if a large message has grown
+// it beyond maxRetainedBuffer.
 func resetBuffer(buffer *bytes.Buffer) {
-	if buffer.Cap() > keptBuffer {
+	if buffer.Cap() > maxRetainedBuffer {
 		*buffer = bytes.Buffer{}
 		return
 	}
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -13,7 +13,7 @@
 	options Options
 }
 
-// Listen opens a listener at "IP:port". Port 0 takes a free one; see Address.
+// Listen opens a listener at "IP:port". Port 0 selects a free port; see Address.
 func Listen(address string, options Options) (*Listener, error) {
 	socket, err := net.Listen("tcp", address)
 	if err != nil {
@@ -23,7 +23,7 @@
 }
 
 // Accept waits for the next connection. With TLS the handshake runs within the
-// connection's first Send or Receive, so that a slow peer holds up nobody else.
+// connection's first Send or Receive, so that a slow peer does not block other connections.
 // After Close it returns ErrClosed.
 func (l *Listener) Accept() (*Conn, error) {
 	stream, err := l.socket.Accept()
@@ -39,8 +39,8 @@
 	return NewConn(stream, l.options), nil
 }
 
-// Address is the "IP:port" that the listener has taken.
+// Address returns the "IP:port" at which the listener accepts connections.
 func (l *Listener) Address() string { return l.socket.Addr().String() }
 
-// Close stops accepting; connections already accepted live on.
+// Close stops accepting connections. Those already accepted stay open.
 func (l *Listener) Close() error { return l.socket.Close() }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -40,7 +40,7 @@
 	return near, far
 }
 
-// rawPeer returns a connection whose other end is a bare stream, for frames
+// rawPeer returns a connection whose other end is a plain stream, for frames
 // that Send would never write.
 func rawPeer(t *testing.T, options Options) (*Conn, net.Conn) {
 	t.Helper()
@@ -111,14 +111,14 @@
 	group.Wait()
 }
 
-func TestTypeDescriptorsTravelOnce(t *testing.T) {
+func TestTypeDescriptorsAreSentOnce(t *testing.T) {
 	message := wire.ToController{Applied: &wire.Applied{Revision: 7}}
 	all := frames(t, message, message)
 	assert.Assert(t, len(all[1]) < 24, "second frame has %d bytes", len(all[1]))
 	assert.Assert(t, len(all[0]) > 10*len(all[1]))
 }
 
-func TestEveryFlippedBitIsFound(t *testing.T) {
+func TestFlippedBitsAreDetected(t *testing.T) {
 	frame := frames(t, wire.ToController{Applied: &wire.Applied{Revision: 7}})[0]
 	for bit := 0; bit < len(frame)*8; bit += 3 {
 		damaged := bytes.Clone(frame)
@@ -132,7 +132,7 @@
 	}
 }
 
-func TestFrameCutShortIsDamagedAndEndBetweenFramesIsEOF(t *testing.T) {
+func TestTruncatedFrameIsDamagedAndEndBetweenFramesIsEOF(t *testing.T) {
 	frame := frames(t, wire.ToController{Applied: &wire.Applied{Revision: 7}})[0]
 	for cut := range len(frame) {
 		c, far := rawPeer(t, Options{})
@@ -165,7 +165,7 @@
 	}
 }
 
-func TestFrameOverLimitIsRefusedAtBothEnds(t *testing.T) {
+func TestOversizedFrameIsRejectedAtBothEnds(t *testing.T) {
 	large := wire.ToController{Warmed: &wire.Warmed{Error: strings.Repeat("x", 4096)}}
 	near, _ := connect(t, Options{MaxFrame: 1024}, Options{})
 	var tooLarge *FrameTooLargeError
@@ -179,7 +179,7 @@
 	assert.ErrorIs(t, far.Receive(&message), ErrFrameTooLarge)
 }
 
-func TestAnnouncedLengthAllocatesNothingBeforeBytesArrive(t *testing.T) {
+func TestDeclaredLengthIsNotAllocatedBeforeBytesArrive(t *testing.T) {
 	c, far := rawPeer(t, Options{})
 	header := make([]byte, headerSize)
 	binary.BigEndian.PutUint32(header, DefaultMaxFrame)
@@ -192,29 +192,29 @@
 	assert.Assert(t, after.TotalAlloc-before.TotalAlloc < 1<<20)
 }
 
-func TestLargeMessageLeavesNoLargeBuffer(t *testing.T) {
+func TestLargeMessageDoesNotRetainLargeBuffer(t *testing.T) {
 	near, far := connect(t, Options{}, Options{})
 	sent := make(chan error, 1)
 	go func() { sent <- near.Send(wire.ToController{Warmed: &wire.Warmed{Error: strings.Repeat("x", 1<<20)}}) }()
 	var message wire.ToController
 	assert.NilError(t, far.Receive(&message))
 	assert.NilError(t, <-sent)
-	assert.Assert(t, near.outBuf.Cap() <= keptBuffer)
-	assert.Assert(t, far.inBuf.Cap() <= keptBuffer)
+	assert.Assert(t, near.outBuf.Cap() <= maxRetainedBuffer)
+	assert.Assert(t, far.inBuf.Cap() <= maxRetainedBuffer)
 }
 
-func TestSilentPeerEndsReceive(t *testing.T) {
+func TestReceiveTimesOutOnSilentPeer(t *testing.T) {
 	_, far := connect(t, Options{}, Options{IdleTimeout: time.Millisecond})
 	var message wire.ToController
 	assert.ErrorIs(t, far.Receive(&message), os.ErrDeadlineExceeded)
 }
 
-func TestPeerThatReadsNothingEndsSend(t *testing.T) {
+func TestSendTimesOutWhenPeerDoesNotRead(t *testing.T) {
 	c, _ := rawPeer(t, Options{WriteTimeout: time.Millisecond})
 	assert.ErrorIs(t, c.Send(wire.ToController{}), os.ErrDeadlineExceeded)
 }
 
-func TestCloseEndsReceiveInProgress(t *testing.T) {
+func TestCloseUnblocksReceive(t *testing.T) {
 	near, _ := connect(t, Options{}, Options{})
 	received := make(chan error, 1)
 	go func() {
@@ -226,7 +226,7 @@
 	assert.ErrorIs(t, <-received, ErrClosed)
 }
 
-func TestCloseEndsAccept(t *testing.T) {
+func TestCloseUnblocksAccept(t *testing.T) {
 	listener, err := Listen("127.0.0.1:0", Options{})
 	assert.NilError(t, err)
 	assert.NilError(t, listener.Close())
@@ -234,7 +234,7 @@
 	assert.ErrorIs(t, err, ErrClosed)
 }
 
-func TestTLSCarriesMessagesAndRefusesUnknownServer(t *testing.T) {
+func TestTLSSendsMessagesAndRejectsUnknownServer(t *testing.T) {
 	certificate, pool := selfSigned(t)
 	server := Options{TLS: &tls.Config{Certificates: []tls.Certificate{certificate}}}
 	listener, err := Listen("127.0.0.1:0", server)
@@ -266,7 +266,8 @@
 	assert.Assert(t, <-received != nil)
 }
 
-// selfSigned makes a certificate for 127.0.0.1 and the pool that trusts it.
+// selfSigned returns a self-signed certificate for 127.0.0.1 and a pool that trusts
+// it.
 func selfSigned(t *testing.T) (tls.Certificate, *x509.CertPool) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -289,7 +290,7 @@
 	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key}, pool
 }
 
-// discard is a stream that takes everything and gives nothing.
+// discard is a net.Conn that discards all writes.
 type discard struct{ net.Conn }
 
 func (discard) Write(data []byte) (int, error)   { return len(data), nil }
