--- a/tools/testreport/main.go
+++ b/tools/testreport/main.go
@@ -1,12 +1,12 @@
-// Command testreport reads the output of "go test -json" and gives the verdict
-// of the run:
+// Command testreport reads the output of "go test -json" and decides whether
+// the run passes:
 //
 //	go test -json ./... | go run ./tools/testreport -known-red KNOWN-RED.txt
 //
-// It prints failed tests with their output and a summary. Status 0 means that
-// everything passed, but for tests that are listed as known to fail; those are
-// printed in any case. A package that did not build, panicked or timed out is
-// never passed over, and neither is an input that ends early.
+// It prints failed tests with their output and a summary. The exit status is 0
+// if every test passed except those listed as known failures, which are always
+// printed. A package that does not build, panics or times out fails the run even
+// if its tests are listed, and so does input that ends early.
 package main
 
 import (
@@ -23,7 +23,7 @@
 		fmt.Fprintln(os.Stderr, "testreport:", err)
 		os.Exit(2)
 	}
-	known, err := parseKnownRed(string(text))
+	known, err := parseKnownFailures(string(text))
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "testreport: %s: %v\n", *file, err)
 		os.Exit(2)
--- a/tools/testreport/run.go
+++ b/tools/testreport/run.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// modulePath is cut from package names.
+// modulePath is the prefix that is removed from package names.
 const modulePath = "github.com/quartzdock/quartzdock/"
 
 // event is one line of "go test -json" (see "go doc test2json").
@@ -24,33 +24,32 @@
 	FailedBuild string
 }
 
-// key identifies a test, or a package where Test is empty.
-type key struct{ pkg, test string }
+// testID identifies a test, or a package if test is empty.
+type testID struct{ pkg, test string }
 
 // name returns "package.TestName".
-func (k key) name() string { return k.pkg + "." + k.test }
+func (id testID) name() string { return id.pkg + "." + id.test }
 
-// run is all that a test run said.
+// run holds the results and output of a test run.
 type run struct {
-	output  map[key]string
-	failed  map[key]bool
-	passed  map[key]bool
-	skipped map[key]bool
-	// open are packages that started and have not ended.
-	open   map[string]bool
-	builds strings.Builder
-	// panicked are packages in which a test panicked or timed out.
+	output  map[testID]string
+	failed  map[testID]bool
+	passed  map[testID]bool
+	skipped map[testID]bool
+	// unfinished holds the packages that started and have not finished.
+	unfinished  map[string]bool
+	buildOutput strings.Builder
+	// panicked holds the packages in which a test panicked or timed out.
 	panicked map[string]bool
 }
 
-// errNoTests says that the input holds no finished package.
-var errNoTests = errors.New("the input holds no finished package")
+var errNoFinishedPackage = errors.New("the input contains no finished package")
 
-// readRun reads events to the end of the input.
+// readRun reads events until the end of the input.
 func readRun(input io.Reader) (*run, error) {
 	r := &run{
-		output: make(map[key]string), failed: make(map[key]bool), passed: make(map[key]bool),
-		skipped: make(map[key]bool), open: make(map[string]bool), panicked: make(map[string]bool),
+		output: make(map[testID]string), failed: make(map[testID]bool), passed: make(map[testID]bool),
+		skipped: make(map[testID]bool), unfinished: make(map[string]bool), panicked: make(map[string]bool),
 	}
 	lines := bufio.NewReader(input)
 	for {
@@ -66,95 +65,96 @@
 		}
 	}
 	if len(r.passed)+len(r.failed)+len(r.skipped) == 0 {
-		return nil, errNoTests
+		return nil, errNoFinishedPackage
 	}
 	return r, nil
 }
 
-// readLine reads one event; a line that is none is kept as build output.
+// readLine processes one event. A line that is not JSON is kept as build output.
 func (r *run) readLine(line []byte) {
 	var e event
 	if err := json.Unmarshal(line, &e); err != nil {
-		r.builds.Write(line)
+		r.buildOutput.Write(line)
 		return
 	}
-	at := key{pkg: strings.TrimPrefix(e.Package, modulePath), test: e.Test}
+	id := testID{pkg: strings.TrimPrefix(e.Package, modulePath), test: e.Test}
 	switch e.Action {
 	case "start":
-		r.open[at.pkg] = true
+		r.unfinished[id.pkg] = true
 	case "output":
-		r.output[at] += e.Output
+		r.output[id] += e.Output
 		if strings.HasPrefix(e.Output, "panic: ") {
-			r.panicked[at.pkg] = true
+			r.panicked[id.pkg] = true
 		}
 	case "build-output":
-		r.builds.WriteString(e.Output)
+		r.buildOutput.WriteString(e.Output)
 	case "pass", "fail", "skip":
-		r.end(at, e.Action)
+		r.recordResult(id, e.Action)
 	}
 }
 
-// end records how a test or package ended.
-func (r *run) end(at key, action string) {
-	if at.test == "" {
-		delete(r.open, at.pkg)
+// recordResult records the result of a test or package.
+func (r *run) recordResult(id testID, action string) {
+	if id.test == "" {
+		delete(r.unfinished, id.pkg)
 	}
 	switch action {
 	case "pass":
-		r.passed[at] = true
+		r.passed[id] = true
 	case "fail":
-		r.failed[at] = true
+		r.failed[id] = true
 	case "skip":
-		r.skipped[at] = true
+		r.skipped[id] = true
 	}
 }
 
-// report prints the verdict and says whether the run passes.
-func (r *run) report(out io.Writer, known []knownRed) bool {
-	excused := make(map[string]knownRed)
+// report prints the results and returns whether the run passes.
+func (r *run) report(out io.Writer, known []knownFailure) bool {
+	byName := make(map[string]knownFailure)
 	for _, entry := range known {
-		excused[entry.Test] = entry
+		byName[entry.Test] = entry
 	}
 	failures := 0
-	red := make(map[string]bool)
-	for _, at := range sorted(r.failed) {
-		if _, listed := excused[topTest(at).name()]; listed && at.test != "" && !r.panicked[at.pkg] {
-			red[topTest(at).name()] = true
+	knownFailed := make(map[string]bool)
+	for _, id := range sortedIDs(r.failed) {
+		if _, listed := byName[topLevelTest(id).name()]; listed && id.test != "" && !r.panicked[id.pkg] {
+			knownFailed[topLevelTest(id).name()] = true
 			continue
 		}
-		if at.test == "" && r.excusedByTests(at.pkg, red) {
+		if id.test == "" && r.failedOnlyByKnownTests(id.pkg, knownFailed) {
 			continue
 		}
 		failures++
-		fmt.Fprintf(out, "--- FAILED %s\n%s", strings.TrimSuffix(at.name(), "."), r.output[at])
+		fmt.Fprintf(out, "--- FAILED %s\n%s", strings.TrimSuffix(id.name(), "."), r.output[id])
 	}
-	for pkg := range r.open {
+	for pkg := range r.unfinished {
 		failures++
 		fmt.Fprintf(out, "--- NOT FINISHED %s\n", pkg)
 	}
-	fmt.Fprint(out, r.builds.String())
-	r.reportKnown(out, known, red)
-	for _, at := range sorted(r.skipped) {
-		if at.test != "" {
-			fmt.Fprintf(out, "skipped: %s\n", at.name())
+	fmt.Fprint(out, r.buildOutput.String())
+	r.reportKnownFailures(out, known, knownFailed)
+	for _, id := range sortedIDs(r.skipped) {
+		if id.test != "" {
+			fmt.Fprintf(out, "skipped: %s\n", id.name())
 		}
 	}
 	fmt.Fprintf(out, "tests: %d passed, %d failed, %d known to fail, %d skipped\n",
-		countTests(r.passed), failures, len(red), countTests(r.skipped))
+		countTests(r.passed), failures, len(knownFailed), countTests(r.skipped))
 	return failures == 0
 }
 
-// excusedByTests says whether a package failed only through listed tests.
-func (r *run) excusedByTests(pkg string, red map[string]bool) bool {
+// failedOnlyByKnownTests reports whether all failed tests of a package are
+// listed as known failures. It is false for a package without failed tests.
+func (r *run) failedOnlyByKnownTests(pkg string, knownFailed map[string]bool) bool {
 	if r.panicked[pkg] {
 		return false
 	}
 	tests := 0
-	for at := range r.failed {
-		if at.pkg != pkg || at.test == "" {
+	for id := range r.failed {
+		if id.pkg != pkg || id.test == "" {
 			continue
 		}
-		if !red[topTest(at).name()] {
+		if !knownFailed[topLevelTest(id).name()] {
 			return false
 		}
 		tests++
@@ -162,59 +162,60 @@
 	return tests > 0
 }
 
-// reportKnown prints every listed test with what became of it.
-func (r *run) reportKnown(out io.Writer, known []knownRed, red map[string]bool) {
+// reportKnownFailures prints every listed test with its result in this run.
+func (r *run) reportKnownFailures(out io.Writer, known []knownFailure, knownFailed map[string]bool) {
 	for _, entry := range known {
 		state := "did not run"
 		switch {
-		case red[entry.Test]:
+		case knownFailed[entry.Test]:
 			state = "failed"
 		case r.hasPassed(entry.Test):
 			state = "passed; take it off the list if it does so again"
 		}
-		fmt.Fprintf(out, "known to fail: %s: %s (%s; %s; %s)\n", entry.Test, state, entry.Seen, entry.Command, entry.Issue)
+		fmt.Fprintf(out, "known to fail: %s: %s (%s; %s; %s)\n", entry.Test, state, entry.Observed, entry.Command, entry.Issue)
 	}
 }
 
-// hasPassed says whether the test of a name passed.
+// hasPassed reports whether the named test passed.
 func (r *run) hasPassed(name string) bool {
-	for at := range r.passed {
-		if at.test != "" && at.name() == name {
+	for id := range r.passed {
+		if id.test != "" && id.name() == name {
 			return true
 		}
 	}
 	return false
 }
 
-// topTest returns the test that a subtest belongs to.
-func topTest(at key) key {
-	name, _, _ := strings.Cut(at.test, "/")
-	return key{pkg: at.pkg, test: name}
+// topLevelTest returns the top-level test of a subtest.
+func topLevelTest(id testID) testID {
+	name, _, _ := strings.Cut(id.test, "/")
+	return testID{pkg: id.pkg, test: name}
 }
 
-// sorted returns keys in order, tests before their package.
-func sorted(set map[key]bool) []key {
-	keys := make([]key, 0, len(set))
-	for at := range set {
-		keys = append(keys, at)
+// sortedIDs returns the members ordered by package, the tests of a package
+// before the package itself.
+func sortedIDs(set map[testID]bool) []testID {
+	ids := make([]testID, 0, len(set))
+	for id := range set {
+		ids = append(ids, id)
 	}
-	sort.Slice(keys, func(i, j int) bool {
-		if keys[i].pkg != keys[j].pkg {
-			return keys[i].pkg < keys[j].pkg
+	sort.Slice(ids, func(i, j int) bool {
+		if ids[i].pkg != ids[j].pkg {
+			return ids[i].pkg < ids[j].pkg
 		}
-		if (keys[i].test == "") != (keys[j].test == "") {
-			return keys[i].test != ""
+		if (ids[i].test == "") != (ids[j].test == "") {
+			return ids[i].test != ""
 		}
-		return keys[i].test < keys[j].test
+		return ids[i].test < ids[j].test
 	})
-	return keys
+	return ids
 }
 
-// countTests counts the keys that are tests, not packages.
-func countTests(set map[key]bool) int {
+// countTests counts the members that are tests, not packages.
+func countTests(set map[testID]bool) int {
 	count := 0
-	for at := range set {
-		if at.test != "" {
+	for id := range set {
+		if id.test != "" {
 			count++
 		}
 	}
--- a/tools/testreport/run_test.go
+++ b/tools/testreport/run_test.go
@@ -22,11 +22,11 @@
 	build   = `{"Action":"build-output","ImportPath":"x","Output":"a.go:1: undefined\n"}` + "\n"
 )
 
-func TestVerdict(t *testing.T) {
-	listed := []knownRed{{Test: "internal/a.TestOne", Command: "go test ./internal/a -seed 7", Seen: "counts wrong", Issue: "issue 4"}}
+func TestReportVerdict(t *testing.T) {
+	listed := []knownFailure{{Test: "internal/a.TestOne", Command: "go test ./internal/a -seed 7", Observed: "counts wrong", Issue: "issue 4"}}
 	cases := []struct {
 		name, input string
-		known       []knownRed
+		known       []knownFailure
 		passes      bool
 		printed     string
 	}{
@@ -50,18 +50,18 @@
 	}
 }
 
-func TestEmptyInputIsNoPass(t *testing.T) {
+func TestEmptyInputIsAnError(t *testing.T) {
 	_, err := readRun(strings.NewReader(""))
-	assert.ErrorIs(t, err, errNoTests)
+	assert.ErrorIs(t, err, errNoFinishedPackage)
 }
 
-func TestKnownRedListIsChecked(t *testing.T) {
-	listed, err := parseKnownRed("# none\n\ninternal/a.TestOne | go test ./internal/a -seed 7 | counts wrong | issue 4\n")
+func TestParseKnownFailuresRejectsMalformedLists(t *testing.T) {
+	listed, err := parseKnownFailures("# none\n\ninternal/a.TestOne | go test ./internal/a -seed 7 | counts wrong | issue 4\n")
 	assert.NilError(t, err)
-	assert.DeepEqual(t, listed, []knownRed{{Test: "internal/a.TestOne", Command: "go test ./internal/a -seed 7", Seen: "counts wrong", Issue: "issue 4"}})
-	_, err = parseKnownRed("internal/a.TestOne | counts wrong | issue 4\nx | c | | y\n")
+	assert.DeepEqual(t, listed, []knownFailure{{Test: "internal/a.TestOne", Command: "go test ./internal/a -seed 7", Observed: "counts wrong", Issue: "issue 4"}})
+	_, err = parseKnownFailures("internal/a.TestOne | counts wrong | issue 4\nx | c | | y\n")
 	assert.ErrorContains(t, err, "line 1")
 	assert.ErrorContains(t, err, "line 2")
-	_, err = parseKnownRed(strings.Repeat("a.T | b | c | d\n", 4))
+	_, err = parseKnownFailures(strings.Repeat("a.T | b | c | d\n", 4))
 	assert.ErrorContains(t, err, "4 tests are listed; 3 at most")
 }
