--- a/lab/ledger/availability.go
+++ b/lab/ledger/availability.go
@@ -15,23 +15,23 @@
 	Key     string
 }
 
-// Gap is the longest time between two answers to the probes of a key.
+// Gap is the longest time without an answer to the probes of a key.
 type Gap struct {
 	ProbedKey
-	// From is when the last answer before the gap came, in Unix nanoseconds.
+	// From is the time of the last answer before the gap, in Unix nanoseconds.
 	From int64
-	// Length of the gap, without the interval of the probes.
+	// Length is the duration of the gap less the interval between probes.
 	Length time.Duration
 }
 
 // Period is a time span in Unix nanoseconds, From included.
 type Period struct{ From, To int64 }
 
-// LongestGaps returns for each probed key its longest gap that reaches into
-// the period, longest first. An answer counts when it was whole, with status
-// 200. A probe that was held back and answered late lengthens a gap just as a
-// refused one does. Where no answer came any more, the gap ends with the period
-// or with the last probe, whichever is first.
+// LongestGaps returns for each probed key its longest gap that overlaps the
+// period, longest first. Only complete answers with status 200 end a gap, so a
+// probe that is queued and answered late lengthens it just as a refused one
+// does. If no further answer came, the gap ends with the period or with the last
+// probe, whichever is first.
 func LongestGaps(probes []CallerEntry, interval time.Duration, period Period) []Gap {
 	answered := make(map[ProbedKey][]int64)
 	last := int64(0)
@@ -79,13 +79,13 @@
 	return longest
 }
 
-// OwnersAt returns which back end last ran a request of each key before an
-// instant.
-func OwnersAt(backends []BackendEntry, instant int64) map[ProbedKey]string {
+// OwnersAt returns for each key the back end that last ran a request before the
+// given time, in Unix nanoseconds.
+func OwnersAt(backends []BackendEntry, before int64) map[ProbedKey]string {
 	last := make(map[ProbedKey]BackendEntry)
 	for _, entry := range backends {
 		key := ProbedKey{Service: entry.Service, Key: entry.Key}
-		if entry.Kind == KindRun && entry.Time < instant && entry.Time >= last[key].Time {
+		if entry.Kind == KindRun && entry.Time < before && entry.Time >= last[key].Time {
 			last[key] = entry
 		}
 	}
--- a/lab/ledger/availability_test.go
+++ b/lab/ledger/availability_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-func TestGapReachesFromTheLastAnswerToTheNextWhateverCameBetween(t *testing.T) {
+func TestLongestGapSpansUnansweredProbes(t *testing.T) {
 	const interval = 10 * time.Millisecond
 	at := func(milliseconds int) time.Duration { return time.Duration(milliseconds) * time.Millisecond }
 	probes := []ledger.CallerEntry{
@@ -39,12 +39,12 @@
 		return ledger.LongestGaps(probes, interval, ledger.Period{From: int64(at(from)), To: int64(at(to))})
 	}
 	assert.DeepEqual(t, within(0, 1000), []ledger.Gap{gap("c", 0, 400), gap("a", 10, 380), gap("b", 20, 380)})
-	// A gap that began before the period counts from its beginning.
+	// A gap that began before the period is measured from its start.
 	assert.DeepEqual(t, within(100, 300), []ledger.Gap{gap("a", 10, 380), gap("b", 20, 270), gap("c", 100, 190)})
 	assert.DeepEqual(t, within(405, 1000), []ledger.Gap{gap("b", 20, 380), gap("a", 0, 0), gap("c", 0, 0)})
 }
 
-func TestOwnerIsTheBackEndOfTheLastRunBeforeAnInstant(t *testing.T) {
+func TestOwnersAtReturnsBackendOfLastRun(t *testing.T) {
 	run := func(at int64, name string) ledger.BackendEntry {
 		return ledger.BackendEntry{Time: at, Kind: ledger.KindRun, Backend: name, Service: "s", Key: "a"}
 	}
--- a/lab/ledger/check.go
+++ b/lab/ledger/check.go
@@ -11,35 +11,37 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// Promise names a promise of the product that ledgers can show to be broken.
+// Promise names a guarantee of the product whose violation the ledgers can
+// show.
 type Promise string
 
-// Promises checked.
+// Promises that Check verifies.
 const (
-	// PromiseSoleOwner: in the order of time, the epochs of a shard's runs and
-	// writes never go down, and an epoch belongs to one back end.
+	// PromiseSoleOwner: in order of time, the epochs of a shard's runs and
+	// writes never decrease, and each epoch belongs to one back end.
 	PromiseSoleOwner Promise = "one owner per key"
 	// PromiseAtMostOnce: a non-repeatable request ran at most once.
 	PromiseAtMostOnce Promise = "non-repeatable at most once"
-	// PromiseAcknowledged: a write reported as answered was kept, exactly once
-	// where it is non-repeatable.
+	// PromiseAcknowledged: a non-repeatable request that was answered with
+	// status 200 has its effect stored exactly once.
 	PromiseAcknowledged Promise = "acknowledged writes kept"
 	// PromiseNotRun: an attempt reported as not run did not run.
 	PromiseNotRun Promise = "not run means not run"
-	// PromiseWholeAnswer: an answer reported as whole was whole and the
-	// caller's own.
+	// PromiseWholeAnswer: an answer reported as complete was complete and
+	// belonged to the caller's request.
 	PromiseWholeAnswer Promise = "whole answers to their callers"
-	// PromiseLimits: slots and connections of a back end were never exceeded.
+	// PromiseLimits: the slot and connection limits of a back end were never
+	// exceeded.
 	PromiseLimits Promise = "slot and connection limits"
 )
 
-// Promises lists all promises in the order of a report.
+// Promises lists all promises in the order in which reports show them.
 var Promises = []Promise{
 	PromiseSoleOwner, PromiseAtMostOnce, PromiseAcknowledged,
 	PromiseNotRun, PromiseWholeAnswer, PromiseLimits,
 }
 
-// Violation is one broken promise with its evidence.
+// Violation is one violation of a promise with its evidence.
 type Violation struct {
 	Promise  Promise
 	Evidence string
@@ -49,13 +51,15 @@
 
 // Report is the result of a check.
 type Report struct {
-	// Checked counts what each promise was checked on: requests, or runs and
-	// writes for PromiseSoleOwner, or entries for PromiseLimits.
+	// Checked counts the items that each promise was checked on: runs and
+	// writes for PromiseSoleOwner, ledger entries for PromiseLimits, answered
+	// attempts for PromiseWholeAnswer and PromiseAcknowledged, and requests for
+	// the others.
 	Checked    map[Promise]int
 	Violations []Violation
 }
 
-// Broken returns how often a promise was broken.
+// Broken returns the number of violations of a promise.
 func (r Report) Broken(promise Promise) int {
 	count := 0
 	for _, violation := range r.Violations {
@@ -66,7 +70,7 @@
 	return count
 }
 
-// request gathers what both sides recorded of one request id.
+// request holds what callers and back ends recorded for one request id.
 type request struct {
 	id       string
 	attempts []CallerEntry
@@ -79,14 +83,14 @@
 	requests map[string]*request
 }
 
-// Check checks all promises. The back ends' entries must be complete: read
-// them after the callers' and once no request runs.
+// Check checks all promises. The back ends' entries must be complete: read them
+// after the callers' entries, when no request runs any more.
 func Check(callers []CallerEntry, backends []BackendEntry) Report {
 	c := &checker{
 		report:   Report{Checked: make(map[Promise]int)},
 		requests: make(map[string]*request),
 	}
-	c.gather(callers, backends)
+	c.groupByRequest(callers, backends)
 	c.checkOwners(backends)
 	c.checkLimits(backends)
 	for _, id := range sortedIDs(c.requests) {
@@ -113,7 +117,7 @@
 	return found
 }
 
-func (c *checker) gather(callers []CallerEntry, backends []BackendEntry) {
+func (c *checker) groupByRequest(callers []CallerEntry, backends []BackendEntry) {
 	for _, entry := range callers {
 		found := c.request(entry.RequestID)
 		found.attempts = append(found.attempts, entry)
@@ -132,24 +136,25 @@
 	}
 }
 
-func (c *checker) broken(promise Promise, format string, arguments ...any) {
+func (c *checker) addViolation(promise Promise, format string, arguments ...any) {
 	c.report.Violations = append(c.report.Violations,
 		Violation{Promise: promise, Evidence: fmt.Sprintf(format, arguments...)})
 }
 
-// tenure is an owner's time with a shard.
-type tenure struct {
+// ownership identifies the period during which a back end owned a shard.
+type ownership struct {
 	shard   string
 	epoch   topology.Epoch
 	backend string
 }
 
-func tenureOf(entry BackendEntry) tenure {
-	return tenure{shard: entry.Shard, epoch: entry.Epoch, backend: entry.Backend}
+func ownershipOf(entry BackendEntry) ownership {
+	return ownership{shard: entry.Shard, epoch: entry.Epoch, backend: entry.Backend}
 }
 
-// checkOwners orders runs and writes by time. The time of an entry is read
-// before the back end checks its lease, so it is when the back end was owner.
+// checkOwners checks PromiseSoleOwner on runs and writes in order of time. A back
+// end reads the time of an entry before it checks its lease, so it owned the
+// shard at that time.
 func (c *checker) checkOwners(backends []BackendEntry) {
 	var owned []BackendEntry
 	for _, entry := range backends {
@@ -158,8 +163,8 @@
 		}
 	}
 	slices.SortStableFunc(owned, func(a, b BackendEntry) int { return cmp.Compare(a.Time, b.Time) })
-	latest := make(map[string]tenure)
-	keys := make(map[ProbedKey]*keyOwners)
+	latest := make(map[string]ownership)
+	keys := make(map[ProbedKey]*keyOwnerHistory)
 	for _, entry := range owned {
 		c.report.Checked[PromiseSoleOwner]++
 		if !c.checkShardOwner(latest, entry) {
@@ -167,56 +172,59 @@
 		}
 		key := ProbedKey{Service: entry.Service, Key: entry.Key}
 		if keys[key] == nil {
-			keys[key] = newKeyOwners()
+			keys[key] = newKeyOwnerHistory()
 		}
-		if other, interleaved := keys[key].add(tenureOf(entry)); interleaved {
-			c.broken(PromiseSoleOwner, "key %s: %s by %s for shard %s at epoch %d after %s had taken over, request %s",
+		if other, interleaved := keys[key].add(ownershipOf(entry)); interleaved {
+			c.addViolation(PromiseSoleOwner, "key %s: %s by %s for shard %s at epoch %d after %s had taken over, request %s",
 				entry.Key, entry.Kind, entry.Backend, entry.Shard, entry.Epoch, other, entry.RequestID)
 		}
 	}
 }
 
-// checkShardOwner returns false where it found the promise broken.
-func (c *checker) checkShardOwner(latest map[string]tenure, entry BackendEntry) bool {
+// checkShardOwner checks one entry against the latest ownership of its shard. It
+// returns false if it found a violation.
+func (c *checker) checkShardOwner(latest map[string]ownership, entry BackendEntry) bool {
 	last, seen := latest[entry.Shard]
 	switch {
 	case seen && entry.Epoch < last.epoch:
-		c.broken(PromiseSoleOwner, "shard %s: %s by %s at epoch %d after %s acted at epoch %d, request %s",
+		c.addViolation(PromiseSoleOwner, "shard %s: %s by %s at epoch %d after %s acted at epoch %d, request %s",
 			entry.Shard, entry.Kind, entry.Backend, entry.Epoch, last.backend, last.epoch, entry.RequestID)
 	case seen && entry.Epoch == last.epoch && entry.Backend != last.backend:
-		c.broken(PromiseSoleOwner, "shard %s: %s and %s both acted at epoch %d, request %s",
+		c.addViolation(PromiseSoleOwner, "shard %s: %s and %s both acted at epoch %d, request %s",
 			entry.Shard, last.backend, entry.Backend, entry.Epoch, entry.RequestID)
 	default:
-		latest[entry.Shard] = tenureOf(entry)
+		latest[entry.Shard] = ownershipOf(entry)
 		return true
 	}
 	return false
 }
 
-// keyOwners follows the owners of one key, whose shard may be split or joined.
-type keyOwners struct {
-	count int
-	// first is the place, from 1, of each tenure's first entry; last that of
-	// each back end's last entry.
-	first map[tenure]int
-	last  map[string]int
+// keyOwnerHistory tracks the owners of one key across splits and merges of its
+// shard.
+type keyOwnerHistory struct {
+	// entries counts the entries added.
+	entries int
+	// firstEntry holds the position, from 1, of the first entry of each
+	// ownership; lastEntry that of the last entry of each back end.
+	firstEntry map[ownership]int
+	lastEntry  map[string]int
 }
 
-func newKeyOwners() *keyOwners {
-	return &keyOwners{first: make(map[tenure]int), last: make(map[string]int)}
+func newKeyOwnerHistory() *keyOwnerHistory {
+	return &keyOwnerHistory{firstEntry: make(map[ownership]int), lastEntry: make(map[string]int)}
 }
 
-// add takes the next entry. It reports a back end that acted since the entry's
-// tenure began: two owners interleaved.
-func (k *keyOwners) add(next tenure) (other string, interleaved bool) {
-	k.count++
-	began, known := k.first[next]
+// add adds the next entry. It returns another back end that has acted since the
+// entry's ownership began, which means that two owners interleaved.
+func (k *keyOwnerHistory) add(next ownership) (other string, interleaved bool) {
+	k.entries++
+	firstPosition, known := k.firstEntry[next]
 	if !known {
-		k.first[next] = k.count
+		k.firstEntry[next] = k.entries
 	}
-	k.last[next.backend] = k.count
-	for backend, place := range k.last {
-		if known && backend != next.backend && place > began {
+	k.lastEntry[next.backend] = k.entries
+	for backend, position := range k.lastEntry {
+		if known && backend != next.backend && position > firstPosition {
 			return backend, true
 		}
 	}
@@ -227,7 +235,7 @@
 	for _, entry := range backends {
 		c.report.Checked[PromiseLimits]++
 		if entry.Kind == KindOverSlots || entry.Kind == KindOverConnections {
-			c.broken(PromiseLimits, "%s: %s", entry.Backend, entry.Kind)
+			c.addViolation(PromiseLimits, "%s: %s", entry.Backend, entry.Kind)
 		}
 	}
 }
@@ -240,7 +248,7 @@
 	if first.NonRepeatable {
 		c.report.Checked[PromiseAtMostOnce]++
 		if len(r.runs) > 1 {
-			c.broken(PromiseAtMostOnce, "request %s (%s/%s) ran %d times: %s",
+			c.addViolation(PromiseAtMostOnce, "request %s (%s/%s) ran %d times: %s",
 				r.id, first.Service, first.Operation, len(r.runs), describeRuns(r.runs))
 		}
 	}
@@ -256,24 +264,25 @@
 	c.checkNotRun(r)
 }
 
-// checkNotRun looks for runs that only attempts reported as not run can have
-// caused: runs before the first attempt with another outcome was sent.
+// checkNotRun looks for runs that started before the first attempt with an
+// outcome other than not run was sent: only attempts that were reported as not
+// run can have caused them.
 func (c *checker) checkNotRun(r *request) {
 	slices.SortFunc(r.attempts, func(a, b CallerEntry) int { return cmp.Compare(a.Sent, b.Sent) })
 	if r.attempts[0].Outcome != wire.OutcomeNotRun {
 		return
 	}
 	c.report.Checked[PromiseNotRun]++
-	mayRunFrom := int64(math.MaxInt64)
+	earliestRun := int64(math.MaxInt64)
 	for _, attempt := range r.attempts {
 		if attempt.Outcome != wire.OutcomeNotRun {
-			mayRunFrom = attempt.Sent
+			earliestRun = attempt.Sent
 			break
 		}
 	}
 	for _, run := range r.runs {
-		if run.Time < mayRunFrom {
-			c.broken(PromiseNotRun, "request %s (%s) was reported not run (%s), but ran: %s",
+		if run.Time < earliestRun {
+			c.addViolation(PromiseNotRun, "request %s (%s) was reported not run (%s), but ran: %s",
 				r.id, r.attempts[0].Operation, r.attempts[0].Reason, describeRuns(r.runs))
 			return
 		}
@@ -283,14 +292,14 @@
 func (c *checker) checkAnswer(r *request, attempt CallerEntry) {
 	c.report.Checked[PromiseWholeAnswer]++
 	if attempt.Damage != "" {
-		c.broken(PromiseWholeAnswer, "request %s (%s): %s", r.id, attempt.Operation, attempt.Damage)
+		c.addViolation(PromiseWholeAnswer, "request %s (%s): %s", r.id, attempt.Operation, attempt.Damage)
 	}
 	if attempt.Status != http.StatusOK || !attempt.NonRepeatable {
 		return
 	}
 	c.report.Checked[PromiseAcknowledged]++
 	if len(r.writes) != 1 {
-		c.broken(PromiseAcknowledged, "request %s (%s) was answered, but its effect was kept %d times",
+		c.addViolation(PromiseAcknowledged, "request %s (%s) was answered, but its effect was kept %d times",
 			r.id, attempt.Operation, len(r.writes))
 	}
 }
--- a/lab/ledger/check_test.go
+++ b/lab/ledger/check_test.go
@@ -28,7 +28,7 @@
 	return entry
 }
 
-func TestCheckFindsEachBrokenPromise(t *testing.T) {
+func TestCheckReportsViolationOfEachPromise(t *testing.T) {
 	tests := []struct {
 		name     string
 		callers  []ledger.CallerEntry
@@ -132,14 +132,14 @@
 	}
 }
 
-func TestLedgerOfAKilledProcessIsReadUpToItsLastWholeLine(t *testing.T) {
+func TestReadIgnoresPartialLastLine(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "backend-1.jsonl")
 	writer, err := ledger.OpenWriter(path)
 	assert.NilError(t, err)
 	entry := backend("a", 1, ledger.KindRun, "one", 1)
 	assert.NilError(t, writer.Append(entry))
 	assert.NilError(t, writer.Close())
-	cutLastLine(t, path)
+	appendPartialLine(t, path)
 
 	entries, err := ledger.ReadBackends(path)
 	assert.NilError(t, err)
--- a/lab/ledger/helpers_test.go
+++ b/lab/ledger/helpers_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// cutLastLine appends the first half of a line, as a killed process may.
-func cutLastLine(t *testing.T, path string) {
+// appendPartialLine appends the first half of a line, as a killed process may.
+func appendPartialLine(t *testing.T, path string) {
 	t.Helper()
 	file, err := os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0)
 	assert.NilError(t, err)
--- a/lab/ledger/ledger.go
+++ b/lab/ledger/ledger.go
@@ -1,10 +1,10 @@
-// Package ledger records what callers were told and what back ends did, and
-// checks the product's promises from both. Every process of the lab appends
-// lines of JSON to a file of its own, so that a killed process loses nothing
-// it has written.
+// Package ledger records the outcomes that callers saw and the requests that
+// back ends ran, and checks the product's promises by comparing the two. Every
+// process of the lab appends lines of JSON to its own file, so that a killed
+// process loses nothing it has written.
 //
-// Times are Unix nanoseconds of the one machine that the lab runs on; they
-// order entries of different processes.
+// Times are Unix nanoseconds. All processes of the lab run on one machine, so
+// times order the entries of different processes.
 package ledger
 
 import (
@@ -21,20 +21,20 @@
 	"github.com/quartzdock/quartzdock/internal/wire"
 )
 
-// Kind says what a back end did.
+// Kind is the kind of event that a back end recorded.
 type Kind string
 
 // Kinds of back end entries.
 const (
 	// KindRun is written when a back end starts to run a request.
 	KindRun Kind = "run"
-	// KindWrite is written when the effect of a request is kept.
+	// KindWrite is written when the effect of a request is stored.
 	KindWrite Kind = "write"
-	// KindAbandoned is written when a run ended without keeping its effect.
+	// KindAbandoned is written when a run ends without storing its effect.
 	KindAbandoned Kind = "abandoned"
-	// KindOverSlots is written when a request came while all slots were busy.
+	// KindOverSlots is written when a request arrives while all slots are in use.
 	KindOverSlots Kind = "over-slots"
-	// KindOverConnections is written when a connection over the limit came.
+	// KindOverConnections is written when a connection exceeds the limit.
 	KindOverConnections Kind = "over-connections"
 )
 
@@ -52,8 +52,8 @@
 	Reason    string         `json:"reason,omitempty"`
 }
 
-// CallerEntry is one attempt of a caller, written when it ended. A resend of
-// the same request has the same RequestID and the next Attempt.
+// CallerEntry is one attempt of a caller, written when the attempt ends. A
+// resend of a request has the same RequestID and the next Attempt.
 type CallerEntry struct {
 	// Due is when the request was due by the open-loop schedule; Sent is when
 	// this attempt was sent; Done is when it ended.
@@ -71,13 +71,13 @@
 	Status        int          `json:"status,omitempty"`
 	Outcome       wire.Outcome `json:"outcome"`
 	Reason        wire.Reason  `json:"reason,omitempty"`
-	// Damage says what was wrong with an answer that was reported as whole.
+	// Damage describes what is wrong with an answer that was reported as complete.
 	Damage string `json:"damage,omitempty"`
-	// Error is the client's own error, where no answer came.
+	// Error is the client's own error if no answer came.
 	Error string `json:"error,omitempty"`
 }
 
-// Writer appends entries to a file. It may be used by many goroutines.
+// Writer appends entries to a file. It is safe for concurrent use.
 type Writer struct {
 	mutex sync.Mutex
 	file  *os.File
@@ -130,7 +130,7 @@
 func readAll[Entry any](pattern string) ([]Entry, error) {
 	paths, err := filepath.Glob(pattern)
 	if err != nil {
-		return nil, fmt.Errorf("ledgers %q: %w", pattern, err)
+		return nil, fmt.Errorf("ledger file pattern %q: %w", pattern, err)
 	}
 	var all []Entry
 	for _, path := range paths {
@@ -143,8 +143,8 @@
 	return all, nil
 }
 
-// readFile reads whole lines; a killed process may leave a last line without
-// its end, which is left out.
+// readFile reads all complete lines. It ignores a partial last line, which a
+// killed process may leave.
 func readFile[Entry any](path string) ([]Entry, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -163,7 +163,7 @@
 		}
 		var entry Entry
 		if err := json.Unmarshal(line, &entry); err != nil {
-			return nil, fmt.Errorf("ledger %s: %w", path, err)
+			return nil, fmt.Errorf("decode ledger %s: %w", path, err)
 		}
 		entries = append(entries, entry)
 	}
