--- a/lab/history/faults.go
+++ b/lab/history/faults.go
@@ -7,25 +7,25 @@
 	"github.com/quartzdock/quartzdock/lab/fleet"
 )
 
-// Fault is one disturbance of a group of controllers, and how it ends.
+// Fault is a fault in a group of controllers that can be injected and repaired.
 type Fault struct {
 	Name string
-	// Begin disturbs the group; leader is the controller that leads.
+	// Begin injects the fault; leader is the current leader.
 	Begin func(f *fleet.Fleet, leader *fleet.Process) error
-	// End repairs what Begin did.
+	// End reverts Begin, with the same leader.
 	End func(f *fleet.Fleet, leader *fleet.Process) error
 }
 
-// Faults returns every kind of fault that is tried.
+// Faults returns all kinds of faults.
 func Faults() []Fault {
 	return []Fault{
 		{"kill the leader", kill, start},
 		{"freeze the leader", freeze, thaw},
 		{"cut the leader off", isolate, heal},
-		{"cut what the leader sends", cutSending, heal},
-		{"cut what the leader receives", cutReceiving, heal},
-		{"kill a majority", killMajority, startAll},
-		{"freeze the leader and kill another", freezeAndKill, thawAndStartAll},
+		{"cut what the leader sends", dropSent, heal},
+		{"cut what the leader receives", dropReceived, heal},
+		{"kill a majority", killMajority, startStopped},
+		{"freeze the leader and kill another", freezeAndKill, thawAndStartStopped},
 	}
 }
 
@@ -41,18 +41,20 @@
 	return nil
 }
 
-// cutSending loses what the leader sends to the other controllers.
-func cutSending(f *fleet.Fleet, leader *fleet.Process) error {
-	var findings []error
+// dropSent drops all bytes that the leader sends to the other controllers on
+// connections that it opened.
+func dropSent(f *fleet.Fleet, leader *fleet.Process) error {
+	var errs []error
 	for _, other := range others(f, leader) {
 		lose := faultproxy.Lose(faultproxy.Forward)
-		findings = append(findings, f.Links.Peers(other.Name).SetFor(leader.Name, lose))
+		errs = append(errs, f.Links.Peers(other.Name).SetFor(leader.Name, lose))
 	}
-	return errors.Join(findings...)
+	return errors.Join(errs...)
 }
 
-// cutReceiving loses what the other controllers send to the leader.
-func cutReceiving(f *fleet.Fleet, leader *fleet.Process) error {
+// dropReceived drops all bytes that the other controllers send to the leader on
+// connections that they opened.
+func dropReceived(f *fleet.Fleet, leader *fleet.Process) error {
 	return f.Links.Peers(leader.Name).Set(faultproxy.Lose(faultproxy.Forward))
 }
 
@@ -64,27 +66,27 @@
 	return errors.Join(leader.Freeze(), others(f, leader)[0].Kill())
 }
 
-func thawAndStartAll(f *fleet.Fleet, leader *fleet.Process) error {
-	return errors.Join(leader.Thaw(), startAll(f, leader))
+func thawAndStartStopped(f *fleet.Fleet, leader *fleet.Process) error {
+	return errors.Join(leader.Thaw(), startStopped(f, leader))
 }
 
-// startAll starts the controllers that do not run.
-func startAll(f *fleet.Fleet, _ *fleet.Process) error {
-	var findings []error
+// startStopped starts the controllers that are not running.
+func startStopped(f *fleet.Fleet, _ *fleet.Process) error {
+	var errs []error
 	for _, controller := range f.Controllers {
 		if !controller.Running() {
-			findings = append(findings, controller.Start())
+			errs = append(errs, controller.Start())
 		}
 	}
-	return errors.Join(findings...)
+	return errors.Join(errs...)
 }
 
 func others(f *fleet.Fleet, leader *fleet.Process) []*fleet.Process {
-	var found []*fleet.Process
+	var remaining []*fleet.Process
 	for _, controller := range f.Controllers {
 		if controller != leader {
-			found = append(found, controller)
+			remaining = append(remaining, controller)
 		}
 	}
-	return found
+	return remaining
 }
--- a/lab/history/linearizability_test.go
+++ b/lab/history/linearizability_test.go
@@ -22,12 +22,12 @@
 )
 
 const (
-	operators  = 4
-	checkLimit = time.Minute
+	operators    = 4
+	checkTimeout = time.Minute
 )
 
-// startControllers starts three controller processes with a fault proxy on
-// each link, and the service that the operators change.
+// startControllers starts three controller processes with a fault proxy on each
+// link, and creates the service that the operators change.
 func startControllers(t *testing.T, seed uint64) (*fleet.Fleet, *history.Recorder) {
 	t.Helper()
 	binaries, err := fleet.Build(t.Context(), t.TempDir())
@@ -53,7 +53,7 @@
 	return f, recorder
 }
 
-// leaderOf waits for a controller that leads.
+// leaderOf waits until there is a leader and returns it.
 func leaderOf(t *testing.T, f *fleet.Fleet) *fleet.Process {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
@@ -63,10 +63,10 @@
 	return f.Controllers[number]
 }
 
-// TestAnswersAreLinearizableUnderFaults lets operators race, with lost answers
-// and resends, while controllers are killed, frozen and cut off in an order
-// drawn from the seed.
-func TestAnswersAreLinearizableUnderFaults(t *testing.T) {
+// TestConfigurationIsLinearizableUnderFaults runs concurrent operators, with lost
+// answers and resends, while controllers are killed, frozen and isolated in a
+// random order that the seed determines.
+func TestConfigurationIsLinearizableUnderFaults(t *testing.T) {
 	seeds, faults := uint64(2), len(history.Faults())
 	if testing.Short() {
 		seeds, faults = 1, 3
@@ -80,21 +80,21 @@
 				operator := history.NewOperator(number, f.ControllerRPCAddresses(), recorder, seed)
 				running.Go(func() { operator.Run(ctx) })
 			}
-			disturb(t, f, rand.New(rand.NewPCG(seed, 0)), faults, recorder)
+			injectFaults(t, f, rand.New(rand.NewPCG(seed, 0)), faults, recorder)
 			stop()
 			running.Wait()
 			operations := recorder.Operations()
 			t.Logf("%d operations: %d reads, %d accepted, %d refused, %d unknown", len(operations),
-				recorder.Count(history.Seen), recorder.Count(history.Accepted),
+				recorder.Count(history.ReadReturned), recorder.Count(history.Accepted),
 				recorder.Count(history.Conflict), recorder.Count(history.Unknown))
-			assert.Equal(t, history.Check(operations, checkLimit), porcupine.Ok)
+			assert.Equal(t, history.Check(operations, checkTimeout), porcupine.Ok)
 		})
 	}
 }
 
-// disturb makes faults one after the other, each once the group has recovered
-// from the one before: it has accepted changes again.
-func disturb(t *testing.T, f *fleet.Fleet, random *rand.Rand, count int, recorder *history.Recorder) {
+// injectFaults injects faults one after the other. After each it waits until the
+// group has recovered, that is, has accepted more changes.
+func injectFaults(t *testing.T, f *fleet.Fleet, random *rand.Rand, count int, recorder *history.Recorder) {
 	t.Helper()
 	all := history.Faults()
 	for _, index := range random.Perm(len(all))[:count] {
@@ -113,9 +113,10 @@
 	}
 }
 
-// TestCheckerRefusesAStaleRead reads at a controller that is cut off, with and
-// without the defect of taking its answer for the newest.
-func TestCheckerRefusesAStaleRead(t *testing.T) {
+// TestCheckRejectsStaleRead reads from an isolated controller. A reader that
+// accepts the stale answer must make the history illegal; one that ignores it
+// must not.
+func TestCheckRejectsStaleRead(t *testing.T) {
 	f, recorder := startControllers(t, 1)
 	var follower int
 	for index, controller := range f.Controllers {
@@ -128,7 +129,7 @@
 	reader := history.NewOperator(1, addresses, recorder, 1)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if !reader.Read(t.Context(), client) {
-			return poll.Continue("the follower has not heard the leader yet")
+			return poll.Continue("the follower does not answer linearizable reads yet")
 		}
 		return poll.Success()
 	}, poll.WithTimeout(20*time.Second))
@@ -138,10 +139,10 @@
 	writer := history.NewOperator(2, append(addresses[:follower:follower], addresses[follower+1:]...), recorder, 1)
 	before := recorder.Count(history.Accepted)
 	for recorder.Count(history.Accepted) == before {
-		writer.Once(t.Context())
+		writer.RunOnce(t.Context())
 	}
-	assert.Assert(t, !reader.Read(t.Context(), client), "a controller that is cut off says that it may be old")
-	assert.Equal(t, history.Check(recorder.Operations(), checkLimit), porcupine.Ok)
-	assert.Assert(t, reader.ReadTrustingAll(t.Context(), client))
-	assert.Equal(t, history.Check(recorder.Operations(), checkLimit), porcupine.Illegal)
+	assert.Assert(t, !reader.Read(t.Context(), client), "an isolated controller must not mark its answer as linearizable")
+	assert.Equal(t, history.Check(recorder.Operations(), checkTimeout), porcupine.Ok)
+	assert.Assert(t, reader.ReadAcceptingStale(t.Context(), client))
+	assert.Equal(t, history.Check(recorder.Operations(), checkTimeout), porcupine.Illegal)
 }
--- a/lab/history/model.go
+++ b/lab/history/model.go
@@ -7,78 +7,79 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Input of an operation: a read, or a change by an author.
+// Input is the input of an operation: a read, or a change by an author.
 type Input struct {
-	// Author of the change; empty for a read.
+	// Author identifies the change; empty for a read.
 	Author string
-	// Expected revision of the change.
+	// Expected is the revision that a change requires.
 	Expected uint64
 }
 
-// Outcome of an operation.
+// Outcome is the outcome of an operation.
 type Outcome uint8
 
-// Outcomes.
+// Outcomes of operations. Revision and Author are the fields of Output.
 const (
-	// Seen: a read was answered with Revision and Author.
-	Seen Outcome = iota + 1
-	// Accepted: the change was made at Revision.
+	// ReadReturned: a read returned Revision and Author.
+	ReadReturned Outcome = iota + 1
+	// Accepted: the change was applied as Revision.
 	Accepted
-	// Conflict: the change was refused, since Author had made Revision.
+	// Conflict: the change was rejected because Author had already changed the
+	// configuration to Revision.
 	Conflict
-	// Unknown: no answer came.
+	// Unknown: no answer came, so the change may or may not have been applied.
 	Unknown
 )
 
-// Output of an operation.
+// Output is the result of an operation.
 type Output struct {
 	Outcome  Outcome
 	Revision uint64
 	Author   string
 }
 
-// register is the state of the model. After a change whose outcome is not known
-// its revision is open: any above the one before.
+// register is the state of the model. If revisionUnknown is set, the last change
+// was applied without an answer, and its revision may be any above revision.
 type register struct {
-	author   string
-	revision uint64
-	open     bool
+	author          string
+	revision        uint64
+	revisionUnknown bool
 }
 
-// matches reports whether the register may hold a revision by an author.
-func (r register) matches(revision uint64, author string) bool {
+// mayHold reports whether the register can hold a revision written by an author.
+func (r register) mayHold(revision uint64, author string) bool {
 	if r.author != author {
 		return false
 	}
-	if r.open {
+	if r.revisionUnknown {
 		return revision > r.revision
 	}
 	return revision == r.revision
 }
 
-// step returns the states that the register may be in after an operation; none
-// says that the operation cannot have had this output.
+// step returns the states that the register may be in after an operation. It
+// returns none if the operation cannot have had this output.
 func (r register) step(input Input, output Output) []register {
 	switch output.Outcome {
-	case Seen, Conflict:
-		refusedRightly := output.Outcome == Seen || output.Revision != input.Expected
-		if r.matches(output.Revision, output.Author) && refusedRightly {
+	case ReadReturned, Conflict:
+		justified := output.Outcome == ReadReturned || output.Revision != input.Expected
+		if r.mayHold(output.Revision, output.Author) && justified {
 			return []register{{author: output.Author, revision: output.Revision}}
 		}
 	case Accepted:
-		if r.matches(input.Expected, r.author) && output.Revision > input.Expected {
+		if r.mayHold(input.Expected, r.author) && output.Revision > input.Expected {
 			return []register{{author: input.Author, revision: output.Revision}}
 		}
 	case Unknown:
-		if r.matches(input.Expected, r.author) {
-			return []register{r, {author: input.Author, revision: input.Expected, open: true}}
+		if r.mayHold(input.Expected, r.author) {
+			return []register{r, {author: input.Author, revision: input.Expected, revisionUnknown: true}}
 		}
 		return []register{r}
 	}
 	return nil
 }
 
-func model() porcupine.Model {
+func registerModel() porcupine.Model {
 	nondeterministic := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{register{}} },
 		Step: func(state, input, output any) []any {
@@ -93,8 +94,8 @@
 	return nondeterministic.ToModel()
 }
 
-// Check reports whether a history is linearizable. Undecided after the limit,
-// it says so.
-func Check(operations []porcupine.Operation, limit time.Duration) porcupine.CheckResult {
-	return porcupine.CheckOperationsTimeout(model(), operations, limit)
+// Check checks whether a history is linearizable. It returns porcupine.Unknown if
+// the timeout expires first.
+func Check(operations []porcupine.Operation, timeout time.Duration) porcupine.CheckResult {
+	return porcupine.CheckOperationsTimeout(registerModel(), operations, timeout)
 }
--- a/lab/history/operator.go
+++ b/lab/history/operator.go
@@ -17,37 +17,37 @@
 )
 
 const (
-	// serviceName of the service that all operators change.
-	serviceName = "register"
-	shards      = 4
-	// changeLimit is after which an operator gives a change up; its outcome is
-	// then unknown.
-	changeLimit = 3 * time.Second
-	// readLimit bounds one read, and patientReadLimit one at a controller that
-	// tries in vain to reach a quorum first.
-	readLimit        = 400 * time.Millisecond
-	patientReadLimit = 5 * time.Second
-	// attemptLimit bounds one sending of a change, and hastyLimit that of an
-	// operator whose answers get lost.
-	attemptLimit = 500 * time.Millisecond
-	hastyLimit   = 4 * time.Millisecond
-	retryPause   = 10 * time.Millisecond
+	// serviceName is the name of the service that all operators change.
+	serviceName   = "register"
+	initialShards = 4
+	// changeTimeout is the time after which an operator stops resending a change
+	// and records its outcome as unknown.
+	changeTimeout = 3 * time.Second
+	// readTimeout bounds one read. staleReadTimeout bounds a read that accepts
+	// stale answers: an isolated controller first tries in vain to reach a quorum.
+	readTimeout      = 400 * time.Millisecond
+	staleReadTimeout = 5 * time.Second
+	// attemptTimeout bounds one attempt of a change. shortAttemptTimeout makes it
+	// likely that the answer is lost.
+	attemptTimeout      = 500 * time.Millisecond
+	shortAttemptTimeout = 4 * time.Millisecond
+	retryDelay          = 10 * time.Millisecond
 )
 
-// Operator makes changes and reads of the configuration, each at a controller
-// drawn at random, and records them.
+// Operator changes and reads the configuration, each time at a random
+// controller, and records the operations.
 type Operator struct {
 	number   int
 	clients  []quartzdockv1connect.AdminServiceClient
 	recorder *Recorder
 	random   *rand.Rand
 	changes  int
-	// seen is the configuration's revision as last read.
-	seen uint64
+	// lastRevision is the configuration's revision as last read.
+	lastRevision uint64
 }
 
-// NewOperator returns operator number of those who call the controllers at the
-// addresses, "IP:port".
+// NewOperator returns the operator with the given number, which calls the
+// controllers at the addresses ("IP:port").
 func NewOperator(number int, addresses []string, recorder *Recorder, seed uint64) *Operator {
 	o := &Operator{number: number, recorder: recorder, random: rand.New(rand.NewPCG(seed, uint64(number)))}
 	for _, address := range addresses {
@@ -56,55 +56,57 @@
 	return o
 }
 
-func (o *Operator) anyClient() quartzdockv1connect.AdminServiceClient {
+func (o *Operator) randomClient() quartzdockv1connect.AdminServiceClient {
 	return o.clients[o.random.IntN(len(o.clients))]
 }
 
-// Run reads and changes in turn until the context ends.
+// Run calls RunOnce until the context ends.
 func (o *Operator) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		o.Once(ctx)
+		o.RunOnce(ctx)
 	}
 }
 
-// Once reads, makes a change in two of three cases and rests a little.
-func (o *Operator) Once(ctx context.Context) {
-	o.Read(ctx, o.anyClient())
+// RunOnce reads, then makes a change with probability 2/3, then waits for a
+// random time of at most retryDelay.
+func (o *Operator) RunOnce(ctx context.Context) {
+	o.Read(ctx, o.randomClient())
 	if o.random.IntN(3) > 0 {
 		o.change(ctx)
 	}
-	_ = pause.For(ctx, time.Duration(o.random.Int64N(int64(retryPause))))
+	_ = pause.For(ctx, time.Duration(o.random.Int64N(int64(retryDelay))))
 }
 
-// Read asks one controller for the configuration's revision and records the
-// answer if it claims to be the newest. It reports whether it was recorded.
+// Read reads the configuration's revision from one controller and records the
+// answer if it is marked as linearizable. It returns whether it recorded one.
 func (o *Operator) Read(ctx context.Context, client quartzdockv1connect.AdminServiceClient) bool {
-	return o.read(ctx, client, readLimit, false)
+	return o.read(ctx, client, readTimeout, false)
 }
 
-// ReadTrustingAll is Read with a defect: it records old answers as well.
-func (o *Operator) ReadTrustingAll(ctx context.Context, client quartzdockv1connect.AdminServiceClient) bool {
-	return o.read(ctx, client, patientReadLimit, true)
+// ReadAcceptingStale is Read with a deliberate defect: it also records answers
+// that are not marked as linearizable.
+func (o *Operator) ReadAcceptingStale(ctx context.Context, client quartzdockv1connect.AdminServiceClient) bool {
+	return o.read(ctx, client, staleReadTimeout, true)
 }
 
-func (o *Operator) read(ctx context.Context, client quartzdockv1connect.AdminServiceClient, limit time.Duration, trustAll bool) bool {
+func (o *Operator) read(ctx context.Context, client quartzdockv1connect.AdminServiceClient, timeout time.Duration, acceptStale bool) bool {
 	called := o.recorder.Now()
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	response, err := client.GetRevision(ctx, connect.NewRequest(&quartzdockv1.GetRevisionRequest{}))
-	if err != nil || (!response.Msg.GetAge().GetLinearizable() && !trustAll) {
+	if err != nil || (!response.Msg.GetAge().GetLinearizable() && !acceptStale) {
 		return false
 	}
-	o.seen = response.Msg.GetConfigurationRevision()
-	o.recorder.Add(o.number, Input{}, called, Output{Outcome: Seen, Revision: o.seen, Author: response.Msg.GetAuthor()})
+	o.lastRevision = response.Msg.GetConfigurationRevision()
+	o.recorder.Add(o.number, Input{}, called, Output{Outcome: ReadReturned, Revision: o.lastRevision, Author: response.Msg.GetAuthor()})
 	return true
 }
 
-// Create makes the service that the operators change.
+// Create creates the service that the operators change.
 func (o *Operator) Create(ctx context.Context) error {
-	return o.make(ctx, func(ctx context.Context, client quartzdockv1connect.AdminServiceClient, mutation *quartzdockv1.Mutation) (*quartzdockv1.MutationResult, error) {
+	return o.submit(ctx, func(ctx context.Context, client quartzdockv1connect.AdminServiceClient, mutation *quartzdockv1.Mutation) (*quartzdockv1.MutationResult, error) {
 		request := &quartzdockv1.CreateServiceRequest{
-			Mutation: mutation, Service: &quartzdockv1.Service{Name: serviceName, InitialShards: shards},
+			Mutation: mutation, Service: &quartzdockv1.Service{Name: serviceName, InitialShards: initialShards},
 		}
 		response, err := client.CreateService(ctx, connect.NewRequest(request))
 		if err != nil {
@@ -114,13 +116,13 @@
 	})
 }
 
-// change replaces the drain limit by another value.
+// change sets the service's drain limit to a random value.
 func (o *Operator) change(ctx context.Context) {
 	service := &quartzdockv1.Service{
-		Name: serviceName, InitialShards: shards,
+		Name: serviceName, InitialShards: initialShards,
 		DrainLimit: durationpb.New(time.Duration(1+o.random.IntN(1000)) * time.Millisecond),
 	}
-	_ = o.make(ctx, func(ctx context.Context, client quartzdockv1connect.AdminServiceClient, mutation *quartzdockv1.Mutation) (*quartzdockv1.MutationResult, error) {
+	_ = o.submit(ctx, func(ctx context.Context, client quartzdockv1connect.AdminServiceClient, mutation *quartzdockv1.Mutation) (*quartzdockv1.MutationResult, error) {
 		request := &quartzdockv1.UpdateServiceRequest{Mutation: mutation, Service: service}
 		response, err := client.UpdateService(ctx, connect.NewRequest(request))
 		if err != nil {
@@ -130,41 +132,41 @@
 	})
 }
 
-// send is one sending of a change to a controller.
-type send func(context.Context, quartzdockv1connect.AdminServiceClient, *quartzdockv1.Mutation) (*quartzdockv1.MutationResult, error)
+// sendFunc sends a change to a controller once.
+type sendFunc func(context.Context, quartzdockv1connect.AdminServiceClient, *quartzdockv1.Mutation) (*quartzdockv1.MutationResult, error)
 
-// make sends a change until it is answered or the limit is over, and records it.
-// The first sending of every other change is given up so soon that its answer
-// may be lost. The error is that of the last sending.
-func (o *Operator) make(ctx context.Context, send send) error {
+// submit sends a change until it is answered or changeTimeout has passed, and
+// records it. The first attempt of every second change has such a short timeout
+// that its answer may be lost. The error is that of the last attempt.
+func (o *Operator) submit(ctx context.Context, send sendFunc) error {
 	o.changes++
 	author := fmt.Sprintf("operator-%d/%d", o.number, o.changes)
-	mutation := &quartzdockv1.Mutation{RequestId: author, Author: author, ExpectedRevision: o.seen}
-	input := Input{Author: author, Expected: o.seen}
+	mutation := &quartzdockv1.Mutation{RequestId: author, Author: author, ExpectedRevision: o.lastRevision}
+	input := Input{Author: author, Expected: o.lastRevision}
 	called := o.recorder.Now()
-	limit := attemptLimit
+	timeout := attemptTimeout
 	if o.changes%2 == 0 {
-		limit = hastyLimit
+		timeout = shortAttemptTimeout
 	}
-	var last error
-	for o.recorder.Now()-called < changeLimit && ctx.Err() == nil {
-		output, err := attempt(ctx, limit, o.anyClient(), mutation, send)
+	var lastErr error
+	for o.recorder.Now()-called < changeTimeout && ctx.Err() == nil {
+		output, err := attempt(ctx, timeout, o.randomClient(), mutation, send)
 		if output.Outcome != 0 {
 			o.recorder.Add(o.number, input, called, output)
 			return nil
 		}
-		last = err
-		limit = attemptLimit
-		_ = pause.For(ctx, retryPause)
+		lastErr = err
+		timeout = attemptTimeout
+		_ = pause.For(ctx, retryDelay)
 	}
 	o.recorder.Add(o.number, input, called, Output{Outcome: Unknown})
-	return last
+	return lastErr
 }
 
-// attempt sends a change once. Without an outcome the change may have been made
-// or not.
-func attempt(ctx context.Context, limit time.Duration, client quartzdockv1connect.AdminServiceClient, mutation *quartzdockv1.Mutation, send send) (Output, error) {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// attempt sends a change once. If the output has no outcome, the change may or
+// may not have been applied.
+func attempt(ctx context.Context, timeout time.Duration, client quartzdockv1connect.AdminServiceClient, mutation *quartzdockv1.Mutation, send sendFunc) (Output, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	result, err := send(ctx, client, mutation)
 	if err == nil {
--- a/lab/history/recorder.go
+++ b/lab/history/recorder.go
@@ -19,11 +19,12 @@
 // NewRecorder returns an empty recorder.
 func NewRecorder() *Recorder { return &Recorder{started: time.Now()} }
 
-// Now returns the time since the recorder was made.
+// Now returns the time since the recorder was created.
 func (r *Recorder) Now() time.Duration { return time.Since(r.started) }
 
-// Add records an operation that was called at a time and has returned now. One
-// whose outcome is unknown may take effect for ever after.
+// Add records an operation that was called at the given time and returns now. An
+// operation with an unknown outcome may take effect at any later time, so it is
+// recorded as one that never returns.
 func (r *Recorder) Add(operator int, input Input, called time.Duration, output Output) {
 	returned := int64(r.Now())
 	if output.Outcome == Unknown {
@@ -36,14 +37,14 @@
 	})
 }
 
-// Operations returns what was recorded so far.
+// Operations returns a copy of the operations recorded so far.
 func (r *Recorder) Operations() []porcupine.Operation {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return append([]porcupine.Operation(nil), r.operations...)
 }
 
-// Count returns how many operations ended with an outcome.
+// Count returns the number of operations with the given outcome.
 func (r *Recorder) Count(outcome Outcome) int {
 	count := 0
 	for _, operation := range r.Operations() {
