--- a/lab/faultproxy/control.go
+++ b/lab/faultproxy/control.go
@@ -7,18 +7,19 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// maxControlBytes bounds the body of a control message.
+// maxControlBytes bounds the body of a control request.
 const maxControlBytes = 1 << 20
 
-// Handler controls proxies by name: PUT /proxies/NAME/faults sets Faults as
-// JSON, DELETE heals, POST /proxies/NAME/script starts a list of Steps, and GET
-// /proxies/NAME answers Counters.
+// Handler serves the control API of proxies, which addresses them by name and
+// uses JSON: PUT /proxies/NAME/faults sets Faults and DELETE removes them, POST
+// /proxies/NAME/script starts a script of Steps, and GET /proxies/NAME returns
+// Counters.
 func Handler(proxies ...*Proxy) http.Handler {
 	byName := make(map[string]*Proxy)
 	for _, proxy := range proxies {
 		byName[proxy.Name()] = proxy
 	}
-	find := func(handle func(*Proxy, http.ResponseWriter, *http.Request)) http.HandlerFunc {
+	withProxy := func(handle func(*Proxy, http.ResponseWriter, *http.Request)) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			proxy := byName[chi.URLParam(r, "name")]
 			if proxy == nil {
@@ -29,10 +30,10 @@
 		}
 	}
 	router := chi.NewRouter()
-	router.Get("/proxies/{name}", find(handleCounters))
-	router.Put("/proxies/{name}/faults", find(handleFaults))
-	router.Delete("/proxies/{name}/faults", find(handleHeal))
-	router.Post("/proxies/{name}/script", find(handleScript))
+	router.Get("/proxies/{name}", withProxy(handleCounters))
+	router.Put("/proxies/{name}/faults", withProxy(handleFaults))
+	router.Delete("/proxies/{name}/faults", withProxy(handleHeal))
+	router.Post("/proxies/{name}/script", withProxy(handleScript))
 	return router
 }
 
@@ -58,7 +59,7 @@
 	if !decode(w, r, &script) {
 		return
 	}
-	proxy.links.Go(func() { proxy.Run(proxy.ctx, script) })
+	proxy.goroutines.Go(func() { proxy.Run(proxy.ctx, script) })
 	w.WriteHeader(http.StatusAccepted)
 }
 
--- a/lab/faultproxy/fault.go
+++ b/lab/faultproxy/fault.go
@@ -7,39 +7,39 @@
 	"time"
 )
 
-// Direction is one of the two ways through the proxy.
+// Direction is one of the two directions through the proxy.
 type Direction string
 
 // Directions.
 const (
-	// Forward is from the side that connected to the target.
+	// Forward is from the client, which opened the connection, to the target.
 	Forward Direction = "forward"
-	// Backward is from the target to the side that connected.
+	// Backward is from the target to the client.
 	Backward Direction = "backward"
 )
 
-// Fault is what the proxy does to the bytes of one direction. The zero value
-// passes them on at once.
+// Fault describes what the proxy does to the bytes of one direction. The zero
+// value forwards them at once.
 type Fault struct {
-	// Delay holds every piece back; Jitter adds a random time up to itself.
-	// Pieces of one connection stay in order, as in TCP; answers on different
-	// connections overtake each other.
+	// Delay delays every chunk; Jitter adds a random time between zero and its
+	// value. Chunks of one connection stay in order, as in TCP; answers on
+	// different connections may overtake each other.
 	Delay  Duration `json:"delay,omitempty"`
 	Jitter Duration `json:"jitter,omitempty"`
-	// Stall holds all bytes back until the fault is changed, and delivers them
-	// then: a cut that heals, as TCP sees it.
+	// Stall holds back all bytes until the fault changes and delivers them then,
+	// as TCP does across a network partition that heals.
 	Stall bool `json:"stall,omitempty"`
-	// Drop throws all bytes away without a word: a cut that never heals for
-	// the open connections. A connection that lost bytes passes none on later,
+	// Drop discards all bytes silently, like a partition that never heals for
+	// the open connections. A connection that lost bytes forwards none later,
 	// since TCP never delivers a stream with a gap.
 	Drop bool `json:"drop,omitempty"`
-	// TruncateAfter ends the connection in good order (FIN) once that many
-	// bytes of this direction passed, counted from when the fault was set.
+	// TruncateAfter closes the connection gracefully (FIN) after that many
+	// bytes of this direction, counted from when the fault took effect.
 	TruncateAfter int64 `json:"truncate_after,omitempty"`
-	// ResetAfter ends the connection with a reset (RST) instead.
+	// ResetAfter does the same with a reset (RST).
 	ResetAfter int64 `json:"reset_after,omitempty"`
-	// Probability that TruncateAfter or ResetAfter strikes a connection, drawn
-	// once for each; zero is 1.
+	// Probability is the probability that TruncateAfter or ResetAfter applies to
+	// a connection, drawn once per connection; zero means 1.
 	Probability float64 `json:"probability,omitempty"`
 }
 
@@ -49,17 +49,18 @@
 	Backward Fault `json:"backward"`
 	// RefuseNew closes new connections at once with a reset.
 	RefuseNew bool `json:"refuse_new,omitempty"`
-	// SwallowNew accepts new connections and passes nothing on: with Drop in
-	// both directions it is a silent black hole.
+	// SwallowNew accepts new connections and discards what they send, without
+	// connecting to the target. Together with Drop in both directions it makes a
+	// silent black hole.
 	SwallowNew bool `json:"swallow_new,omitempty"`
 }
 
-// BlackHole loses every byte, silently.
+// BlackHole returns faults that silently drop every byte in both directions.
 func BlackHole() Faults {
 	return Faults{Forward: Fault{Drop: true}, Backward: Fault{Drop: true}, SwallowNew: true}
 }
 
-// Lose loses every byte of one direction, silently.
+// Lose returns faults that silently drop every byte of one direction.
 func Lose(direction Direction) Faults {
 	if direction == Forward {
 		return Faults{Forward: Fault{Drop: true}}
@@ -67,19 +68,20 @@
 	return Faults{Backward: Fault{Drop: true}}
 }
 
-// Step is one step of a script: Faults in force from At after its start.
+// Step is one step of a script: Faults replaces the faults in effect once At has
+// passed since the script started.
 type Step struct {
 	At     Duration `json:"at"`
 	Faults Faults   `json:"faults"`
 }
 
-// Duration is a time.Duration that is text in JSON, such as "20ms".
+// Duration is a time.Duration that is a string such as "20ms" in JSON.
 type Duration time.Duration
 
-// MarshalJSON writes the duration as text.
+// MarshalJSON encodes the duration as a string.
 func (d Duration) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(d).String()) }
 
-// UnmarshalJSON reads the duration from text.
+// UnmarshalJSON decodes the duration from a string.
 func (d *Duration) UnmarshalJSON(text []byte) error {
 	var value string
 	if err := json.Unmarshal(text, &value); err != nil {
@@ -93,16 +95,16 @@
 	return nil
 }
 
-func (f Fault) validate(place string) error {
-	var findings []error
+func (f Fault) validate(direction string) error {
+	var errs []error
 	if f.Delay < 0 || f.Jitter < 0 {
-		findings = append(findings, fmt.Errorf("%s: negative delay or jitter", place))
+		errs = append(errs, fmt.Errorf("%s: negative delay or jitter", direction))
 	}
 	if f.TruncateAfter < 0 || f.ResetAfter < 0 {
-		findings = append(findings, fmt.Errorf("%s: negative number of bytes", place))
+		errs = append(errs, fmt.Errorf("%s: negative number of bytes", direction))
 	}
 	if f.Probability < 0 || f.Probability > 1 {
-		findings = append(findings, fmt.Errorf("%s: probability %v, want 0 to 1", place, f.Probability))
+		errs = append(errs, fmt.Errorf("%s: probability %v, want 0 to 1", direction, f.Probability))
 	}
-	return errors.Join(findings...)
+	return errors.Join(errs...)
 }
--- a/lab/faultproxy/proxy.go
+++ b/lab/faultproxy/proxy.go
@@ -1,7 +1,7 @@
-// Package faultproxy is a TCP proxy that injects faults: delay, loss of one
-// direction, a silent black hole, resets, truncation and late delivery. It is
-// seeded, so that random faults repeat, and controlled by calls or by JSON over
-// HTTP. It stands between processes of the product in tests.
+// Package faultproxy is a TCP proxy that injects faults between processes of the
+// product in tests: delay, loss of one direction, a silent black hole, resets,
+// truncation and stalls. A seed makes random faults reproducible. The proxy is
+// controlled by method calls or by JSON over HTTP.
 package faultproxy
 
 import (
@@ -20,28 +20,29 @@
 // dialTimeout bounds the connection to the target.
 const dialTimeout = 5 * time.Second
 
-// Config of a proxy.
+// Config configures a proxy.
 type Config struct {
-	// Name by which the control interface knows the proxy.
+	// Name identifies the proxy in the control API.
 	Name string
 	// Listen and Target are "IP:port".
 	Listen string
 	Target string
-	// Seed of random faults.
+	// Seed seeds random faults.
 	Seed uint64
-	// Source names the process that opened a connection, so that faults can be
-	// set for one source only; nil names none. It is asked once for each
-	// connection, and only while faults of a source are set.
+	// Source returns the name of the process that opened a connection, so that
+	// faults can be set for one source only. If it is nil, all connections have
+	// an empty source. It is called at most once per connection, and only while
+	// faults are set for any source.
 	Source func(net.Conn) string
 }
 
-// Proxy passes connections on to one target.
+// Proxy forwards connections to one target.
 type Proxy struct {
-	config   Config
-	listener net.Listener
-	ctx      context.Context
-	stop     context.CancelFunc
-	links    sync.WaitGroup
+	config     Config
+	listener   net.Listener
+	ctx        context.Context
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup
 
 	mutex    sync.Mutex
 	random   *rand.Rand
@@ -51,7 +52,7 @@
 	counters Counters
 }
 
-// Counters count what a proxy did since its start.
+// Counters counts connections, bytes and faults since the start of a proxy.
 type Counters struct {
 	Connections   int   `json:"connections"`
 	Refused       int   `json:"refused"`
@@ -81,26 +82,27 @@
 		bySource: make(map[string]Faults),
 		changed:  make(chan struct{}),
 	}
-	proxy.links.Go(proxy.accept)
+	proxy.goroutines.Go(proxy.accept)
 	return proxy, nil
 }
 
-// Name returns the name by which the control interface knows the proxy.
+// Name returns the name that identifies the proxy in the control API.
 func (p *Proxy) Name() string { return p.config.Name }
 
 // Address returns the address that the proxy listens on.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set replaces the faults of all sources that have none of their own. They act
-// on open connections too.
+// Set replaces the faults of all sources without faults of their own. It also
+// affects open connections.
 func (p *Proxy) Set(faults Faults) error {
-	return p.change(faults, func() { p.faults = faults })
+	return p.replaceFaults(faults, func() { p.faults = faults })
 }
 
 // SetFor replaces the faults of one source.
 func (p *Proxy) SetFor(source string, faults Faults) error {
-	return p.change(faults, func() {
-		// Others read the map without the mutex, so it is never written to.
+	return p.replaceFaults(faults, func() {
+		// currentFaults reads the map without the mutex, so replace it instead of
+		// writing to it.
 		p.bySource = maps.Clone(p.bySource)
 		p.bySource[source] = faults
 	})
@@ -108,13 +110,13 @@
 
 // Heal removes all faults.
 func (p *Proxy) Heal() {
-	p.change(Faults{}, func() {
+	p.replaceFaults(Faults{}, func() {
 		p.faults = Faults{}
 		p.bySource = make(map[string]Faults)
 	})
 }
 
-func (p *Proxy) change(faults Faults, replace func()) error {
+func (p *Proxy) replaceFaults(faults Faults, replace func()) error {
 	if err := errors.Join(faults.Forward.validate("forward"), faults.Backward.validate("backward")); err != nil {
 		return err
 	}
@@ -126,7 +128,8 @@
 	return nil
 }
 
-// Run sets the faults of a script at their times and returns after the last.
+// Run sets the faults of each step of a script at its time and returns after the
+// last step.
 func (p *Proxy) Run(ctx context.Context, script []Step) error {
 	start := time.Now()
 	for _, step := range script {
@@ -140,24 +143,24 @@
 	return nil
 }
 
-// Counters returns what the proxy did so far.
+// Counters returns the current counters.
 func (p *Proxy) Counters() Counters {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.counters
 }
 
-// Close ends all connections and the proxy.
+// Close closes all connections, stops the proxy and waits for its goroutines.
 func (p *Proxy) Close() error {
 	p.stop()
 	err := p.listener.Close()
-	p.links.Wait()
+	p.goroutines.Wait()
 	return err
 }
 
-// current returns the faults in force for a connection and a channel that
-// closes when any are replaced.
-func (p *Proxy) current(source func() string) (Faults, <-chan struct{}) {
+// currentFaults returns the faults in effect for a connection from source and a
+// channel that is closed when any faults of the proxy are replaced.
+func (p *Proxy) currentFaults(source func() string) (Faults, <-chan struct{}) {
 	p.mutex.Lock()
 	all, bySource, changed := p.faults, p.bySource, p.changed
 	p.mutex.Unlock()
@@ -169,13 +172,13 @@
 	return all, changed
 }
 
-func (p *Proxy) count(change func(*Counters)) {
+func (p *Proxy) updateCounters(change func(*Counters)) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	change(&p.counters)
 }
 
-func (p *Proxy) draw() float64 {
+func (p *Proxy) randomFloat() float64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.random.Float64()
@@ -187,41 +190,42 @@
 		if err != nil {
 			return
 		}
-		p.links.Go(func() { p.serve(connection.(*net.TCPConn)) })
+		p.goroutines.Go(func() { p.serve(connection.(*net.TCPConn)) })
 	}
 }
 
-func (p *Proxy) serve(near *net.TCPConn) {
-	source := sync.OnceValue(func() string { return p.config.Source(near) })
-	faults, _ := p.current(source)
-	p.count(func(c *Counters) { c.Connections++ })
+func (p *Proxy) serve(client *net.TCPConn) {
+	source := sync.OnceValue(func() string { return p.config.Source(client) })
+	faults, _ := p.currentFaults(source)
+	p.updateCounters(func(c *Counters) { c.Connections++ })
 	if faults.RefuseNew {
-		p.count(func(c *Counters) { c.Refused++ })
-		reset(near)
+		p.updateCounters(func(c *Counters) { c.Refused++ })
+		reset(client)
 		return
 	}
 	if faults.SwallowNew {
-		p.swallow(near)
+		p.discard(client)
 		return
 	}
 	dialer := net.Dialer{Timeout: dialTimeout}
-	far, err := dialer.DialContext(p.ctx, "tcp", p.config.Target)
+	server, err := dialer.DialContext(p.ctx, "tcp", p.config.Target)
 	if err != nil {
-		reset(near)
+		reset(client)
 		return
 	}
-	newLink(p, source, near, far.(*net.TCPConn)).run()
+	newProxiedConnection(p, source, client, server.(*net.TCPConn)).run()
 }
 
-// swallow reads and loses everything until the other side or the proxy ends.
-func (p *Proxy) swallow(connection *net.TCPConn) {
+// discard discards all data until the client closes the connection or the proxy
+// stops.
+func (p *Proxy) discard(connection *net.TCPConn) {
 	defer connection.Close()
 	stopped := context.AfterFunc(p.ctx, func() { connection.Close() })
 	defer stopped()
-	buffer := make([]byte, pieceBytes)
+	buffer := make([]byte, chunkBytes)
 	for {
 		count, err := connection.Read(buffer)
-		p.count(func(c *Counters) { c.BytesDropped += int64(count) })
+		p.updateCounters(func(c *Counters) { c.BytesDropped += int64(count) })
 		if err != nil {
 			return
 		}
--- a/lab/faultproxy/proxy_test.go
+++ b/lab/faultproxy/proxy_test.go
@@ -17,8 +17,8 @@
 	"github.com/quartzdock/quartzdock/lab/faultproxy"
 )
 
-// echo starts a server that sends back what it reads and a proxy before it.
-func echo(t *testing.T) *faultproxy.Proxy {
+// startEchoThroughProxy starts an echo server and a proxy in front of it.
+func startEchoThroughProxy(t *testing.T) *faultproxy.Proxy {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -51,7 +51,7 @@
 	return connection.(*net.TCPConn)
 }
 
-// exchange sends text and reads as many bytes back.
+// exchange sends text and reads the same number of bytes back.
 func exchange(connection net.Conn, text string) (string, error) {
 	if _, err := io.WriteString(connection, text); err != nil {
 		return "", err
@@ -61,7 +61,7 @@
 	return string(buffer[:count]), err
 }
 
-func assertSilent(t *testing.T, connection net.Conn) {
+func assertNoData(t *testing.T, connection net.Conn) {
 	t.Helper()
 	connection.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	_, err := connection.Read(make([]byte, 1))
@@ -71,7 +71,7 @@
 }
 
 func TestBytesPassUnchanged(t *testing.T) {
-	connection := dial(t, echo(t))
+	connection := dial(t, startEchoThroughProxy(t))
 	text := strings.Repeat("0123456789", 100_000)
 	go io.WriteString(connection, text)
 	got := make([]byte, len(text))
@@ -81,12 +81,12 @@
 }
 
 func TestStalledBytesArriveAfterHealing(t *testing.T) {
-	proxy := echo(t)
+	proxy := startEchoThroughProxy(t)
 	connection := dial(t, proxy)
 	assert.NilError(t, proxy.Set(faultproxy.Faults{Backward: faultproxy.Fault{Stall: true}}))
 	_, err := io.WriteString(connection, "late")
 	assert.NilError(t, err)
-	assertSilent(t, connection)
+	assertNoData(t, connection)
 	proxy.Heal()
 	buffer := make([]byte, 4)
 	_, err = io.ReadFull(connection, buffer)
@@ -94,34 +94,34 @@
 	assert.Equal(t, string(buffer), "late")
 }
 
-func TestConnectionThatLostBytesPassesNoneAfterHealing(t *testing.T) {
-	proxy := echo(t)
+func TestConnectionWithLostBytesStaysSilentAfterHeal(t *testing.T) {
+	proxy := startEchoThroughProxy(t)
 	connection := dial(t, proxy)
 	assert.NilError(t, proxy.Set(faultproxy.Lose(faultproxy.Forward)))
 	_, err := io.WriteString(connection, "lost")
 	assert.NilError(t, err)
-	assertSilent(t, connection)
+	assertNoData(t, connection)
 	proxy.Heal()
 	_, err = io.WriteString(connection, "after")
 	assert.NilError(t, err)
-	assertSilent(t, connection)
+	assertNoData(t, connection)
 
 	got, err := exchange(dial(t, proxy), "fresh")
 	assert.NilError(t, err)
 	assert.Equal(t, got, "fresh")
 }
 
-func TestBlackHoleAcceptsAndAnswersNothing(t *testing.T) {
-	proxy := echo(t)
+func TestBlackHoleAcceptsButNeverResponds(t *testing.T) {
+	proxy := startEchoThroughProxy(t)
 	assert.NilError(t, proxy.Set(faultproxy.BlackHole()))
 	connection := dial(t, proxy)
 	_, err := io.WriteString(connection, "x")
 	assert.NilError(t, err)
-	assertSilent(t, connection)
+	assertNoData(t, connection)
 }
 
-func TestTruncationEndsInGoodOrderAndResetDoesNot(t *testing.T) {
-	proxy := echo(t)
+func TestTruncationSendsFINAndResetSendsRST(t *testing.T) {
+	proxy := startEchoThroughProxy(t)
 	assert.NilError(t, proxy.Set(faultproxy.Faults{Backward: faultproxy.Fault{TruncateAfter: 3}}))
 	got, err := exchange(dial(t, proxy), "123456")
 	assert.Equal(t, got, "123")
@@ -132,9 +132,9 @@
 	assert.ErrorIs(t, err, syscall.ECONNRESET)
 }
 
-func TestSeedGivesTheSameStrikes(t *testing.T) {
-	strikes := func() string {
-		proxy := echo(t)
+func TestSameSeedTriggersSameFaults(t *testing.T) {
+	cutPattern := func() string {
+		proxy := startEchoThroughProxy(t)
 		assert.NilError(t, proxy.Set(faultproxy.Faults{
 			Backward: faultproxy.Fault{TruncateAfter: 3, Probability: 0.5},
 		}))
@@ -148,13 +148,13 @@
 		}
 		return pattern
 	}
-	first := strikes()
+	first := cutPattern()
 	assert.Assert(t, strings.Contains(first, "x") && strings.Contains(first, "."), first)
-	assert.Equal(t, first, strikes())
+	assert.Equal(t, first, cutPattern())
 }
 
 func TestControlOverHTTP(t *testing.T) {
-	proxy := echo(t)
+	proxy := startEchoThroughProxy(t)
 	server := httptest.NewServer(faultproxy.Handler(proxy))
 	defer server.Close()
 	put := func(body string) int {
@@ -166,7 +166,7 @@
 		return response.StatusCode
 	}
 	assert.Equal(t, put(`{"refuse_new":true}`), http.StatusOK)
-	// The proxy refuses by a reset, which may come before the dial has returned.
+	// The proxy refuses with a reset, which may arrive before Dial returns.
 	connection, err := net.Dial("tcp", proxy.Address())
 	if err == nil {
 		defer connection.Close()
