--- a/lab/childprocess/childprocess.go
+++ b/lab/childprocess/childprocess.go
@@ -1,5 +1,5 @@
-// Package childprocess starts processes that end with the process that started
-// them, however that one ends.
+// Package childprocess starts processes that are killed when the process that
+// started them ends, however it ends.
 package childprocess
 
 import (
@@ -9,11 +9,12 @@
 	"syscall"
 )
 
-// starter starts all processes on one operating system thread that lives as
-// long as this process: the kernel ends a child with SIGKILL once the thread
-// that started it ends (Pdeathsig, prctl(2)), so that a killed lab leaves no
+// starterThread returns a channel of functions to run on one operating system
+// thread that lives as long as this process. All children are started there: the
+// kernel kills a child with SIGKILL when the thread that started it ends
+// (Pdeathsig, see PR_SET_PDEATHSIG in prctl(2)), so a killed lab leaves no
 // process behind.
-var starter = sync.OnceValue(func() chan<- func() {
+var starterThread = sync.OnceValue(func() chan<- func() {
 	work := make(chan func())
 	go func() {
 		runtime.LockOSThread()
@@ -31,6 +32,6 @@
 	}
 	command.SysProcAttr.Pdeathsig = syscall.SIGKILL
 	result := make(chan error)
-	starter() <- func() { result <- command.Start() }
+	starterThread() <- func() { result <- command.Start() }
 	return <-result
 }
--- a/lab/machines/machines.go
+++ b/lab/machines/machines.go
@@ -1,6 +1,6 @@
-// Package machines is the lab's stand-in for the platform's list of live and
-// leaving machines: GET /machines answers a JSON list, and PUT /machines
-// changes it. Changes show only after a lag, as on the platform.
+// Package machines simulates the platform's list of live and leaving machines
+// for the lab: GET /machines returns the list as JSON, and PUT /machines replaces
+// it. Changes become visible only after a lag, as on the platform.
 package machines
 
 import (
@@ -13,10 +13,10 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// State of a machine in the list.
+// State is the state of a machine in the list.
 type State string
 
-// States of a machine. A machine that is gone is not listed.
+// States of a machine. A machine that has left is not listed.
 const (
 	Live    State = "live"
 	Leaving State = "leaving"
@@ -32,39 +32,39 @@
 // maxListBytes bounds the body of PUT /machines.
 const maxListBytes = 8 << 20
 
-// List is the lagging list.
+// List is a list of machines whose changes become visible after a lag.
 type List struct {
-	lag     time.Duration
-	mutex   sync.Mutex
-	changes []change
+	lag      time.Duration
+	mutex    sync.Mutex
+	versions []version
 }
 
-type change struct {
-	shownFrom time.Time
-	machines  []Machine
+type version struct {
+	visibleFrom time.Time
+	machines    []Machine
 }
 
-// NewList returns a list that shows machines at once and later changes after
-// the lag.
+// NewList returns a list that shows the given machines immediately and later
+// changes after the lag.
 func NewList(lag time.Duration, machines []Machine) *List {
-	return &List{lag: lag, changes: []change{{machines: machines}}}
+	return &List{lag: lag, versions: []version{{machines: machines}}}
 }
 
-// Set replaces the list; the change shows after the lag.
+// Set replaces the list; the new one becomes visible after the lag.
 func (l *List) Set(machines []Machine, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.changes = append(l.changes, change{shownFrom: now.Add(l.lag), machines: machines})
+	l.versions = append(l.versions, version{visibleFrom: now.Add(l.lag), machines: machines})
 }
 
-// Shown returns the list as it shows at an instant.
+// Shown returns the list that is visible at the given time.
 func (l *List) Shown(now time.Time) []Machine {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	for len(l.changes) > 1 && !now.Before(l.changes[1].shownFrom) {
-		l.changes = l.changes[1:]
+	for len(l.versions) > 1 && !now.Before(l.versions[1].visibleFrom) {
+		l.versions = l.versions[1:]
 	}
-	return slices.Clone(l.changes[0].machines)
+	return slices.Clone(l.versions[0].machines)
 }
 
 // Handler serves the list.
--- a/lab/machines/machines_test.go
+++ b/lab/machines/machines_test.go
@@ -9,7 +9,7 @@
 	"github.com/quartzdock/quartzdock/lab/machines"
 )
 
-func TestChangesShowAfterTheLag(t *testing.T) {
+func TestChangesBecomeVisibleAfterLag(t *testing.T) {
 	before := []machines.Machine{{Backend: "one", State: machines.Live}}
 	after := []machines.Machine{{Backend: "one", State: machines.Leaving}}
 	list := machines.NewList(time.Second, before)
--- a/lab/pause/pause.go
+++ b/lab/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time that a context may cut short.
+// Package pause waits for a duration or until a context ends.
 package pause
 
 import (
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// For waits for a duration and returns nil, or the context's error where that
-// ends first. No duration or a negative one does not wait.
+// For waits for a duration and returns nil, or returns the context's error if the
+// context ends first. If the duration is not positive, it returns the context's
+// error or nil at once.
 func For(ctx context.Context, duration time.Duration) error {
 	if duration <= 0 {
 		return ctx.Err()
--- a/lab/pause/pause_test.go
+++ b/lab/pause/pause_test.go
@@ -11,7 +11,7 @@
 	"github.com/quartzdock/quartzdock/lab/pause"
 )
 
-func TestAContextCutsAPauseShort(t *testing.T) {
+func TestForReturnsEarlyWhenContextEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		assert.NilError(t, pause.For(t.Context(), time.Second))
@@ -20,6 +20,6 @@
 		defer cancel()
 		assert.ErrorIs(t, pause.For(ctx, time.Minute), context.DeadlineExceeded)
 		assert.Equal(t, time.Since(began), 2*time.Second)
-		assert.ErrorIs(t, pause.For(ctx, 0), context.DeadlineExceeded, "an ended context is told also without a wait")
+		assert.ErrorIs(t, pause.For(ctx, 0), context.DeadlineExceeded, "the error of an ended context must be returned even without a wait")
 	})
 }
