--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -54,12 +54,12 @@
 	return result
 }
 
-// runAttempts makes attempts until one is final or nothing more can be tried, and returns
+// runAttempts makes attempts until one is final or no further attempt is possible, and returns
 // the last result.
 func (g *Gateway) runAttempts(ctx context.Context, c *call) *forwardResult {
 	key, hasKey := c.key, c.hasKey
 	holdUntil := c.began.Add(min(maxHoldTime, time.Duration(maxHoldFraction*float64(c.deadline.Sub(c.began)))))
-	tried := map[string]bool{}
+	attempted := map[string]bool{}
 	result := notRun(reasonNoInstance)
 	sends, refusals := 0, 0
 	for range maxAttempts {
@@ -70,13 +70,13 @@
 		if refusal != nil {
 			return refusal
 		}
-		target, ok := g.choose(c, key, hasKey, tried)
+		target, ok := g.choose(c, key, hasKey, attempted)
 		if !ok {
 			g.reportTrialEnd(c, trial, result)
 			if !g.awaitNewView(ctx, holdUntil) {
 				return result
 			}
-			clear(tried)
+			clear(attempted)
 			continue
 		}
 		result = g.attempt(ctx, c, target, trial)
@@ -93,10 +93,10 @@
 		if result.Reason.isCapacity() {
 			refusals++
 		}
-		if result.Reason == reasonBackendTerminated {
+		if result.Reason == reasonBackendCrashed {
 			g.quarantine.expectCrash(c.digest(), steady.Now())
 		}
-		if finalAfterTermination(c, result, trial) {
+		if finalAfterCrash(c, result, trial) {
 			return result
 		}
 		if refusals == maxRefusals || g.isFinal(ctx, c, result, sends) {
@@ -105,16 +105,16 @@
 		if hasKey && !g.awaitOwner(ctx, c.service.Name, key, target.ID, result, holdUntil) {
 			return result
 		}
-		tried[target.ID] = !hasKey
+		attempted[target.ID] = !hasKey
 	}
 	return result
 }
 
-// finalAfterTermination reports whether a request is given up because its back end terminated. That is
+// finalAfterCrash reports whether a request is given up because its back end crashed. That is
 // so if the request is the likely cause: it ran alone, or on trial. A request with a key is
 // given up as well, because its key has no owner for longer than the request should wait.
-func finalAfterTermination(c *call, result *forwardResult, trial uint64) bool {
-	return result.Reason == reasonBackendTerminated && (result.RequestsRunning <= 1 || trial != 0 || c.service.Keyed)
+func finalAfterCrash(c *call, result *forwardResult, trial uint64) bool {
+	return result.Reason == reasonBackendCrashed && (result.RequestsRunning <= 1 || trial != 0 || c.service.Keyed)
 }
 
 // isFinal reports whether no further attempt follows a result.
@@ -161,7 +161,7 @@
 // request may be attempted again. If the key gets another owner only after the request's
 // waiting time, the request is refused at once with a Retry-After time, as waiting would be
 // in vain.
-func (g *Gateway) awaitOwner(ctx context.Context, service string, key keyspace.Key, tried string, failed *forwardResult, until time.Time) bool {
+func (g *Gateway) awaitOwner(ctx context.Context, service string, key keyspace.Key, previous string, failed *forwardResult, until time.Time) bool {
 	pause := sameOwnerRetryInterval
 	switch failed.Reason {
 	case reasonNotOwner, reasonNotAdmitted, reasonEvacuated:
@@ -180,7 +180,7 @@
 		return false
 	}
 	for v := g.views.load(); steady.Reading().Before(retryAt) && ctx.Err() == nil; v = g.views.load() {
-		if owner, ok := v.owner(service, key); ok && owner.ID != tried {
+		if owner, ok := v.owner(service, key); ok && owner.ID != previous {
 			break
 		}
 		v.awaitNewer(ctx.Done(), steady.Until(retryAt))
@@ -189,8 +189,8 @@
 }
 
 // choose picks the instance for a request: the owner of its key, or the instance with the
-// lowest expected response time among those not tried yet.
-func (g *Gateway) choose(c *call, key keyspace.Key, hasKey bool, tried map[string]bool) (fleetwire.Instance, bool) {
+// lowest expected response time among those not attempted yet.
+func (g *Gateway) choose(c *call, key keyspace.Key, hasKey bool, attempted map[string]bool) (fleetwire.Instance, bool) {
 	v := g.views.load()
 	if hasKey {
 		return v.owner(c.service.Name, key)
@@ -199,7 +199,7 @@
 	var best fleetwire.Instance
 	bestCost := 0.0
 	for _, candidate := range v.instances[c.service.Name] {
-		if tried[candidate.ID] || candidate.State != fleetwire.InstanceReady || v.evacuated(candidate.Zone) {
+		if attempted[candidate.ID] || candidate.State != fleetwire.InstanceReady || v.evacuated(candidate.Zone) {
 			continue
 		}
 		cost := g.cost(c, candidate, now)
@@ -208,7 +208,7 @@
 		}
 	}
 	if best.Cold {
-		g.countWarmupShare(c.service, best, now)
+		g.countWarmUpShare(c.service, best, now)
 	}
 	return best, best.ID != ""
 }
@@ -247,7 +247,7 @@
 	if candidate.Leaving {
 		cost += leavingCost
 	}
-	if candidate.Cold && !g.withinWarmupShare(c.service, candidate, now) {
+	if candidate.Cold && !g.withinWarmUpShare(c.service, candidate, now) {
 		cost += coldCost
 	}
 	return cost
--- a/internal/gateway/choice_test.go
+++ b/internal/gateway/choice_test.go
@@ -47,8 +47,8 @@
 	return found.ID
 }
 
-// A somewhat faster back end in another zone does not justify cross-zone traffic while the
-// near one answers well within the target.
+// A somewhat faster back end in another zone does not justify cross-zone traffic while the near
+// one responds well within the target.
 func TestRequestStaysInZoneThatMeetsTarget(t *testing.T) {
 	g := gatewayWithTwoZones(t)
 	g.setPeerLoad("127.0.0.1:1", 2, 180*time.Millisecond)
@@ -58,7 +58,7 @@
 	}
 }
 
-// A request goes to another zone if the back end in its own zone is too loaded to answer in
+// A request goes to another zone if the back end in its own zone is too loaded to respond in
 // time.
 func TestRequestLeavesOverloadedZone(t *testing.T) {
 	g := gatewayWithTwoZones(t)
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -104,16 +104,16 @@
 	// Name is the name of the process, and Zone the zone where it runs.
 	Name string
 	Zone string
-	// Service is the service of the back end beside the gateway.
+	// Service is the service of the local back end.
 	Service string
 	// CallerListen is the address for callers and PeerListen the address for other gateways,
 	// "IP:port".
 	CallerListen string
 	PeerListen   string
 	// Pipelining bounds the requests that callers may pipeline. The routes decide which
-	// requests may run concurrently, whatever Pipelining says.
+	// requests may run concurrently, regardless of Pipelining.
 	Pipelining httpserver.Pipelining
-	// BackendAddress is the address of the back end beside the gateway, "IP:port".
+	// BackendAddress is the address of the local back end, "IP:port".
 	BackendAddress string
 	// Controllers are the session addresses of some of the controllers.
 	Controllers []string
@@ -137,13 +137,13 @@
 	// HeartbeatInterval is the longest time between two heartbeats of a healthy back end.
 	HeartbeatInterval time.Duration
 	// KeyHold is how long a grant of keys lasts; it is renewed four times within that time. If
-	// a back end ends without notice, callers wait for KeyHold, less one renewal interval,
-	// until its keys get another owner.
+	// a back end crashes, callers wait for KeyHold, less one renewal interval, until its keys
+	// get another owner.
 	KeyHold time.Duration
-	// AnswerHold is how long the answer to a heartbeat is delayed if there is nothing new
-	// about the back end's keys, at most half of HeartbeatInterval. A change in the meantime
-	// is answered immediately. A back end waits one second for the answer.
-	AnswerHold time.Duration
+	// ResponseDelay is how long the response to a heartbeat is delayed if there is nothing new
+	// about the back end's keys, at most half of HeartbeatInterval. A change in the meantime is
+	// sent immediately. A back end waits one second for the response.
+	ResponseDelay time.Duration
 	// LongestHold is the longest time for which the back end accepts keys.
 	LongestHold time.Duration
 	// StopWithin bounds the duration of a planned stop.
@@ -159,7 +159,7 @@
 	DefaultEvacuateWithin    = 5 * time.Second
 	DefaultHeartbeatInterval = 1300 * time.Millisecond
 	DefaultKeyHold           = 1500 * time.Millisecond
-	DefaultAnswerHold        = 400 * time.Millisecond
+	DefaultResponseDelay     = 400 * time.Millisecond
 	DefaultMaxKeyHold        = 10 * time.Second
 	DefaultStopWithin        = 5500 * time.Millisecond
 	DefaultWindow            = 10 * time.Second
@@ -169,17 +169,17 @@
 // one may take grantTimeout.
 const minKeyHold = grantTimeout + renewalsPerGrant*grantCheckInterval/2
 
-// maxAnswerHold is the maximum of AnswerHold: half of the time that a back end waits for an
-// answer.
-const maxAnswerHold = 500 * time.Millisecond
+// maxResponseDelay is the maximum of ResponseDelay: half of the time that a back end waits for
+// a response.
+const maxResponseDelay = 500 * time.Millisecond
 
 // validate rejects settings that a gateway cannot satisfy.
 func (c *Config) validate() error {
 	if c.KeyHold < minKeyHold {
 		return fmt.Errorf("KeyHold is %v, but must be at least %v", c.KeyHold, minKeyHold)
 	}
-	if c.AnswerHold < 0 || c.AnswerHold > maxAnswerHold {
-		return fmt.Errorf("AnswerHold is %v, but must be between 0 and %v", c.AnswerHold, maxAnswerHold)
+	if c.ResponseDelay < 0 || c.ResponseDelay > maxResponseDelay {
+		return fmt.Errorf("ResponseDelay is %v, but must be between 0 and %v", c.ResponseDelay, maxResponseDelay)
 	}
 	return nil
 }
@@ -189,7 +189,7 @@
 	c.EvacuateWithin = cmp.Or(c.EvacuateWithin, DefaultEvacuateWithin)
 	c.HeartbeatInterval = cmp.Or(c.HeartbeatInterval, DefaultHeartbeatInterval)
 	c.KeyHold = cmp.Or(c.KeyHold, DefaultKeyHold)
-	c.AnswerHold = cmp.Or(c.AnswerHold, DefaultAnswerHold)
+	c.ResponseDelay = cmp.Or(c.ResponseDelay, DefaultResponseDelay)
 	c.LongestHold = cmp.Or(c.LongestHold, DefaultMaxKeyHold)
 	c.StopWithin = cmp.Or(c.StopWithin, DefaultStopWithin)
 	c.Budget.Window = cmp.Or(c.Budget.Window, DefaultWindow)
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -21,10 +21,10 @@
 	assert.NilError(t, config.validate())
 }
 
-// A back end stops waiting for an answer that is delayed for too long, and asks elsewhere.
-func TestAnswerHoldIsBounded(t *testing.T) {
+// A back end stops waiting for a response that is delayed for too long, and asks elsewhere.
+func TestResponseDelayIsBounded(t *testing.T) {
 	for name, hold := range map[string]time.Duration{"negative": -time.Millisecond, "as long as the back end waits": time.Second} {
-		_, err := Start(Config{AnswerHold: hold})
-		assert.ErrorContains(t, err, "AnswerHold", name)
+		_, err := Start(Config{ResponseDelay: hold})
+		assert.ErrorContains(t, err, "ResponseDelay", name)
 	}
 }
--- a/internal/gateway/configurationlease.go
+++ b/internal/gateway/configurationlease.go
@@ -32,9 +32,9 @@
 	fromLeader bool
 }
 
-// take extends the lease by the leader's answer to a report. epoch is the zero of the clock
+// take extends the lease by the leader's response to a report. epoch is the zero of the clock
 // that timestamps in reports refer to. The caller has already applied every update that came
-// with the answer or before it.
+// with the response or before it.
 func (v *configurationLease) take(lease *fleetwire.Lease, epoch time.Time) {
 	asOf := epoch.Add(lease.SentAt)
 	v.extend(leaseState{currentAsOf: asOf, expiresAt: asOf.Add(shortenedByDrift(lease.ConfigurationFor)), controllerAsOf: asOf, relayFor: lease.PassedOnFor, fromLeader: true})
@@ -105,8 +105,8 @@
 	return 0
 }
 
-// heardLeader reports whether the leader itself has granted the lease.
-func (v *configurationLease) heardLeader() bool {
+// grantedByLeader reports whether the leader itself has granted the lease.
+func (v *configurationLease) grantedByLeader() bool {
 	state := v.current.Load()
 	return state != nil && state.fromLeader
 }
--- a/internal/gateway/configurationlease_test.go
+++ b/internal/gateway/configurationlease_test.go
@@ -10,14 +10,14 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// extendLease extends the lease on the gateway's configuration for a time, as an answer of the
+// extendLease extends the lease on the gateway's configuration for a time, as a response of the
 // leader does.
 func (g *Gateway) extendLease(duration time.Duration) {
 	g.session.configurationLease.take(&fleetwire.Lease{SentAt: g.session.now(), ConfigurationFor: duration}, g.session.started)
 }
 
-// A lease counts from the time of the request, by the gateway's own clock, which may run
-// slower than the leader's. A late or duplicate answer does not extend it.
+// A lease counts from the time of the request, by the gateway's own clock, which may run slower
+// than the leader's. A late or duplicate response does not extend it.
 func TestLeaseCountsFromTheRequest(t *testing.T) {
 	epoch := steady.Reading()
 	leaseFor := func(sentAt time.Duration) *fleetwire.Lease {
--- a/internal/gateway/controllers.go
+++ b/internal/gateway/controllers.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// controllerList orders the controllers that a gateway tries to open its session with. It is
-// used by one goroutine only.
+// controllerList orders the controllers with which a gateway may open its session. It is used
+// by one goroutine only.
 type controllerList struct {
 	// seeds are the configured addresses. They are always kept, at the end of the list.
 	seeds []string
@@ -32,7 +32,7 @@
 	l.known = known
 }
 
-// dialOrder returns the addresses in the order in which to try them, the silent one last.
+// dialOrder returns the addresses in the order in which to dial them, the silent one last.
 func (l *controllerList) dialOrder() []string {
 	if l.silent == "" {
 		return l.known
@@ -47,8 +47,8 @@
 // which a new configuration must be in force.
 func (l *controllerList) markSilent(address string) { l.silent = address }
 
-// markHeard records that a message arrived from an address.
-func (l *controllerList) markHeard(address string) {
+// markResponsive records that a message arrived from an address.
+func (l *controllerList) markResponsive(address string) {
 	if l.silent == address {
 		l.silent = ""
 	}
--- a/internal/gateway/controllers_test.go
+++ b/internal/gateway/controllers_test.go
@@ -6,8 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A leader that hangs accepts connections but never answers. The other controllers must be
-// tried before it, even if one that has not noticed yet redirects to it.
+// A leader that hangs accepts connections but never responds. The other controllers must be
+// dialed before it, even if one that has not noticed yet redirects to it.
 func TestSilentControllerIsTriedLast(t *testing.T) {
 	list := newControllerList([]string{"a", "b"})
 	list.update([]string{"leader", "b", "c"})
@@ -16,14 +16,14 @@
 	assert.DeepEqual(t, list.dialOrder(), []string{"b", "c", "a", "leader"})
 	assert.Assert(t, !list.mayFollow("leader"), "redirect of a follower to the silent leader")
 	assert.Assert(t, list.mayFollow("c"))
-	list.markHeard("c")
+	list.markResponsive("c")
 	assert.DeepEqual(t, list.dialOrder(), []string{"b", "c", "a", "leader"})
-	list.markHeard("leader")
+	list.markResponsive("leader")
 	assert.DeepEqual(t, list.dialOrder(), []string{"leader", "b", "c", "a"})
 	assert.Assert(t, list.mayFollow("leader"))
 }
 
-// If there is only one controller, it is tried again after it was silent.
+// If there is only one controller, it is dialed again after it was silent.
 func TestOnlyControllerIsRetriedAfterSilence(t *testing.T) {
 	list := newControllerList([]string{"a"})
 	list.markSilent("a")
--- a/internal/gateway/crashnotices.go
+++ b/internal/gateway/crashnotices.go
@@ -21,8 +21,8 @@
 const (
 	// noticeBatchDelay is how long crashes are collected into one notice.
 	noticeBatchDelay = 10 * time.Millisecond
-	// A gateway that could not be notified is tried again after noticeRetryDelay, up to
-	// noticeAttempts attempts in total, each of which may take noticeTimeout.
+	// A failed notification is retried after noticeRetryDelay, up to noticeAttempts
+	// notifications in total, each of which may take noticeTimeout.
 	noticeRetryDelay = 400 * time.Millisecond
 	noticeAttempts   = 6
 	noticeTimeout    = 500 * time.Millisecond
@@ -125,7 +125,7 @@
 	defer cancel()
 	response, err := pool.Do(ctx, &http.Request{
 		Method: http.MethodPost, URL: &url.URL{Path: "/"}, Host: address, ContentLength: int64(len(body)),
-		Body: io.NopCloser(bytes.NewReader(body)), Header: http.Header{fieldReportsTerminations: {"1"}, "User-Agent": {""}},
+		Body: io.NopCloser(bytes.NewReader(body)), Header: http.Header{fieldReportsCrashes: {"1"}, "User-Agent": {""}},
 	})
 	if err != nil {
 		return err
--- a/internal/gateway/destinations_test.go
+++ b/internal/gateway/destinations_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// startFullDestination runs a gateway beside a back end that refuses all requests, and
+// startFullDestination runs a gateway with a local back end that refuses all requests, and
 // returns its instance for a view.
 func startFullDestination(t *testing.T, refuse http.HandlerFunc) fleetwire.Instance {
 	t.Helper()
--- a/internal/gateway/egress.go
+++ b/internal/gateway/egress.go
@@ -38,7 +38,7 @@
 // errInvalidResponse means that the received message is not a valid response to the request.
 var errInvalidResponse = errors.New("not an answer to this request")
 
-// egress passes requests on to the back end beside the gateway.
+// egress passes requests on to the local back end.
 type egress struct {
 	gateway *Gateway
 	pool    *upstream.Pool
@@ -69,7 +69,7 @@
 	began := steady.Reading()
 	result, used := e.attempt(ctx, request)
 	waited := steady.Elapsed(began) - used
-	e.gateway.tally.record(result, waited, used)
+	e.gateway.attemptCounters.record(result, waited, used)
 	e.gateway.metrics.backendAttempt(result, waited, used)
 	if result.Outcome == outcomeAnswered {
 		e.gateway.clearAnsweredSuspect(request.digest)
@@ -314,16 +314,16 @@
 	return e.classifyIncomplete(ctx, request, err)
 }
 
-// classifyIncomplete returns the result of an exchange whose connection ended before the
-// whole response had arrived.
+// classifyIncomplete returns the result of an exchange whose connection closed before the whole
+// response had arrived.
 func (e *egress) classifyIncomplete(ctx context.Context, request *forwardRequest, err error) *forwardResult {
 	result := e.brokenExchange(request, err)
 	if ctx.Err() != nil || errors.Is(err, errInvalidResponse) {
 		// The deadline passed, the caller disconnected, or the response was invalid.
 		return result
 	}
-	if atWork, ended := e.gateway.crashedDuring(request); ended {
-		result.Reason, result.RequestsRunning = reasonBackendTerminated, atWork
+	if atWork, crashed := e.gateway.crashedDuring(request); crashed {
+		result.Reason, result.RequestsRunning = reasonBackendCrashed, atWork
 	}
 	return result
 }
--- a/internal/gateway/egress_test.go
+++ b/internal/gateway/egress_test.go
@@ -14,14 +14,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// rawBackend answers each request on a connection with the text that its callback returns;
+// rawBackend responds to each request on a connection with the text that its callback returns;
 // an empty text closes the connection.
 type rawBackend struct {
 	listener net.Listener
 	requests chan *http.Request
 }
 
-func startRawBackend(t *testing.T, answer func(r *http.Request) string) *rawBackend {
+func startRawBackend(t *testing.T, respond func(r *http.Request) string) *rawBackend {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	b := &rawBackend{listener: listener, requests: make(chan *http.Request, 100)}
@@ -32,13 +32,13 @@
 			if err != nil {
 				return
 			}
-			go b.serve(conn, answer)
+			go b.serve(conn, respond)
 		}
 	}()
 	return b
 }
 
-func (b *rawBackend) serve(conn net.Conn, answer func(r *http.Request) string) {
+func (b *rawBackend) serve(conn net.Conn, respond func(r *http.Request) string) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
@@ -47,7 +47,7 @@
 			return
 		}
 		b.requests <- request
-		text := answer(request)
+		text := respond(request)
 		if text == "" {
 			return
 		}
@@ -103,7 +103,7 @@
 
 func TestResponseClassification(t *testing.T) {
 	cases := map[string]struct {
-		answer  func(r *http.Request) string
+		respond func(r *http.Request) string
 		outcome outcome
 		status  int
 	}{
@@ -114,18 +114,18 @@
 		"encoded": {func(r *http.Request) string {
 			return responseText("200 OK", "r1", seal+"Content-Encoding: gzip\r\n", "body")
 		}, outcomeUnknown, 0},
-		"proof that it did not run": {func(r *http.Request) string { return responseText("503 X", "r1", "Never-Ran: 1\r\n", "") }, outcomeNotRun, 0},
-		"another instance":          {func(r *http.Request) string { return responseText("421 X", "r1", "", "") }, outcomeNotRun, 0},
-		"503 without proof":         {func(r *http.Request) string { return responseText("503 X", "r1", "", "") }, outcomeAnswered, 503},
-		"closed without an answer":  {func(r *http.Request) string { return "" }, outcomeUnknown, 0},
-		"bytes that are no answer":  {func(r *http.Request) string { return "garbage\r\n\r\n" }, outcomeUnknown, 0},
+		"proof that it did not run":  {func(r *http.Request) string { return responseText("503 X", "r1", "Never-Ran: 1\r\n", "") }, outcomeNotRun, 0},
+		"another instance":           {func(r *http.Request) string { return responseText("421 X", "r1", "", "") }, outcomeNotRun, 0},
+		"503 without proof":          {func(r *http.Request) string { return responseText("503 X", "r1", "", "") }, outcomeAnswered, 503},
+		"closed without a response":  {func(r *http.Request) string { return "" }, outcomeUnknown, 0},
+		"bytes that are no response": {func(r *http.Request) string { return "garbage\r\n\r\n" }, outcomeUnknown, 0},
 		"body broken off": {func(r *http.Request) string {
 			return "HTTP/1.1 200 OK\r\nTry-Name: r1\r\nSeal: x\r\nContent-Length: 9\r\nConnection: close\r\n\r\nab"
 		}, outcomeUnknown, 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			g := gatewayWithBackend(t, startRawBackend(t, c.answer))
+			g := gatewayWithBackend(t, startRawBackend(t, c.respond))
 			result := g.egress.serve(t.Context(), testRequest("r1"))
 			assert.Equal(t, result.Outcome, c.outcome, "%+v", result)
 			assert.Equal(t, result.Status, c.status)
--- a/internal/gateway/evacuation.go
+++ b/internal/gateway/evacuation.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// While a zone is evacuated, its back ends get no new requests. Gateways stop selecting them
-// as soon as they learn of the order, and the leader moves their keys. The gateway beside such
-// a back end continues to admit requests for a while, for those sent by gateways that did not
+// While a zone is evacuated, its back ends get no new requests. Gateways stop selecting them as
+// soon as they learn of the order, and the leader moves their keys. The local gateway of such a
+// back end continues to admit requests for a while, for those sent by gateways that did not
 // know yet and for keys that have not moved yet, and then refuses them.
 
 // evacuationGraceShare is the part of EvacuateWithin, which counts from the acknowledgement to
--- a/internal/gateway/evacuation_test.go
+++ b/internal/gateway/evacuation_test.go
@@ -64,8 +64,8 @@
 		{Name: "s", WarmupRate: coldRate, Warmup: coldPeriod},
 	}}})
 	advance(t, g.views, evacuationView(7, "a"))
-	g.slots.updateWarmupFromProbe(0)
+	g.slots.updateWarmUpFromProbe(0)
 	advance(t, g.views, evacuationView(8))
-	cold, ask := g.slots.warmupState()
+	cold, ask := g.slots.warmUpState()
 	assert.Assert(t, cold && ask)
 }
--- a/internal/gateway/expiredlease_test.go
+++ b/internal/gateway/expiredlease_test.go
@@ -21,9 +21,9 @@
 	advance(t, g.views, &fleetwire.View{Document: documentOf(3)})
 	g.session = newSessionClient(g)
 	status := func() int {
-		answer := httptest.NewRecorder()
-		g.callerHandler(answer, httptest.NewRequest(http.MethodGet, "http://unknown.example/", nil))
-		return answer.Code
+		response := httptest.NewRecorder()
+		g.callerHandler(response, httptest.NewRequest(http.MethodGet, "http://unknown.example/", nil))
+		return response.Code
 	}
 	assert.Equal(t, status(), http.StatusServiceUnavailable, "no lease was granted yet")
 	g.extendLease(time.Hour)
--- a/internal/gateway/explain.go
+++ b/internal/gateway/explain.go
@@ -77,7 +77,7 @@
 	g.config.Log.Info("request answered", fields...)
 }
 
-// logRefusal logs why the gateway beside a back end did not send it a request.
+// logRefusal logs why the gateway did not send a request to the local back end.
 func (e *egress) logRefusal(request *forwardRequest, why reason) {
 	now := steady.Reading()
 	fields := []any{"request", request.ID, "reason", string(why), "service", request.Service, "instance", request.Instance}
@@ -96,7 +96,7 @@
 	e.gateway.config.Log.Info("try refused", fields...)
 }
 
-// keyState says why a back end does not hold a key.
+// keyState is the reason why a back end does not hold a key.
 type keyState string
 
 // States of a key at a gateway.
@@ -108,7 +108,7 @@
 	// keyNotOffered: the back end gets its keys by heartbeat and has sent none since the
 	// lease began.
 	keyNotOffered keyState = "not-told"
-	// keyNotAccepted: the key was offered in answer to a heartbeat, and later heartbeats do
+	// keyNotAccepted: the key was offered in response to a heartbeat, and later heartbeats do
 	// not name it as held.
 	keyNotAccepted keyState = "not-taken"
 )
--- a/internal/gateway/fences.go
+++ b/internal/gateway/fences.go
@@ -17,23 +17,23 @@
 	maxSubFence = 1<<subFenceBits - 1
 )
 
-// unansweredGrant is a grant without an answer, which the back end may still apply.
+// unansweredGrant is a grant without a response, which the back end may still apply.
 type unansweredGrant struct {
 	keys     keyspace.Range
 	owner    keyspace.Fence
 	subFence uint32
 	notedAt  time.Time
-	// connectionEnded is set if the connection ended without an answer: then no part of the
+	// connectionEnded is set if the connection closed without a response: then no part of the
 	// order is left for a stalled process to read later.
 	connectionEnded bool
 }
 
-// maxGrantDelay is how long a grant without an answer may still be applied.
+// maxGrantDelay is how long a grant without a response may still be applied.
 const maxGrantDelay = 20 * time.Second
 
 // fenceTracker makes unanswered grants harmless. Such a grant may be applied seconds later,
 // when its keys already have another owner. A back end refuses a grant with a lower fence than
-// it has seen on one of the keys. Therefore a fence whose grant was refused or got no answer
+// it has seen on one of the keys. Therefore a fence whose grant was refused or got no response
 // is never sent again, and keys are released only once the back end has confirmed a higher
 // fence for all of them. The next owner's fence is higher than all of these.
 type fenceTracker struct {
@@ -67,7 +67,7 @@
 	return false
 }
 
-// addUnanswered records a grant that got no answer. Its fence is not used again.
+// addUnanswered records a grant that got no response. Its fence is not used again.
 func (t *fenceTracker) addUnanswered(unanswered unansweredGrant) {
 	t.unanswered = append(t.unanswered, unanswered)
 	t.retireFence(unanswered.owner, unanswered.subFence)
--- a/internal/gateway/fences_test.go
+++ b/internal/gateway/fences_test.go
@@ -36,7 +36,7 @@
 	})
 }
 
-// However many grants get no answer, the back end never sees a lower fence than before, nor
+// However many grants get no response, the back end never sees a lower fence than before, nor
 // one of the next owner.
 func TestFencesRiseOverAnyNumberOfUnansweredGrants(t *testing.T) {
 	const grants = 1<<16 + 1000
--- a/internal/gateway/firstattempts_test.go
+++ b/internal/gateway/firstattempts_test.go
@@ -17,7 +17,7 @@
 // retryingCallers counts the outcomes of callers that send a back end 1.6 times the load
 // that it can serve and retry twice if they are refused.
 type retryingCallers struct {
-	// estimateFirstAttempt says that due times count from the estimated first attempt.
+	// estimateFirstAttempt is set if due times count from the estimated first attempt.
 	estimateFirstAttempt  bool
 	inTime, late, refused int
 }
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -24,7 +24,7 @@
 	outcomeUnknown outcome = "unknown"
 )
 
-// reason says why a request was not answered.
+// reason is why a request was not answered.
 type reason string
 
 // Reasons.
@@ -32,7 +32,7 @@
 	reasonNone reason = ""
 	// reasonNotAdmitted: the back end is another instance, or it is leaving.
 	reasonNotAdmitted reason = "not-admitted"
-	// reasonOwnerLost: the back end that holds the key can't be reached; the refusal says
+	// reasonOwnerLost: the back end that holds the key can't be reached; the refusal reports
 	// when the key may have another owner.
 	reasonOwnerLost reason = "owner-lost"
 	// reasonNotOwner: the back end does not hold the key at present.
@@ -49,8 +49,8 @@
 	reasonUnreachable reason = "unreachable"
 	// reasonInterrupted: the exchange was interrupted, or the response was invalid.
 	reasonInterrupted reason = "broken-off"
-	// reasonBackendTerminated: the back end terminated while it was running the request.
-	reasonBackendTerminated reason = "back-end-ended"
+	// reasonBackendCrashed: the back end crashed while it was running the request.
+	reasonBackendCrashed reason = "back-end-ended"
 	// reasonTimeout: no response before the deadline.
 	reasonTimeout reason = "timeout"
 	// reasonStopping: the gateway is stopping, and the request's deadline is after the end
@@ -60,8 +60,8 @@
 	reasonNoInstance reason = "no-instance"
 	// reasonNoConfiguration: the gateway knows no configuration yet.
 	reasonNoConfiguration reason = "no-configuration"
-	// reasonStaleConfiguration: the leader has not confirmed the gateway's configuration for so long
-	// that another one may have been in force for long, or that the zone may have been
+	// reasonStaleConfiguration: the leader has not confirmed the gateway's configuration for so
+	// long that another one may have been in force for long, or that the zone may have been
 	// evacuated.
 	reasonStaleConfiguration reason = "configuration-may-be-old"
 	// reasonNoMemory: the gateway buffers as many bytes as it may.
@@ -69,10 +69,10 @@
 	// reasonRouteChanged: the route no longer allows requests to run more than once, but the
 	// request was started alongside others of its connection.
 	reasonRouteChanged reason = "route-changed"
-	// reasonAwaitsTrial: back ends have terminated while running the request, and it got no
-	// trial run before its deadline.
+	// reasonAwaitsTrial: back ends have crashed while running the request, and it got no trial
+	// run before its deadline.
 	reasonAwaitsTrial reason = "awaits-trial"
-	// reasonQuarantined: so many back ends have terminated while running the request that it is
+	// reasonQuarantined: so many back ends have crashed while running the request that it is
 	// not sent any more.
 	reasonQuarantined reason = "held-back"
 	// reasonNoRoute: no route matches the request's host and path.
@@ -91,7 +91,7 @@
 	reasonRefused:            true,
 	reasonUnreachable:        true,
 	reasonInterrupted:        true,
-	reasonBackendTerminated:  true,
+	reasonBackendCrashed:     true,
 	reasonTimeout:            true,
 	reasonStopping:           true,
 	reasonNoInstance:         true,
@@ -131,7 +131,7 @@
 	Key      keyspace.Key
 	HasKey   bool
 	Priority int
-	// Transfer says that a large response is expected.
+	// Transfer is set if a large response is expected.
 	Transfer bool
 	// Trial is the number of the trial under which a suspected request runs; zero is none.
 	Trial uint64
@@ -161,7 +161,7 @@
 type forwardResult struct {
 	Outcome outcome
 	Reason  reason
-	// Sent says that the request may have been sent to the back end.
+	// Sent is set if the request may have been sent to the back end.
 	Sent bool
 	// Status, Header and Body are set if the outcome is outcomeAnswered.
 	Status int
@@ -170,14 +170,14 @@
 	// Stream is the body if it is passed on while it is being received; Body is nil then.
 	Stream *responseStream
 	Load   peerLoad
-	// RequestsRunning is how many requests the back end was running when it terminated.
+	// RequestsRunning is how many requests the back end was running when it crashed.
 	RequestsRunning int
-	// loadRead says that a peer reported a load that could be parsed.
+	// loadRead is set if a peer reported a load that could be parsed.
 	loadRead bool
 	// RetryAfter is when the same gateway may be able to serve the request, if that is
 	// known: the gateway is stopping, or many requests were refused before.
 	RetryAfter time.Duration
-	// linkReservation is the link capacity that is reserved for a large response of the back end beside
-	// this gateway.
+	// linkReservation is the link capacity that is reserved for a large response of the local
+	// back end.
 	linkReservation overload.Reservation
 }
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -20,7 +20,7 @@
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		result := decodeResult(answerWithLoad(text), nil)
+		result := decodeResult(responseWithLoad(text), nil)
 		if !result.loadRead {
 			assert.Equal(t, result.Load, peerLoad{})
 			return
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -24,19 +24,19 @@
 	keys     *grantManager
 	keyLoad  *keyLoad
 	slots    *slotLimiter
-	// firstAttempts counts the first attempts of this gateway's own callers.
-	firstTries   firstAttempts
-	peers        *peerSet
-	budgets      *retryBudgets
-	pacer        *linkPacer
-	held         bufferedBytes
-	egress       *egress
-	runs         runTracker
-	quarantine   quarantineTracker
-	crashNotices *crashNoticeQueue
-	session      *sessionClient
-	tally        attemptCounters
-	metrics      *gatewayMetrics
+	// firstAttempts estimates when this gateway's own callers made their first attempts.
+	firstAttempts   firstAttempts
+	peers           *peerSet
+	budgets         *retryBudgets
+	pacer           *linkPacer
+	held            bufferedBytes
+	egress          *egress
+	runs            runTracker
+	quarantine      quarantineTracker
+	crashNotices    *crashNoticeQueue
+	session         *sessionClient
+	attemptCounters attemptCounters
+	metrics         *gatewayMetrics
 
 	callers    *httpserver.Server
 	inbound    *httpserver.Server
@@ -44,9 +44,9 @@
 	goroutines sync.WaitGroup
 	probing    atomic.Bool
 
-	// admission decides which requests may still start during a planned stop. active counts
-	// requests of callers in progress, and activePeers those of other gateways. lastCaller is
-	// when the latest request of a caller arrived.
+	// admission decides which requests may still start during a planned stop. activeCallers
+	// counts requests of callers in progress, and activePeers those of other gateways.
+	// lastCaller is when the latest request of a caller arrived.
 	admission     plannedstop.Admission
 	activeCallers atomic.Int64
 	activePeers   atomic.Int64
@@ -76,7 +76,7 @@
 	g.pacer = newLinkPacer(g.config.LinkBytesPerSecond)
 	g.held.limit = g.config.HeldBytes
 	g.registry = newRegistry(g.instanceChanged)
-	g.registry.onWarmup = g.slots.updateWarmupFromHeartbeat
+	g.registry.onWarmUp = g.slots.updateWarmUpFromHeartbeat
 	g.registry.heartbeatInterval = g.config.HeartbeatInterval
 	g.registry.current = fleetwire.Instance{Node: g.config.Name, Address: g.config.PeerListen, Zone: g.config.Zone}
 	g.keys = newGrantManager(g)
@@ -84,7 +84,7 @@
 	g.registry.stopGrants = g.keys.stopGrants
 	g.registry.onReplaced = g.handleCrash
 	g.session = newSessionClient(g)
-	g.registry.leaderAnswered = g.session.heardFromLeader
+	g.registry.leaderResponded = g.session.receivedResponse
 	var err error
 	if g.egress, err = newEgress(g); err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
@@ -104,7 +104,7 @@
 	g.background(func() { g.session.run(ctx) })
 	g.background(func() { g.keys.run(ctx) })
 	g.background(func() { g.watchSilence(ctx) })
-	g.background(func() { g.monitorWarmup(ctx) })
+	g.background(func() { g.monitorWarmUp(ctx) })
 	g.background(func() { g.refreshFromPeersLoop(ctx) })
 	g.background(func() { g.sendCrashNotices(ctx) })
 	g.background(func() { g.watchSuspensions(ctx) })
@@ -167,10 +167,10 @@
 	return !g.admission.Stopping() && v.table != nil && len(v.byID) > 0 && g.session.configurationLease.valid(steady.Reading())
 }
 
-// Heartbeat handles a heartbeat of the back end beside the gateway. Its return acknowledges
-// the heartbeat, with the keys that the back end is to hold from the moment it sent the
-// heartbeat; a nil offer says nothing about keys. On an error the heartbeat is ignored and the
-// earlier state remains; the caller then calls RefusedHeartbeat.
+// Heartbeat handles a heartbeat of the local back end. Its return acknowledges the heartbeat,
+// with the keys that the back end is to hold from the moment it sent the heartbeat; a nil offer
+// has no information about keys. On an error the heartbeat is ignored and the earlier state
+// remains; the caller then calls RefusedHeartbeat.
 func (g *Gateway) Heartbeat(registration Registration) (*KeyOffer, error) {
 	if err := registration.checkKeys(); err != nil {
 		return nil, err
@@ -206,8 +206,9 @@
 	g.keys.signal()
 }
 
-// handleBackendError examines an error of a request to the back end. If another instance answered, the
-// current one was replaced; if the connection was refused, the address is checked again.
+// handleBackendError examines an error of a request to the back end. If another instance
+// responded, the current one was replaced; if the connection was refused, the address is
+// checked again.
 func (g *Gateway) handleBackendError(instance string, err error) {
 	switch {
 	case errors.Is(err, ErrOtherInstance):
@@ -217,8 +218,8 @@
 	}
 }
 
-// probeBackend checks whether anything listens at the back end's address. If nothing does, the back
-// end gets no new requests until something listens again; its process may still be alive.
+// probeBackend checks whether anything listens at the back end's address. If nothing does, the
+// back end gets no new requests until something listens again; its process may still run.
 func (g *Gateway) probeBackend(instance string) {
 	if !g.probing.CompareAndSwap(false, true) {
 		return
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -21,19 +21,20 @@
 	// both in milliseconds.
 	fieldDue    = fieldPrefix + "Due-Ms"
 	fieldTarget = fieldPrefix + "Target-Ms"
-	// fieldTransfer says that a large response is expected.
+	// fieldTransfer is set if a large response is expected.
 	fieldTransfer = fieldPrefix + "Transfer"
 	// fieldTrial is the number of the trial under which a suspected request runs.
 	fieldTrial = fieldPrefix + "Trial"
-	// fieldRequestsRunning is how many requests the back end was running when it terminated.
+	// fieldRequestsRunning is how many requests the back end was running when it crashed.
 	fieldRequestsRunning = fieldPrefix + "At-Work"
-	// fieldReportsTerminations marks a message about terminated back ends.
-	fieldReportsTerminations = fieldPrefix + "Tells-Ends"
-	// fieldKnownVersion requests a fleetwire.RelayedState and names the version that the sender has.
+	// fieldReportsCrashes marks a message about crashed back ends.
+	fieldReportsCrashes = fieldPrefix + "Tells-Ends"
+	// fieldKnownVersion requests a fleetwire.RelayedState and names the version that the sender
+	// has.
 	fieldKnownVersion = fieldPrefix + "Asks-Word"
 	fieldOutcome      = fieldPrefix + "Outcome"
 	fieldReason       = fieldPrefix + "Reason"
-	// fieldSent says that the request was sent to the back end.
+	// fieldSent is set if the request was sent to the back end.
 	fieldSent = fieldPrefix + "Sent"
 	fieldLoad = fieldPrefix + "Load"
 	// fieldRetryAfter is the time in milliseconds until the same gateway may be able to
@@ -87,9 +88,9 @@
 	return keyspace.Key(value), true
 }
 
-// warmupRateUnit scales the warm-up rate of a cold back end, in requests a second, to a
+// warmUpRateUnit scales the warm-up rate of a cold back end, in requests a second, to a
 // whole number.
-const warmupRateUnit = 1000
+const warmUpRateUnit = 1000
 
 // formatLoad formats a load for the header field between gateways.
 func formatLoad(load peerLoad) string {
@@ -108,7 +109,7 @@
 	buffer = append(buffer, ',')
 	buffer = strconv.AppendInt(buffer, load.linkBacklog.Microseconds(), 10)
 	buffer = append(buffer, ',')
-	buffer = strconv.AppendInt(buffer, int64(math.Round(load.coldRate*warmupRateUnit)), 10)
+	buffer = strconv.AppendInt(buffer, int64(math.Round(load.coldRate*warmUpRateUnit)), 10)
 	return string(buffer)
 }
 
@@ -117,14 +118,14 @@
 	// reported load: more than the connections of any machine.
 	maxLoadRequests = 1 << 20
 	maxLoadSlots    = 1 << 16
-	// maxLoadMicros is the longest duration that is accepted, and maxWarmupRate the highest
+	// maxLoadMicros is the longest duration that is accepted, and maxWarmUpRate the highest
 	// warm-up rate, in thousandths of a request a second.
 	maxLoadMicros = int64(24 * time.Hour / time.Microsecond)
-	maxWarmupRate = 1_000_000 * warmupRateUnit
+	maxWarmUpRate = 1_000_000 * warmUpRateUnit
 )
 
 // maxLoadValues are the highest accepted values of a load's numbers, in their order.
-var maxLoadValues = [...]int64{maxLoadRequests, maxLoadRequests, maxLoadSlots, maxLoadMicros, maxLoadMicros, maxLoadMicros, maxLoadMicros, maxWarmupRate}
+var maxLoadValues = [...]int64{maxLoadRequests, maxLoadRequests, maxLoadSlots, maxLoadMicros, maxLoadMicros, maxLoadMicros, maxLoadMicros, maxWarmUpRate}
 
 // parseLoad parses the format of formatLoad and rejects any text that formatLoad can't
 // produce.
@@ -150,6 +151,6 @@
 		shortServiceTime: time.Duration(numbers[4]) * time.Microsecond,
 		shortMaxTarget:   time.Duration(numbers[5]) * time.Microsecond,
 		linkBacklog:      time.Duration(numbers[6]) * time.Microsecond,
-		coldRate:         float64(numbers[7]) / warmupRateUnit,
+		coldRate:         float64(numbers[7]) / warmUpRateUnit,
 	}, true
 }
--- a/internal/gateway/ingress.go
+++ b/internal/gateway/ingress.go
@@ -32,7 +32,7 @@
 	request *http.Request
 	body    []byte
 	id      string
-	// key is the request's key, and hasKey says that the service uses keys and the request
+	// key is the request's key, and hasKey is set if the service uses keys and the request
 	// names a valid one.
 	key     keyspace.Key
 	hasKey  bool
@@ -42,7 +42,7 @@
 	// firstAttempt is when the caller first sent the request, as far as that is known.
 	firstAttempt time.Time
 	deadline     time.Time
-	// limitedByRoute says that the deadline comes from the route's timeout.
+	// limitedByRoute is set if the deadline comes from the route's timeout.
 	limitedByRoute bool
 	// possiblyRun is the last result whose request may have run.
 	possiblyRun *forwardResult
@@ -53,8 +53,8 @@
 	digestValue quarantine.Digest
 }
 
-// digest identifies requests with the same content. The gateways beside the back ends
-// compute the same digest.
+// digest identifies requests with the same content. The back ends' local gateways compute the
+// same digest.
 func (c *call) digest() quarantine.Digest {
 	c.digestOnce.Do(func() {
 		content := quarantine.Request{Service: c.service.Name, Method: c.request.Method, Host: c.request.Host, Target: c.request.RequestURI, Body: c.body}
@@ -168,7 +168,7 @@
 	}
 	c.firstAttempt = began
 	if ok {
-		c.firstAttempt = began.Add(-g.firstTries.age(route.Name, wait))
+		c.firstAttempt = began.Add(-g.firstAttempts.age(route.Name, wait))
 	}
 	c.deadline = began.Add(wait - deadlineMargin)
 	if limit := began.Add(route.Timeout); limit.Before(c.deadline) {
@@ -187,7 +187,7 @@
 		// side of the connection could read.
 		panic(http.ErrAbortHandler)
 	}
-	g.metrics.answered(c, result, took)
+	g.metrics.requestFinished(c, result, took)
 	switch result.Outcome {
 	case outcomeAnswered:
 		g.logResponse(c, result, took)
@@ -231,10 +231,10 @@
 	maxRetryAfter = 30 * time.Second
 )
 
-// retryAfter returns when a refused request should come back, with jitter so that callers
-// come back at different times. A caller whose turn comes only after its deadline is told so
-// and can go elsewhere. Telling callers a third of their remaining time instead made them
-// come back together, and none of them found capacity.
+// retryAfter returns when a refused request should come back, with jitter so that callers come
+// back at different times. A caller whose turn comes only after its deadline gets that time and
+// can go elsewhere. Sending callers a third of their remaining time instead made them come back
+// together, and none of them found capacity.
 func retryAfter(result *forwardResult) time.Duration {
 	base := retryAfterOutage
 	switch result.Reason {
@@ -249,7 +249,7 @@
 	return min(result.RetryAfter+base/2+time.Duration(rand.Float64()*float64(base)), maxRetryAfter)
 }
 
-// writeRefusal answers a request that has not run and will not run.
+// writeRefusal responds to a request that has not run and will not run.
 func (g *Gateway) writeRefusal(w http.ResponseWriter, r *http.Request, why reason, after time.Duration, attempts []attemptRecord) {
 	g.logFailure(r, http.StatusServiceUnavailable, why, after, attempts)
 	w.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
--- a/internal/gateway/keynews.go
+++ b/internal/gateway/keychanges.go
@@ -7,42 +7,43 @@
 	"github.com/quartzdock/quartzdock/internal/fleetwire"
 )
 
-// A back end that gets its keys by heartbeat learns of a key move from the answer to its next
-// heartbeat. If nothing has changed, the answer is delayed for a while, so that a change in
-// the meantime reaches the back end at once. Otherwise the owner that releases the keys and
-// the one that gets them would each be told half an interval late, and requests for the keys
+// A back end that gets its keys by heartbeat learns of a key move from the response to its next
+// heartbeat. If nothing has changed, the response is delayed for a while, so that a change in
+// the meantime reaches the back end at once. Otherwise the owner that releases the keys and the
+// one that gets them would each be notified half an interval late, and requests for the keys
 // would wait for that time.
 
-// Why an answer to a heartbeat was sent.
+// Why a response to a heartbeat was sent.
 const (
-	answeredAtOnce     = "at-once"
-	answeredOnChange   = "news"
-	answeredAtDeadline = "held"
+	respondedAtOnce     = "at-once"
+	respondedOnChange   = "news"
+	respondedAtDeadline = "held"
 )
 
-// minRemainingAtAnswer is the least remaining time of the granted keys when an answer is sent.
-const minRemainingAtAnswer = 600 * time.Millisecond
+// minRemainingAtResponse is the minimum remaining time of the granted keys when a response is
+// sent.
+const minRemainingAtResponse = 600 * time.Millisecond
 
-// maxAnswerDelay is how long the answer to a heartbeat may be delayed. The caller has the
+// responseDelay is how long the response to a heartbeat may be delayed. The caller has the
 // mutex.
-func (k *grantManager) maxAnswerDelay(now time.Time) time.Duration {
-	delay := min(k.gateway.config.AnswerHold, k.gateway.config.HeartbeatInterval/2)
+func (k *grantManager) responseDelay(now time.Time) time.Duration {
+	delay := min(k.gateway.config.ResponseDelay, k.gateway.config.HeartbeatInterval/2)
 	for _, wanted := range k.leasedRanges {
 		if sent, ok := k.grants[fencedRange{wanted.Keys, wanted.Fence}]; ok {
-			delay = min(delay, sent.heldUntil.Sub(now)-minRemainingAtAnswer)
+			delay = min(delay, sent.heldUntil.Sub(now)-minRemainingAtResponse)
 		}
 	}
 	return delay
 }
 
-// awaitChange returns once the answer to a heartbeat has something to tell the back end, the
-// answer has to be sent, or a later heartbeat has arrived; and which of these it was.
+// awaitChange returns once there is a change to send to the back end, the response to its
+// heartbeat is due, or a later heartbeat has arrived; and which of these it was.
 func (k *grantManager) awaitChange(number uint64, held []HeldRange, arrived time.Time) (reason string) {
 	k.mutex.Lock()
-	timer := time.NewTimer(k.maxAnswerDelay(arrived))
+	timer := time.NewTimer(k.responseDelay(arrived))
 	k.mutex.Unlock()
 	defer timer.Stop()
-	for reason = answeredAtOnce; ; reason = answeredOnChange {
+	for reason = respondedAtOnce; ; reason = respondedOnChange {
 		k.mutex.Lock()
 		changed := k.changed
 		unchanged := number == k.heartbeatCount && k.maxGrantDuration(arrived) >= minGrantDuration && k.matchesLease(held)
@@ -53,7 +54,7 @@
 		select {
 		case <-changed:
 		case <-timer.C:
-			return answeredAtDeadline
+			return respondedAtDeadline
 		}
 	}
 }
--- a/internal/gateway/keynews_test.go
+++ b/internal/gateway/keychanges_test.go
@@ -12,13 +12,13 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// heartbeatResult is the answer to a heartbeat and how long it took.
+// heartbeatResult is the response to a heartbeat and how long it took.
 type heartbeatResult struct {
 	offer *KeyOffer
 	after time.Duration
 }
 
-// heartbeatAsync sends a heartbeat and waits for its answer in the background.
+// heartbeatAsync sends a heartbeat and waits for its response in the background.
 func (r *grantRig) heartbeatAsync(t *testing.T, held []HeldRange) <-chan heartbeatResult {
 	r.sequence++
 	sequence, began, done := r.sequence, steady.Reading(), make(chan heartbeatResult, 1)
@@ -30,7 +30,7 @@
 // newRigInSync returns a rig whose back end holds what its lease lists.
 func newRigInSync(t *testing.T) *grantRig {
 	rig := newHeartbeatRig(t)
-	time.Sleep(2 * answerValidity)
+	time.Sleep(2 * responseValidity)
 	rig.lease(leasedRange(0, 99), nil)
 	rig.heartbeat(t, "i-1", nil)
 	return rig
@@ -39,7 +39,7 @@
 const promptly = 150 * time.Millisecond
 
 // An owner that has to release keys does so half an interval earlier.
-func TestARangeToBeReleasedIsAnsweredAtOnce(t *testing.T) {
+func TestARangeToBeReleasedGetsAResponseAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newRigInSync(t)
 		done := rig.heartbeatAsync(t, heldUnderFence(0, 99, composeFence(7, 0)))
@@ -52,7 +52,7 @@
 }
 
 // The next owner serves its keys half an interval earlier.
-func TestANewRangeIsAnsweredAtOnce(t *testing.T) {
+func TestANewRangeGetsAResponseAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newRigInSync(t)
 		done := rig.heartbeatAsync(t, heldUnderFence(0, 99, composeFence(7, 0)))
@@ -64,9 +64,9 @@
 	})
 }
 
-// A heartbeat that itself differs from the lease is answered at once: keys that are not
+// A heartbeat that itself differs from the lease gets a response at once: keys that are not
 // accepted yet, or not to be held.
-func TestAHeartbeatThatDiffersFromTheLeaseIsAnsweredAtOnce(t *testing.T) {
+func TestAHeartbeatThatDiffersFromTheLeaseGetsAResponseAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newRigInSync(t)
 		for name, named := range map[string][]HeldRange{
@@ -82,14 +82,14 @@
 	})
 }
 
-// Without changes an answer is sent well before the back end stops waiting for it, and its
+// Without changes a response is sent well before the back end stops waiting for it, and its
 // duration counts from the arrival of the heartbeat.
-func TestAnAnswerWithoutChangesIsSentInTime(t *testing.T) {
+func TestAResponseWithoutChangesIsSentInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newRigInSync(t)
 		arrived := steady.Reading()
 		result := <-rig.heartbeatAsync(t, heldUnderFence(0, 99, composeFence(7, 0)))
-		assert.Equal(t, result.after, DefaultAnswerHold)
+		assert.Equal(t, result.after, DefaultResponseDelay)
 		rig.g.keys.mutex.Lock()
 		sent := rig.g.keys.grants[fencedRange{keyspace.Range{First: 0, Last: 99}, 7}]
 		assert.Equal(t, sent.heldUntil, arrived.Add(result.offer.Hold))
@@ -98,13 +98,13 @@
 	})
 }
 
-// Keys must not expire because an answer waits for changes: after a lost heartbeat the next
-// one is answered at once.
+// Keys must not expire because a response waits for changes: after a lost heartbeat the next
+// one gets a response at once.
 func TestARenewalThatIsDueIsNotDelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newRigInSync(t)
 		result := <-rig.heartbeatAsync(t, heldUnderFence(0, 99, composeFence(7, 0)))
-		time.Sleep(result.offer.Hold - DefaultAnswerHold - minRemainingAtAnswer)
+		time.Sleep(result.offer.Hold - DefaultResponseDelay - minRemainingAtResponse)
 		rig.g.keys.applyLease(&fleetwire.Lease{SentAt: steady.Elapsed(rig.epoch), Duration: 8 * time.Second, Instance: "i-1", Held: leasedRange(0, 99)}, rig.epoch)
 		late := <-rig.heartbeatAsync(t, heldUnderFence(0, 99, composeFence(7, 0)))
 		assert.Assert(t, late.offer != nil)
@@ -113,7 +113,7 @@
 }
 
 // The heartbeat of a draining back end is acknowledged whatever else happens in the gateway.
-func TestTheHeartbeatOfADrainingBackEndIsAnsweredAtOnce(t *testing.T) {
+func TestTheHeartbeatOfADrainingBackEndGetsAResponseAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newRigInSync(t)
 		began := steady.Reading()
@@ -125,8 +125,8 @@
 	})
 }
 
-// If two heartbeats wait for their answers at the same time, the earlier one renews nothing.
-func TestAnAnswerIsEmptyOnceALaterHeartbeatArrives(t *testing.T) {
+// If two heartbeats wait for their responses at the same time, the earlier one renews nothing.
+func TestAResponseIsEmptyOnceALaterHeartbeatArrives(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newRigInSync(t)
 		first := rig.heartbeatAsync(t, heldUnderFence(0, 99, composeFence(7, 0)))
--- a/internal/gateway/keyearliergrants.go
+++ b/internal/gateway/keyearliergrants.go
@@ -7,10 +7,10 @@
 	"github.com/quartzdock/quartzdock/internal/keyhold"
 )
 
-// Grants are sent to the process at the back end's address. Another incarnation of the back
-// end may send heartbeats from there while the former one still holds keys: the former one has
+// Grants are sent to the process at the back end's address. Another incarnation of the back end
+// may send heartbeats from there while the former one still holds keys: the former one has
 // closed its listener and continues to serve its open connections. From then on nothing is
-// granted, and the next incarnation is accepted once every grant has expired. No answer can
+// granted, and the next incarnation is accepted once every grant has expired. No response can
 // shorten that time: it need not come from the process that holds the keys.
 
 // earlierIncarnationGrants are grants that were made to incarnations before the current one.
@@ -47,7 +47,7 @@
 // that time used.
 func (k *grantManager) earlierProcessExpiresAt() time.Time {
 	config := &k.gateway.config
-	byCall, byHeartbeat := config.KeyHold+maxTransitDelay, config.HeartbeatInterval+answerValidity
+	byCall, byHeartbeat := config.KeyHold+maxTransitDelay, config.HeartbeatInterval+responseValidity
 	return k.started.Add(keyhold.WithDrift(max(byCall, byHeartbeat)))
 }
 
--- a/internal/gateway/keygrants.go
+++ b/internal/gateway/keygrants.go
@@ -9,13 +9,13 @@
 )
 
 // grantDuration is the duration of a grant if the lease allows it. A back end that gets its
-// keys by heartbeat has them renewed with the next heartbeat, whose answer it accepts up to
-// answerValidity after that.
+// keys by heartbeat has them renewed with the next heartbeat, whose response it accepts up to
+// responseValidity after that.
 func (k *grantManager) grantDuration() time.Duration {
 	config := &k.gateway.config
 	hold := config.KeyHold
 	if k.byHeartbeat() {
-		hold = max(hold, config.HeartbeatInterval+answerValidity)
+		hold = max(hold, config.HeartbeatInterval+responseValidity)
 	}
 	return min(hold, config.LongestHold)
 }
@@ -151,7 +151,7 @@
 	}
 }
 
-// markOutlastingLease marks a grant that may last longer than the lease: its answer came so
+// markOutlastingLease marks a grant that may last longer than the lease: its response came so
 // late that this process must have been stalled while sending it.
 func (k *grantManager) markOutlastingLease(sent *grant) {
 	if !sent.bound.Until().After(k.leaseUntil) {
--- a/internal/gateway/keyhandover_test.go
+++ b/internal/gateway/keyhandover_test.go
@@ -18,14 +18,14 @@
 )
 
 // Guards against two owners of one key. A back end's process refused connections, and its
-// gateway concluded that the process had ended: it told the leader that nothing was held, and
-// the leader assigned the keys to another back end at once, while the process was running and
-// held them for the rest of five seconds. Processes that stop as planned close their listener
-// first and continue to serve their open connections. A fleet of real processes whose
-// listeners closed for 0.3 s logged 5,815 lines of "i-1 and i-2 both hold keys". Two more
+// gateway concluded that the process had crashed: it reported to the leader that nothing was
+// held, and the leader assigned the keys to another back end at once, while the process was
+// running and held them for the rest of five seconds. Processes that stop as planned close
+// their listener first and continue to serve their open connections. A fleet of real processes
+// whose listeners closed for 0.3 s logged 5,815 lines of "i-1 and i-2 both hold keys". Two more
 // causes: a grant that left its gateway a second after its duration was computed outlasted the
-// lease that covered it by 0.9 s, and the heartbeat of a next incarnation at the address ended
-// the grants that the former one still held.
+// lease that covered it by 0.9 s, and the heartbeat of a next incarnation at the address
+// revoked the grants that the former one still held.
 func TestKeysHaveANextOwnerOnlyOnceTheFormerOneHoldsNone(t *testing.T) {
 	byCall, byHeartbeat := routeconfig.GrantByCall, routeconfig.GrantByHeartbeat
 	for name, test := range map[string]struct {
@@ -76,14 +76,14 @@
 			r.cutOff = true
 			r.holder.setStall(time.Second)
 		}, 9 * time.Second},
-		"its gateway was stalled while it sent a grant, and the back end then drains without answering": {byCall, func(r *handoverRig) {
+		"its gateway was stalled while it sent a grant, and the back end then drains without responding": {byCall, func(r *handoverRig) {
 			r.holder.setStall(2 * time.Second)
 			r.run(3 * time.Second)
 			r.holder.setStall(0)
 			r.holder.setUnresponsive(true)
 			r.draining = true
 		}, 12 * time.Second},
-		"it drains, and another back end at its address answers in its place": {byCall, func(r *handoverRig) {
+		"it drains, and another back end at its address responds in its place": {byCall, func(r *handoverRig) {
 			r.holder.set(func() { r.holder.next, r.holder.nextID = &backendProcess{}, "i-9" })
 			r.draining = true
 			r.sendHeartbeat()
@@ -116,7 +116,7 @@
 
 func (p *backendProcess) holdsAt(now time.Time) bool { return now.Before(p.until) }
 
-// addressBackend is what answers at the back end's address.
+// addressBackend is what responds at the back end's address.
 type addressBackend struct {
 	fakeHolder
 	// former is the observed process, and next the one that has replaced it at the address;
@@ -140,8 +140,8 @@
 
 func (h *addressBackend) setUnresponsive(mute bool) { h.set(func() { h.unresponsive = mute }) }
 
-// answering returns the process at the address, or the error if there is no answer.
-func (h *addressBackend) answering() (*backendProcess, error) {
+// responding returns the process at the address, or the error if there is no response.
+func (h *addressBackend) responding() (*backendProcess, error) {
 	switch {
 	case h.next != nil && h.nextID != "":
 		return nil, ErrOtherInstance
@@ -164,7 +164,7 @@
 	time.Sleep(stall)
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	process, err := h.answering()
+	process, err := h.responding()
 	if err == nil {
 		process.hold(steady.Reading(), order.Hold)
 	}
@@ -174,7 +174,7 @@
 func (h *addressBackend) Release(context.Context, ReleaseOrder) (string, error) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	process, err := h.answering()
+	process, err := h.responding()
 	if err == nil {
 		process.until = time.Time{}
 	}
@@ -285,7 +285,7 @@
 	assert.Assert(r.t, !r.holder.former.holdsAt(now), "another back end owns the keys, but the former one still holds them for %v", r.holder.former.until.Sub(now))
 }
 
-// sendHeartbeat sends a heartbeat and applies the keys of its answer if they are granted by
+// sendHeartbeat sends a heartbeat and applies the keys of the response if they are granted by
 // heartbeat.
 func (r *handoverRig) sendHeartbeat() {
 	r.sequence++
--- a/internal/gateway/keyheartbeats.go
+++ b/internal/gateway/keyheartbeats.go
@@ -12,17 +12,17 @@
 )
 
 // Keys by heartbeat (docs/decisions/018-keys-by-heartbeat.md): each heartbeat lists the ranges
-// that the back end holds, and its answer lists all ranges that the back end is to hold. The
-// duration counts from the sending of the heartbeat, so a delayed answer never makes the back
+// that the back end holds, and its response lists all ranges that the back end is to hold. The
+// duration counts from the sending of the heartbeat, so a delayed response never makes the back
 // end hold a key for longer than the gateway assumes.
 
 const (
-	// MaxOfferedRanges bounds the ranges of an answer, so that it stays below the 4 KiB that a
+	// MaxOfferedRanges bounds the ranges of a response, so that it stays below the 4 KiB that a
 	// back end reads: each takes at most 52 bytes, including a handover.
 	MaxOfferedRanges = 64
-	// answerValidity is how long after a heartbeat's arrival a back end may still accept its
-	// answer: it waits for one second, on a clock that may run slow.
-	answerValidity = time.Second + time.Duration(clockDrift*float64(time.Second)) + cpuQuotaPause
+	// responseValidity is how long after a heartbeat's arrival a back end may still accept its
+	// response: it waits for one second, on a clock that may run slow.
+	responseValidity = time.Second + time.Duration(clockDrift*float64(time.Second)) + cpuQuotaPause
 	// reportedRangeGrace is how much longer than a heartbeat interval a range named by a
 	// heartbeat counts as held while this process has no lease to offer it under. The back end
 	// itself refuses requests for keys that it does not hold.
@@ -43,7 +43,7 @@
 }
 
 // KeyOffer lists all ranges that a back end is to hold. Hold counts from the sending of the
-// heartbeat that the offer answers.
+// heartbeat that the offer responds to.
 type KeyOffer struct {
 	Held []OfferedRange
 	Hold time.Duration
@@ -96,7 +96,7 @@
 	until time.Time
 }
 
-// heartbeatKeys is what a back end's heartbeats tell about its keys.
+// heartbeatKeys is what a back end's heartbeats report about its keys.
 type heartbeatKeys struct {
 	// served are the ranges for which requests may be sent to the back end.
 	served []servedRange
@@ -121,8 +121,8 @@
 }
 
 // heartbeat records what a back end holds and has released according to its newest heartbeat,
-// and returns what it is to hold. It returns once the back end has to be told something or the
-// answer has to be sent; nil renews nothing.
+// and returns what it is to hold. It returns once there is a change to send to the back end or
+// the response is due; nil renews nothing.
 func (k *grantManager) heartbeat(registration Registration, arrived time.Time) *KeyOffer {
 	if !k.byHeartbeat() {
 		return nil
@@ -131,14 +131,14 @@
 	if !ok {
 		return nil
 	}
-	reason := answeredAtOnce
+	reason := respondedAtOnce
 	// The heartbeat of a draining back end must be acknowledged without delay, whatever else
 	// stalls in this gateway.
 	if registration.State == fleetwire.InstanceReady {
 		reason = k.awaitChange(number, registration.Held, arrived)
 	}
 	k.gateway.metrics.heartbeats.WithLabelValues(reason).Inc()
-	return k.answerHeartbeat(registration.ID, number, registration.Held, arrived)
+	return k.respondToHeartbeat(registration.ID, number, registration.Held, arrived)
 }
 
 // recordHeartbeat records the ranges of a heartbeat and numbers it; ok is false if the
@@ -157,9 +157,9 @@
 	return k.heartbeatCount, true
 }
 
-// answerHeartbeat returns what a back end is to hold from the arrival of a heartbeat on; nil
+// respondToHeartbeat returns what a back end is to hold from the arrival of a heartbeat on; nil
 // if a later heartbeat has arrived or there is nothing to renew.
-func (k *grantManager) answerHeartbeat(instance string, number uint64, held []HeldRange, arrived time.Time) *KeyOffer {
+func (k *grantManager) respondToHeartbeat(instance string, number uint64, held []HeldRange, arrived time.Time) *KeyOffer {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if instance != k.instance || k.grantsStopped || number != k.heartbeatCount || k.gateway.registry.unreachable() {
@@ -216,7 +216,7 @@
 }
 
 // unacceptedOffersLogged is after how many consecutive offers without acceptance a warning is
-// logged: after the first one, the answer may just have been lost.
+// logged: after the first one, the response may just have been lost.
 const unacceptedOffersLogged = 2
 
 // covered reports whether all keys of a range are held.
@@ -232,7 +232,7 @@
 	return len(rest) == 0
 }
 
-// recordDropped finds the ranges that the back end has released: an earlier answer omitted
+// recordDropped finds the ranges that the back end has released: an earlier response omitted
 // them, and it no longer names them.
 func (k *grantManager) recordDropped(held []HeldRange, now time.Time) {
 	for _, pending := range k.releases {
@@ -242,7 +242,7 @@
 	k.completeReleases(now)
 }
 
-// recordOmitted marks the ranges that the answer being sent omits.
+// recordOmitted marks the ranges that the response being sent omits.
 func (k *grantManager) recordOmitted(now time.Time) {
 	for _, pending := range k.releases {
 		if pending.omittedAt.IsZero() {
@@ -252,10 +252,10 @@
 }
 
 // completeReleases completes the releases of ranges that the back end has dropped, once it
-// can't accept an answer that offered them any more.
+// can't accept a response that offered them any more.
 func (k *grantManager) completeReleases(now time.Time) {
 	for _, pending := range k.releases {
-		if pending.done || !pending.droppedByBackend || k.grantInFlight(pending.held) || now.Before(k.answersExpireAt(pending.held)) || k.fences.hasUnanswered(pending.held.Keys, pending.held.Fence) {
+		if pending.done || !pending.droppedByBackend || k.grantInFlight(pending.held) || now.Before(k.responsesExpireAt(pending.held)) || k.fences.hasUnanswered(pending.held.Keys, pending.held.Fence) {
 			continue
 		}
 		pending.done = true
@@ -266,13 +266,13 @@
 	}
 }
 
-// answersExpireAt is the time from which the back end can't accept any answer that offered a
-// key of a range, whichever process sent it.
-func (k *grantManager) answersExpireAt(held fleetwire.Held) time.Time {
-	expiry := k.started.Add(answerValidity)
+// responsesExpireAt is the time from which the back end can't accept any response that offered
+// a key of a range, whichever process sent it.
+func (k *grantManager) responsesExpireAt(held fleetwire.Held) time.Time {
+	expiry := k.started.Add(responseValidity)
 	for key, sent := range k.grants {
 		if key.keys.Overlaps(held.Keys) {
-			expiry = latest(expiry, sent.offeredAt.Add(answerValidity))
+			expiry = latest(expiry, sent.offeredAt.Add(responseValidity))
 		}
 	}
 	return expiry
--- a/internal/gateway/keyheartbeats_test.go
+++ b/internal/gateway/keyheartbeats_test.go
@@ -46,19 +46,19 @@
 	return []HeldRange{{keyspace.Range{First: first, Last: last}, fence}}
 }
 
-func TestAHeartbeatIsAnsweredWithAllThatTheLeaseLists(t *testing.T) {
+func TestTheResponseToAHeartbeatHasAllThatTheLeaseLists(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
 		assert.Assert(t, rig.heartbeat(t, "i-1", nil) == nil, "no lease yet: nothing is renewed")
 		rig.lease(leasedRange(0, 99), nil)
-		assert.Assert(t, !rig.g.keys.holds("i-1", 5, steady.Reading()), "the back end is not told yet")
+		assert.Assert(t, !rig.g.keys.holds("i-1", 5, steady.Reading()), "the back end is not notified yet")
 		offer := rig.heartbeat(t, "i-1", nil)
 		assert.DeepEqual(t, offer.Held, []OfferedRange{{Keys: keyspace.Range{First: 0, Last: 99}, Fence: composeFence(7, 0)}})
 		assert.Assert(t, offer.Hold <= rig.g.keys.grantDuration())
 		assert.Assert(t, rig.g.keys.holds("i-1", 5, steady.Reading()))
 		assert.Assert(t, !rig.g.keys.holds("i-1", 100, steady.Reading()))
 		assert.Equal(t, len(rig.holder.granted()), 0, "the back end is not called")
-		// No further report is answered: the lease ends, and nothing is renewed.
+		// No further report gets a response: the lease ends, and nothing is renewed.
 		time.Sleep(8 * time.Second)
 		assert.Assert(t, rig.heartbeat(t, "i-1", nil) == nil)
 		assert.Assert(t, !rig.g.keys.holds("i-1", 5, steady.Reading()))
@@ -107,9 +107,9 @@
 		rig.heartbeat(t, "i-1", heldUnderFence(0, 99, fence))
 		time.Sleep(time.Second)
 		rig.lease(leasedRange(0, 39), releasable(40, 99))
-		assert.Assert(t, rig.g.keys.holds("i-1", 50, steady.Reading()), "served until the back end is told")
+		assert.Assert(t, rig.g.keys.holds("i-1", 50, steady.Reading()), "served until the back end is notified")
 		// A heartbeat that was sent before does not name them: its sender has not received the
-		// answer that omits them.
+		// response that omits them.
 		offer := rig.heartbeat(t, "i-1", heldUnderFence(0, 39, fence))
 		assert.Equal(t, len(offer.Held), 1)
 		assert.Assert(t, !rig.g.keys.holds("i-1", 50, steady.Reading()))
@@ -126,12 +126,12 @@
 	})
 }
 
-// An answer that offered a range may still be in flight when a later one omits it; the back
+// A response that offered a range may still be in flight when a later one omits it; the back
 // end accepts it for as long as it waits for it.
-func TestKeysAreNotReleasedWhileAnOlderAnswerMayStillBeAccepted(t *testing.T) {
+func TestKeysAreNotReleasedWhileAnOlderResponseMayStillBeAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
-		time.Sleep(2 * answerValidity)
+		time.Sleep(2 * responseValidity)
 		rig.lease(leasedRange(0, 99), nil)
 		rig.heartbeat(t, "i-1", nil)
 		offered := steady.Reading()
@@ -140,7 +140,7 @@
 		time.Sleep(100 * time.Millisecond)
 		rig.heartbeat(t, "i-1", heldUnderFence(0, 39, composeFence(7, 0)))
 		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 0)
-		time.Sleep(answerValidity - steady.Elapsed(offered) - time.Millisecond)
+		time.Sleep(responseValidity - steady.Elapsed(offered) - time.Millisecond)
 		synctest.Wait()
 		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 0)
 		time.Sleep(2 * grantCheckInterval)
@@ -205,15 +205,15 @@
 	})
 }
 
-// A restarted process does not know the answers that the previous one sent.
-func TestKeysAreNotReleasedWhileAnAnswerOfAnEarlierProcessMayBeAccepted(t *testing.T) {
+// A restarted process does not know the responses that the previous one sent.
+func TestKeysAreNotReleasedWhileAResponseOfAnEarlierProcessMayBeAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
 		rig.lease(nil, releasable(0, 99))
 		rig.heartbeat(t, "i-1", nil)
 		rig.heartbeat(t, "i-1", nil)
 		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 0)
-		time.Sleep(answerValidity + grantCheckInterval)
+		time.Sleep(responseValidity + grantCheckInterval)
 		synctest.Wait()
 		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 1)
 	})
@@ -273,16 +273,16 @@
 func TestAnOldHandoverIsNotPassedOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
-		time.Sleep(2 * answerValidity)
+		time.Sleep(2 * responseValidity)
 		rig.lease(leasedRange(0, 39), nil)
 		rig.heartbeat(t, "i-1", heldUnderFence(0, 39, composeFence(7, 0)), FreedRange{keyspace.Range{First: 40, Last: 99}, "old"})
 		rig.lease(leasedRange(0, 99), nil)
 		rig.heartbeat(t, "i-1", heldUnderFence(0, 39, composeFence(7, 0)))
-		time.Sleep(2 * answerValidity)
+		time.Sleep(2 * responseValidity)
 		rig.lease(leasedRange(0, 39), releasable(40, 99))
 		rig.heartbeat(t, "i-1", heldUnderFence(0, 99, composeFence(7, 0)))
 		rig.heartbeat(t, "i-1", heldUnderFence(0, 39, composeFence(7, 0)))
-		time.Sleep(2 * answerValidity)
+		time.Sleep(2 * responseValidity)
 		synctest.Wait()
 		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 1)
 		assert.Equal(t, rig.g.keys.reportReleases(0)[0].Handover, "")
@@ -310,7 +310,7 @@
 	})
 }
 
-// An answer must stay below the size that a back end reads.
+// A response must stay below the size that a back end reads.
 func TestAnOfferHasABoundedNumberOfRanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHeartbeatRig(t)
@@ -351,7 +351,7 @@
 		rig.heartbeat(t, "i-1", heldUnderFence(0, 99, composeFence(7, 0)))
 		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 0)
 		rig.heartbeat(t, "i-1", append(heldUnderFence(0, 39, composeFence(9, 0)), heldUnderFence(50, 199, composeFence(9, 0))...))
-		time.Sleep(2 * answerValidity)
+		time.Sleep(2 * responseValidity)
 		synctest.Wait()
 		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 1)
 	})
@@ -362,7 +362,7 @@
 		rig := newGrantRig(t)
 		time.Sleep(20 * time.Second)
 		rig.lease(leasedRange(0, 99), nil)
-		rig.holder.setError(errors.New("no answer"))
+		rig.holder.setError(errors.New("no response"))
 		leaseUnderHigherFence(rig)
 		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 0, "the back end still holds it")
 		rig.holder.setError(nil)
--- a/internal/gateway/keyload.go
+++ b/internal/gateway/keyload.go
@@ -28,8 +28,8 @@
 	l.mutex.Unlock()
 }
 
-// addSuccessfulRun counts a successful run. Failed runs are left out, as they may be short because they
-// failed.
+// addSuccessfulRun counts a successful run. Failed runs are left out, as they may be short
+// because they failed.
 func (l *keyLoad) addSuccessfulRun(used time.Duration) {
 	l.mutex.Lock()
 	l.successfulRuns++
--- a/internal/gateway/keyorders_test.go
+++ b/internal/gateway/keyorders_test.go
@@ -13,9 +13,9 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// The configuration changes from grants by heartbeat to grants by call. An answer that offered
-// the keys is still in flight when the release is answered, and is applied after that.
-func TestAReleaseByCallWaitsForAnswersThatOfferedTheKeys(t *testing.T) {
+// The configuration changes from grants by heartbeat to grants by call. A response that offered
+// the keys is still in flight when the release is confirmed, and is applied after that.
+func TestAReleaseByCallWaitsForResponsesThatOfferedTheKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newHandoverRig(t, routeconfig.GrantByHeartbeat)
 		rig.run(6 * time.Second)
@@ -28,14 +28,14 @@
 		rig.silent = true
 		rig.g.Deregister("i-1")
 		rig.run(700 * time.Millisecond)
-		// The answer arrives 0.7 s after the heartbeat was sent.
+		// The response arrives 0.7 s after the heartbeat was sent.
 		rig.holder.set(func() { rig.holder.former.hold(sent, offer.Hold) })
 		rig.run(4 * time.Second)
 	})
 }
 
-// Another incarnation under the same id has sent a heartbeat, and answers the release.
-func TestAReleaseThatIsAnsweredWhileAnotherIncarnationWaitsDoesNotCount(t *testing.T) {
+// Another incarnation under the same id has sent a heartbeat, and responds to the release.
+func TestAReleaseThatIsConfirmedWhileAnotherIncarnationWaitsDoesNotCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newIncarnationRig(t)
 		rig.lease(leasedRange(0, 9), nil)
@@ -46,7 +46,7 @@
 		rig.lease(nil, leasedRange(0, 9))
 		synctest.Wait()
 		assert.Assert(t, !rig.g.keys.allGrantsExpired(steady.Reading()))
-		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 0, "reported as released because of the other incarnation's answer")
+		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 0, "reported as released because of the other incarnation's response")
 	})
 }
 
@@ -71,7 +71,7 @@
 func TestAnEarlierProcessMayHaveOfferedByHeartbeat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newGrantRig(t)
-		offered := keyhold.WithDrift(rig.g.config.HeartbeatInterval + answerValidity)
+		offered := keyhold.WithDrift(rig.g.config.HeartbeatInterval + responseValidity)
 		time.Sleep(offered - 500*time.Millisecond)
 		assert.Assert(t, !rig.g.session.buildReport().EarlierOver, "before the first view: offers last %v", offered)
 		rig.setGrants(routeconfig.GrantByHeartbeat, 1)
@@ -84,7 +84,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		rig := newGrantRig(t)
 		rig.setGrants(routeconfig.GrantByCall, 2)
-		time.Sleep(keyhold.WithDrift(rig.g.config.HeartbeatInterval+answerValidity) - 500*time.Millisecond)
+		time.Sleep(keyhold.WithDrift(rig.g.config.HeartbeatInterval+responseValidity) - 500*time.Millisecond)
 		assert.Assert(t, !rig.g.session.buildReport().EarlierOver)
 	})
 }
@@ -231,10 +231,9 @@
 	})
 }
 
-// A superseding grant of a range to be released is allowed only under leases that say so.
-// Later leases last longer and do not allow it. A superseding grant that was started before
-// the last such lease ended must not be sent after its end: by then the leader has reassigned
-// the range.
+// Some leases allow a superseding grant of a range to be released. Later leases last longer and
+// do not. A superseding grant that was started before the last such lease expired must not be
+// sent after its expiry: by then the leader has reassigned the range.
 func TestASupersedingGrantIsNotSentAfterTheLastLeaseThatAllowsIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newGrantRig(t)
@@ -285,7 +284,7 @@
 // A gateway has restarted while its back end is unreachable and stalled. A grant of the
 // earlier process may be queued, unread, at the back end, even if no lease has listed a range
 // to this process.
-func TestKeysOfABackEndThatNeverAnsweredThisProcessAreNotFreeByExpiryAlone(t *testing.T) {
+func TestKeysOfABackEndThatNeverRespondedToThisProcessAreNotFreeByExpiryAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newIncarnationRig(t)
 		rig.g.registry.markUnreachable("i-1")
@@ -299,7 +298,7 @@
 	})
 }
 
-// Another back end answers at the address and refuses orders for the current one. Its listener
+// Another back end responds at the address and refuses orders for the current one. Its listener
 // does not show that the current one is reachable: when it was taken for that, the two states
 // alternated ten times a second, and each change was sent to every gateway of the fleet.
 func TestABackEndWhoseAddressAnotherOneUsesIsNotReachable(t *testing.T) {
--- a/internal/gateway/keyreleases.go
+++ b/internal/gateway/keyreleases.go
@@ -26,10 +26,10 @@
 }
 
 // startReleases sends the releases that the controller asked for. While one is sent, no grant
-// of its keys and no answer to a heartbeat that offered them may be in flight.
+// of its keys and no response to a heartbeat that offered them may be in flight.
 func (k *grantManager) startReleases(ctx context.Context, now time.Time) {
 	for _, pending := range k.releases {
-		if pending.done || pending.inFlight || now.Before(pending.nextAt) || k.grantInFlight(pending.held) || now.Before(k.answersExpireAt(pending.held)) {
+		if pending.done || pending.inFlight || now.Before(pending.nextAt) || k.grantInFlight(pending.held) || now.Before(k.responsesExpireAt(pending.held)) {
 			continue
 		}
 		if k.fences.hasUnanswered(pending.held.Keys, pending.held.Fence) || !k.confirmedGrantOf(pending.held) {
@@ -62,8 +62,8 @@
 		sent = &grant{Held: pending.held}
 		k.grants[key] = sent
 	}
-	const longest = minGrantDuration + minGrantDuration/10 + grantTimeout
-	if !now.Before(sent.nextAt) && now.Add(longest).Before(pending.supersedeUntil) {
+	const maxGrantTime = minGrantDuration + minGrantDuration/10 + grantTimeout
+	if !now.Before(sent.nextAt) && now.Add(maxGrantTime).Before(pending.supersedeUntil) {
 		k.startGrant(ctx, sent, grantLimits{maxDuration: minGrantDuration, endsBefore: pending.supersedeUntil})
 	}
 }
@@ -99,7 +99,7 @@
 	k.mutex.Lock()
 	pending.inFlight = false
 	if err == nil && (instance != k.instance || k.grantsStopped) {
-		// Another incarnation has sent a heartbeat from the address: the answer may be its
+		// Another incarnation has sent a heartbeat from the address: the response may be its
 		// own.
 		err = errOtherInstance
 	}
@@ -114,6 +114,6 @@
 		k.gateway.config.Log.Info("release not confirmed", "first", pending.held.Keys.First, "last", pending.held.Keys.Last, "error", err)
 		return
 	}
-	k.gateway.recordKeysFree(instance, pending.held.Keys, proofReleaseAnswered)
+	k.gateway.recordKeysFree(instance, pending.held.Keys, proofReleaseConfirmed)
 	k.gateway.session.requestReport()
 }
--- a/internal/gateway/keys.go
+++ b/internal/gateway/keys.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// renewalsPerGrant is the number of renewals within the duration of a grant, so that a few may be
-	// lost.
+	// renewalsPerGrant is the number of renewals within the duration of a grant, so that a few
+	// may be lost.
 	renewalsPerGrant = 4
 	// grantRetryDelay is the pause before a grant that failed is sent again.
 	grantRetryDelay = 150 * time.Millisecond
@@ -27,13 +27,13 @@
 	// cpuQuotaPause is how long a process under a CPU quota may be throttled: the rest of the
 	// scheduler's period of 100 ms (Linux's default of cpu.cfs_period_us).
 	cpuQuotaPause = 100 * time.Millisecond
-	// maxTransitDelay is the longest time between preparing a grant and its arrival at the back end,
-	// and by how much a grant ends before the lease that it rests on. The back end counts the
-	// duration from the arrival, and this process may be stalled before it sends: with
+	// maxTransitDelay is the longest time between preparing a grant and its arrival at the back
+	// end, and by how much a grant ends before the lease that it rests on. The back end counts
+	// the duration from the arrival, and this process may be stalled before it sends: with
 	// hundreds of processes on one machine, for almost a second.
 	maxTransitDelay = time.Second
 	grantTimeout    = 400 * time.Millisecond
-	// releaseTimeout bounds one release call; the back end answers once its work on the keys
+	// releaseTimeout bounds one release call; the back end responds once its work on the keys
 	// has ended.
 	releaseTimeout     = 4 * time.Second
 	releaseRetryDelay  = 200 * time.Millisecond
@@ -60,7 +60,7 @@
 	heldUntil time.Time
 	bound     keyhold.Bound
 	sentAt    time.Time
-	// offeredAt is when an answer to a heartbeat last offered the range.
+	// offeredAt is when a response to a heartbeat last offered the range.
 	offeredAt time.Time
 	// confirmedAt is when the last confirmed grant was sent.
 	confirmedAt time.Time
@@ -70,8 +70,8 @@
 	outlastsLease bool
 	// subFence is the gateway's own part of the last fence that was sent (see composeFence).
 	subFence uint32
-	// unacceptedOffers counts consecutive heartbeats that did not name the range although it had been
-	// offered.
+	// unacceptedOffers counts consecutive heartbeats that did not name the range although it
+	// had been offered.
 	unacceptedOffers int
 }
 
@@ -85,7 +85,7 @@
 	nextAt         time.Time
 	done           bool
 	handover       string
-	// omittedAt is when an answer to a heartbeat first omitted the range, and droppedByBackend
+	// omittedAt is when a response to a heartbeat first omitted the range, and droppedByBackend
 	// is set once a later heartbeat no longer names it.
 	omittedAt        time.Time
 	droppedByBackend bool
@@ -128,8 +128,8 @@
 	fromHeartbeats heartbeatKeys
 	// heartbeatCount counts the accepted heartbeats of all incarnations.
 	heartbeatCount uint64
-	// reportedEarlierExpired is set once the leader was told that earlier incarnations hold
-	// nothing.
+	// reportedEarlierExpired is set once it was reported to the leader that earlier
+	// incarnations hold nothing.
 	reportedEarlierExpired bool
 	earlierIncarnations    earlierIncarnationGrants
 	// grantsStopped is set while another incarnation waits to replace the instance: no further
--- a/internal/gateway/keys_test.go
+++ b/internal/gateway/keys_test.go
@@ -117,7 +117,7 @@
 		rig.lease(leasedRange(0, 99), nil)
 		assert.Assert(t, rig.g.keys.holds("i-1", 5, steady.Reading()))
 		assert.Assert(t, !rig.g.keys.holds("i-1", 100, steady.Reading()))
-		// No further report is answered: the lease and every grant end within it.
+		// No further report gets a response: the lease and every grant end within it.
 		time.Sleep(8 * time.Second)
 		assert.Assert(t, !rig.g.keys.holds("i-1", 5, steady.Reading()))
 		for _, order := range rig.holder.granted() {
@@ -129,7 +129,7 @@
 func TestAnUnconfirmedGrantServesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newGrantRig(t)
-		rig.holder.failWith = errors.New("no answer")
+		rig.holder.failWith = errors.New("no response")
 		rig.lease(leasedRange(0, 99), nil)
 		assert.Assert(t, !rig.g.keys.holds("i-1", 5, steady.Reading()))
 	})
@@ -140,14 +140,14 @@
 func TestAReleasedRangeIsGrantedAgainBeforeItIsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newGrantRig(t)
-		time.Sleep(2 * answerValidity) // an earlier process may have offered by heartbeat
+		time.Sleep(2 * responseValidity) // an earlier process may have offered by heartbeat
 		rig.lease(leasedRange(0, 99), nil)
 		rest := append(leasedRange(0, 39), leasedRange(50, 99)...)
 		rig.lease(rest, releasable(40, 49))
 		assert.Assert(t, !rig.g.keys.holds("i-1", 45, steady.Reading()))
 		assert.Assert(t, rig.g.keys.holds("i-1", 5, steady.Reading()))
 		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 1)
-		rig.holder.setError(errors.New("no answer"))
+		rig.holder.setError(errors.New("no response"))
 		before := len(rig.holder.granted())
 		rig.lease(leasedRange(0, 99), nil)
 		assert.Assert(t, !rig.g.keys.holds("i-1", 45, steady.Reading()), "the old grant does not cover the released range")
@@ -161,7 +161,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		rig := newGrantRig(t)
 		rig.lease(leasedRange(0, 99), nil)
-		rig.holder.setError(errors.New("no answer"))
+		rig.holder.setError(errors.New("no response"))
 		time.Sleep(DefaultKeyHold/renewalsPerGrant + grantCheckInterval)
 		synctest.Wait()
 		rig.lease(leasedRange(0, 39), releasable(40, 99))
@@ -184,7 +184,7 @@
 
 // While there is no contact with a leader, a back end may end and its next incarnation start
 // at the same address. The keys leased to the former one must not be granted to the next.
-func TestTheNextLifeOfABackEndIsNotGrantedTheKeysOfTheLast(t *testing.T) {
+func TestTheNextIncarnationIsNotGrantedTheKeysOfTheLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newGrantRig(t)
 		rig.lease(leasedRange(0, 99), nil)
--- a/internal/gateway/keyunreachable.go
+++ b/internal/gateway/keyunreachable.go
@@ -28,9 +28,9 @@
 	return until.Sub(now), true
 }
 
-// refuseUnadmitted refuses a request for an instance that gets no new requests. If the
-// instance is unreachable and holds the request's key, the refusal says when the key may have
-// another owner.
+// refuseUnadmitted refuses a request for an instance that gets no new requests. If the instance
+// is unreachable and holds the request's key, the refusal reports when the key may have another
+// owner.
 func (g *Gateway) refuseUnadmitted(request *forwardRequest, now time.Time) *forwardResult {
 	if !request.HasKey || !g.registry.unreachable() {
 		return notRun(reasonNotAdmitted)
@@ -44,9 +44,9 @@
 	return refusal
 }
 
-// reportUnreachableFree tells the leader that an unreachable back end holds no keys, once that
-// is certain. The leader may then give the keys to another owner, so leases requested before
-// are ignored. The caller has the mutex.
+// reportUnreachableFree reports to the leader that an unreachable back end holds no keys, once
+// that is certain. The leader may then give the keys to another owner, so leases requested
+// before are ignored. The caller has the mutex.
 func (k *grantManager) reportUnreachableFree(now time.Time) {
 	free := k.allGrantsExpired(now) && !now.Before(k.fences.unreadUntil())
 	free = free && (k.everConfirmed || k.noUnreadOrders(now))
--- a/internal/gateway/keywait_test.go
+++ b/internal/gateway/keywait_test.go
@@ -76,7 +76,7 @@
 		}()
 		assert.Assert(t, rig.g.awaitOwner(t.Context(), "s", 5, "i-1", notRun(reasonNotOwner), until))
 		assert.Equal(t, steady.Elapsed(began), 80*time.Millisecond)
-		// Without a change it is tried again after sameOwnerRetryInterval, but not beyond the
+		// Without a change it is asked again after sameOwnerRetryInterval, but not beyond the
 		// request's deadline.
 		assert.Assert(t, rig.g.awaitOwner(t.Context(), "s", 5, "i-2", notRun(reasonNotOwner), until))
 		assert.Equal(t, steady.Elapsed(began), 80*time.Millisecond+sameOwnerRetryInterval)
--- a/internal/gateway/lateheartbeat_test.go
+++ b/internal/gateway/lateheartbeat_test.go
@@ -33,7 +33,7 @@
 
 // A gateway that has restarted knows the incarnation that the leader knew. The process at the
 // back end's address may be the next one, which must not get the former one's keys.
-func TestARestoredIncarnationIsUnverifiedUntilItAnswers(t *testing.T) {
+func TestARestoredIncarnationIsUnverifiedUntilItResponds(t *testing.T) {
 	g := gatewayWithTwoZones(t)
 	g.config.Service = "s"
 	g.registry = newRegistry(func() {})
@@ -43,7 +43,7 @@
 	g.registry.restore(known, time.Second, steady.Reading())
 	assert.Assert(t, g.identityUnconfirmed())
 	g.registry.verify("i-2")
-	assert.Assert(t, g.identityUnconfirmed(), "another back end has answered")
+	assert.Assert(t, g.identityUnconfirmed(), "another back end has responded")
 	sendHeartbeat(g.registry, "i-1", 10, steady.Reading())
 	assert.Assert(t, !g.identityUnconfirmed())
 	g.registry = newRegistry(func() {})
--- a/internal/gateway/laterequests_test.go
+++ b/internal/gateway/laterequests_test.go
@@ -15,8 +15,8 @@
 
 const testServiceTime = 300 * time.Millisecond
 
-// limiterWithServiceTime returns a slotLimiter with the given number of slots and a known service time of
-// testServiceTime.
+// limiterWithServiceTime returns a slotLimiter with the given number of slots and a known
+// service time of testServiceTime.
 func limiterWithServiceTime(slots int) *slotLimiter {
 	g := newSlotLimiter()
 	g.setCapacity(slots)
@@ -203,7 +203,7 @@
 		const slots, requests = 14, 7200
 		g := limiterWithServiceTime(slots)
 		var mutex sync.Mutex
-		var longest time.Duration
+		var maxWait time.Duration
 		var all sync.WaitGroup
 		for range requests {
 			all.Go(func() {
@@ -215,13 +215,13 @@
 					return
 				}
 				mutex.Lock()
-				longest = max(longest, steady.Elapsed(began))
+				maxWait = max(maxWait, steady.Elapsed(began))
 				mutex.Unlock()
 			})
 			time.Sleep(12 * time.Second / requests)
 		}
 		all.Wait()
-		t.Log(longest)
-		assert.Assert(t, longest <= 2*time.Second, "a refused request had waited for %v", longest)
+		t.Log(maxWait)
+		assert.Assert(t, maxWait <= 2*time.Second, "a refused request had waited for %v", maxWait)
 	})
 }
--- a/internal/gateway/leaderless_test.go
+++ b/internal/gateway/leaderless_test.go
@@ -22,21 +22,21 @@
 // network partition has split in halves.
 type leaderlessControllers struct {
 	addresses []string
-	// standings are those that each controller reports; nil if it cannot tell. A silent
-	// controller does not answer at all.
-	standings []atomic.Pointer[fleetwire.OperatorState]
+	// logStates are those that each controller reports; nil if it cannot determine it. A silent
+	// controller does not respond at all.
+	logStates []atomic.Pointer[fleetwire.OperatorState]
 	silent    []atomic.Bool
 }
 
 func startLeaderlessControllers(t *testing.T, count int) *leaderlessControllers {
 	t.Helper()
-	l := &leaderlessControllers{standings: make([]atomic.Pointer[fleetwire.OperatorState], count), silent: make([]atomic.Bool, count)}
+	l := &leaderlessControllers{logStates: make([]atomic.Pointer[fleetwire.OperatorState], count), silent: make([]atomic.Bool, count)}
 	var voters []topology.ReplicaID
 	for i := range count {
 		voters = append(voters, topology.ReplicaID(i+1))
 	}
 	for i := range count {
-		l.standings[i].Store(&fleetwire.OperatorState{
+		l.logStates[i].Store(&fleetwire.OperatorState{
 			Member: voters[i], Voters: voters, Version: 1, For: configlease.DefaultApplyWithin,
 		})
 		listener, err := transport.Listen("127.0.0.1:0", noTimeouts)
@@ -56,7 +56,7 @@
 		}
 		var hello fleetwire.ToController
 		if conn.Receive(&hello) == nil && !l.silent[i].Load() {
-			_ = conn.Send(fleetwire.FromController{Redirect: &fleetwire.Redirect{Standing: l.standings[i].Load()}})
+			_ = conn.Send(fleetwire.FromController{Redirect: &fleetwire.Redirect{Standing: l.logStates[i].Load()}})
 		}
 		_ = conn.Close()
 	}
@@ -110,32 +110,32 @@
 	}
 }
 
-// The lease must not be extended if too few controllers answer, or if so many may have
+// The lease must not be extended if too few controllers respond, or if so many may have
 // accepted something newer that another configuration may be in force.
 func TestLeaseExpiresIfMajorityMayHaveNewerState(t *testing.T) {
 	t.Parallel()
 	for name, change := range map[string]func(l *leaderlessControllers){
-		"a minority answers": func(l *leaderlessControllers) { l.silent[0].Store(true); l.silent[1].Store(true) },
+		"a minority responds": func(l *leaderlessControllers) { l.silent[0].Store(true); l.silent[1].Store(true) },
 		"two have a newer configuration": func(l *leaderlessControllers) {
-			l.alterStanding(0, func(standing *fleetwire.OperatorState) { standing.Version = 2 })
-			l.alterStanding(1, func(standing *fleetwire.OperatorState) { standing.Version = 2 })
+			l.alterState(0, func(state *fleetwire.OperatorState) { state.Version = 2 })
+			l.alterState(1, func(state *fleetwire.OperatorState) { state.Version = 2 })
 		},
 		"two have a newer evacuation order": func(l *leaderlessControllers) {
-			l.alterStanding(0, func(standing *fleetwire.OperatorState) { standing.EvacuationsIndex = 9 })
-			l.alterStanding(1, func(standing *fleetwire.OperatorState) { standing.EvacuationsIndex = 9 })
+			l.alterState(0, func(state *fleetwire.OperatorState) { state.EvacuationsIndex = 9 })
+			l.alterState(1, func(state *fleetwire.OperatorState) { state.EvacuationsIndex = 9 })
 		},
-		"two report no standing": func(l *leaderlessControllers) { l.standings[0].Store(nil); l.standings[1].Store(nil) },
+		"two report no state": func(l *leaderlessControllers) { l.logStates[0].Store(nil); l.logStates[1].Store(nil) },
 		"they disagree about the voters": func(l *leaderlessControllers) {
-			l.alterStanding(0, func(standing *fleetwire.OperatorState) { standing.Voters = append(slices.Clone(standing.Voters), 4) })
-			l.alterStanding(1, func(standing *fleetwire.OperatorState) { standing.Voters = standing.Voters[:2] })
+			l.alterState(0, func(state *fleetwire.OperatorState) { state.Voters = append(slices.Clone(state.Voters), 4) })
+			l.alterState(1, func(state *fleetwire.OperatorState) { state.Voters = state.Voters[:2] })
 		},
 		"two report the same member": func(l *leaderlessControllers) {
-			l.alterStanding(0, func(standing *fleetwire.OperatorState) { standing.Member = 3 })
-			l.alterStanding(1, func(standing *fleetwire.OperatorState) { standing.Member = 3 })
+			l.alterState(0, func(state *fleetwire.OperatorState) { state.Member = 3 })
+			l.alterState(1, func(state *fleetwire.OperatorState) { state.Member = 3 })
 		},
 		"two are not voters": func(l *leaderlessControllers) {
-			l.alterStanding(0, func(standing *fleetwire.OperatorState) { standing.Member = 8 })
-			l.alterStanding(1, func(standing *fleetwire.OperatorState) { standing.Member = 9 })
+			l.alterState(0, func(state *fleetwire.OperatorState) { state.Member = 8 })
+			l.alterState(1, func(state *fleetwire.OperatorState) { state.Member = 9 })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -150,8 +150,8 @@
 	}
 }
 
-func (l *leaderlessControllers) alterStanding(i int, change func(*fleetwire.OperatorState)) {
-	altered := *l.standings[i].Load()
+func (l *leaderlessControllers) alterState(i int, change func(*fleetwire.OperatorState)) {
+	altered := *l.logStates[i].Load()
 	change(&altered)
-	l.standings[i].Store(&altered)
+	l.logStates[i].Store(&altered)
 }
--- a/internal/gateway/linkadmission_test.go
+++ b/internal/gateway/linkadmission_test.go
@@ -120,7 +120,8 @@
 }
 
 // A burst that the link can send before the callers time out is served late instead of being
-// refused for good: callers that come back as told find capacity behind it.
+// refused for good: callers that come back after their Retry-After time find capacity behind
+// it.
 func TestShortBurstOfLargeResponsesIsServedLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		outcome := linkScenario{rate: 3 * linkCapacity, duration: time.Second, retries: 2}.simulate(t)
--- a/internal/gateway/linkpacer.go
+++ b/internal/gateway/linkpacer.go
@@ -62,7 +62,7 @@
 	return reservation, ok
 }
 
-// settle ends the reservation of admit. Answered says that the response has arrived, with a
+// settle ends the reservation of admit. answered is set if the response has arrived, with a
 // body of the given number of bytes.
 func (p *linkPacer) settle(reservation overload.Reservation, answered bool, bytes int) {
 	p.withLink(func(link *overload.Link, _ time.Time) { link.Release(reservation, answered, bytes) })
@@ -102,8 +102,8 @@
 	return p.copy(ctx, w, bytes.NewReader(body), len(body)) == nil
 }
 
-// copy writes a body of known length while it is being read from the source. It returns
-// the error of the source, the writer or the context that ended it early.
+// copy writes a body of known length while it is being read from the source. It returns the
+// error of the source, the writer or the context that stopped it early.
 func (p *linkPacer) copy(ctx context.Context, w http.ResponseWriter, source io.Reader, length int) error {
 	p.addWaiting(length)
 	defer func() { p.addWaiting(-length) }() // the rest that was not written
--- a/internal/gateway/linkpacer_test.go
+++ b/internal/gateway/linkpacer_test.go
@@ -19,8 +19,8 @@
 	rate   float64
 	mutex  sync.Mutex
 	idleAt time.Time
-	// longestQueue is the longest time that anything had to wait in the link.
-	longestQueue time.Duration
+	// maxQueue is the longest time that anything had to wait in the link.
+	maxQueue time.Duration
 }
 
 func (l *slowLink) send(bytes int) {
@@ -30,7 +30,7 @@
 	if l.idleAt.Before(now) {
 		l.idleAt = now
 	}
-	l.longestQueue = max(l.longestQueue, l.idleAt.Sub(now))
+	l.maxQueue = max(l.maxQueue, l.idleAt.Sub(now))
 	l.idleAt = l.idleAt.Add(time.Duration(float64(bytes) / l.rate * float64(time.Second)))
 }
 
@@ -52,12 +52,12 @@
 // rate, and arrive completely.
 func TestLargeResponsesLeaveLinkFreeForSmallOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const answers, size = 40, 90_000
+		const responses, size = 40, 90_000
 		link := &slowLink{rate: slowLinkRate}
 		pacer := newLinkPacer(slowLinkRate)
 		began := steady.Reading()
 		var all sync.WaitGroup
-		for range answers {
+		for range responses {
 			all.Go(func() {
 				w := &linkWriter{httptest.NewRecorder(), link}
 				pacer.writeBody(t.Context(), w, make([]byte, size))
@@ -68,8 +68,8 @@
 		assert.Assert(t, pacer.backlog() > 3*time.Second, "%v", pacer.backlog())
 		all.Wait()
 		took := steady.Elapsed(began).Seconds()
-		assert.Assert(t, link.longestQueue < 100*time.Millisecond, "a small answer would wait %v", link.longestQueue)
-		assert.Assert(t, took < answers*size/slowLinkRate*1.1, "%.1f s", took)
+		assert.Assert(t, link.maxQueue < 100*time.Millisecond, "a small response would wait %v", link.maxQueue)
+		assert.Assert(t, took < responses*size/slowLinkRate*1.1, "%.1f s", took)
 		assert.Assert(t, pacer.backlog() < 100*time.Millisecond)
 	})
 }
@@ -78,24 +78,24 @@
 // the time.
 func TestLargeResponsesAreSentOneAfterTheOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const answers, size = 20, 90_000
+		const responses, size = 20, 90_000
 		link := &slowLink{rate: slowLinkRate}
 		pacer := newLinkPacer(slowLinkRate)
-		ended := make(chan struct{}, answers)
+		finished := make(chan struct{}, responses)
 		began := steady.Reading()
-		for range answers {
+		for range responses {
 			go func() {
 				pacer.writeBody(t.Context(), &linkWriter{httptest.NewRecorder(), link}, make([]byte, size))
-				ended <- struct{}{}
+				finished <- struct{}{}
 			}()
 		}
-		for range answers / 2 {
-			<-ended
+		for range responses / 2 {
+			<-finished
 		}
-		assert.Assert(t, steady.Elapsed(began).Seconds() < 0.6*answers*size/slowLinkRate*1.1)
+		assert.Assert(t, steady.Elapsed(began).Seconds() < 0.6*responses*size/slowLinkRate*1.1)
 		synctest.Wait()
-		for range answers / 2 {
-			<-ended
+		for range responses / 2 {
+			<-finished
 		}
 	})
 }
--- a/internal/gateway/malformedpeers_test.go
+++ b/internal/gateway/malformedpeers_test.go
@@ -12,12 +12,12 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// answerWithLoad is a peer's answer with a load header.
-func answerWithLoad(load string) *http.Response {
+// responseWithLoad is a peer's response with a load header.
+func responseWithLoad(load string) *http.Response {
 	return &http.Response{StatusCode: http.StatusOK, Header: http.Header{fieldOutcome: {string(outcomeAnswered)}, fieldLoad: {load}}}
 }
 
-// A load header that no gateway writes is ignored: the known load stays, and the answer with
+// A load header that no gateway writes is ignored: the known load stays, and the response with
 // the header is still used.
 func TestMalformedLoadsOfPeersAreIgnored(t *testing.T) {
 	known := peerLoad{running: 3, slots: 18, serviceTime: time.Second}
@@ -29,13 +29,13 @@
 		"01,0,18,1,1,1,1,1", " 1,0,18,1,1,1,1,1",
 	} {
 		p := &peer{load: known}
-		result := decodeResult(answerWithLoad(load), nil)
+		result := decodeResult(responseWithLoad(load), nil)
 		assert.Equal(t, result.Outcome, outcomeAnswered)
 		p.endAttempt(result, steady.Reading())
 		assert.Equal(t, p.load, known, load)
 	}
 	for _, twice := range []string{"1,0,18,1,1,1,1,1", "2,0,18,1,1,1,1,1"} {
-		response := answerWithLoad("1,0,18,1,1,1,1,1")
+		response := responseWithLoad("1,0,18,1,1,1,1,1")
 		response.Header.Add(fieldLoad, twice)
 		assert.Equal(t, decodeResult(response, nil).Load, peerLoad{}, "two load headers")
 	}
@@ -44,7 +44,7 @@
 // The reason of a peer must be one of the known ones, since it becomes the label of a time
 // series.
 func TestUnknownReasonsOfPeersAreReplaced(t *testing.T) {
-	response := answerWithLoad("")
+	response := responseWithLoad("")
 	response.Header.Set(fieldOutcome, string(outcomeNotRun))
 	response.Header.Set(fieldReason, strings.Repeat("x", 4096))
 	result := decodeResult(response, nil)
@@ -52,8 +52,8 @@
 	assert.Equal(t, result.Reason, reasonInterrupted)
 }
 
-// A peer word whose age or validity is out of range is refused and changes nothing.
-func TestPeerWordsWithInvalidTimesAreRefused(t *testing.T) {
+// A relayed state whose age or validity is out of range is refused and changes nothing.
+func TestRelayedStatesWithInvalidTimesAreRefused(t *testing.T) {
 	for _, passed := range []fleetwire.RelayedState{
 		{Age: -time.Hour, For: 2 * time.Second}, {Age: 0, For: -time.Second}, {Age: 0, For: 300 * time.Hour}, {Age: 1<<63 - 1, For: time.Second},
 	} {
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -56,7 +56,7 @@
 	suspendedSeconds prometheus.Counter
 	// noticesSent counts crash notices to other gateways.
 	noticesSent *prometheus.CounterVec
-	// heartbeats counts answers to heartbeats by whether they were delayed.
+	// heartbeats counts responses to heartbeats by whether they were delayed.
 	heartbeats *prometheus.CounterVec
 	unreadable *prometheus.CounterVec
 	// pipelines counts pipelined requests.
@@ -112,8 +112,8 @@
 	m.requests.WithLabelValues(service, string(result), string(cause)).Inc()
 }
 
-// answered counts a finished request and observes its duration.
-func (m *gatewayMetrics) answered(c *call, result *forwardResult, duration time.Duration) {
+// requestFinished counts a finished request and observes its duration.
+func (m *gatewayMetrics) requestFinished(c *call, result *forwardResult, duration time.Duration) {
 	m.request(c.service.Name, result.Outcome, result.Reason)
 	if result.Outcome == outcomeAnswered {
 		m.latency.WithLabelValues(c.service.Name).Observe(duration.Seconds())
@@ -125,7 +125,7 @@
 // Kinds of messages of other processes that could not be used.
 const (
 	unreadableLoad    = "load"
-	unreadableWarmth  = "warmth"
+	unreadableWarmUp  = "warmth"
 	unreadableCrashes = "ends"
 )
 
@@ -139,7 +139,7 @@
 	m.attempts.WithLabelValues(hopPeer, string(result.Outcome), string(result.Reason)).Inc()
 }
 
-// backendAttempt counts an attempt at the back end beside the gateway.
+// backendAttempt counts an attempt at the local back end.
 func (m *gatewayMetrics) backendAttempt(result *forwardResult, waited, used time.Duration) {
 	m.attempts.WithLabelValues(hopBackend, string(result.Outcome), string(result.Reason)).Inc()
 	m.queue.Observe(waited.Seconds())
--- a/internal/gateway/ownerlost_test.go
+++ b/internal/gateway/ownerlost_test.go
@@ -10,9 +10,9 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// A caller is told when the key of an unreachable back end may have another owner: if it asked
-// again earlier, the same gateway could only refuse again.
-func TestARefusalTellsWhenTheKeysOfAnUnreachableOwnerAreFree(t *testing.T) {
+// A refusal reports when the key of an unreachable back end may have another owner: if its
+// caller retried earlier, the same gateway could only refuse again.
+func TestARefusalReportsWhenTheKeysOfAnUnreachableOwnerAreFree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newGrantRig(t)
 		time.Sleep(3 * time.Second)
--- a/internal/gateway/peerrefresh.go
+++ b/internal/gateway/peerrefresh.go
@@ -23,12 +23,12 @@
 // A gateway that has lost contact with the leader requests the leader's state from other
 // gateways, so that it keeps serving callers while only its connection to the controllers is
 // down. The leader does not know about this and does not wait for confirmations from such a
-// gateway. Relayed state is therefore valid only for the time within which the leader promises
-// operators that a change is in force without any confirmation.
+// gateway. Relayed state is therefore valid only for the time within which the leader
+// guarantees operators that a change is in force without any confirmation.
 
 const (
 	// peerRefreshAfter is the age of the last confirmed state from which on other gateways are
-	// asked. At that age the answers to two reports are overdue.
+	// asked. At that age the responses to two reports are overdue.
 	peerRefreshAfter = 1200 * time.Millisecond
 	// peerRefreshInterval is the time between two rounds of requests. peerRefreshFanout is the
 	// number of gateways asked in one round; some of them may be cut off as well.
@@ -41,7 +41,8 @@
 	maxRelayedDuration = time.Hour
 )
 
-// errNoRelayedState is returned if the other gateway has not heard from the leader either.
+// errNoRelayedState is returned if the other gateway has received nothing from the leader
+// either.
 var errNoRelayedState = errors.New("no word of the leader")
 
 // refreshFromPeersLoop requests state from other gateways while the leader is silent.
@@ -56,7 +57,7 @@
 	})
 }
 
-// refreshFromPeers asks several gateways concurrently. It returns once one has answered with
+// refreshFromPeers asks several gateways concurrently. It returns once one has responded with
 // its state or all have failed.
 func (g *Gateway) refreshFromPeers(ctx context.Context) {
 	addresses := g.samplePeers()
@@ -148,7 +149,7 @@
 	return nil
 }
 
-// serveRelayedState answers another gateway's request for the leader's state.
+// serveRelayedState responds to another gateway's request for the leader's state.
 func (g *Gateway) serveRelayedState(w http.ResponseWriter, r *http.Request) {
 	// Read the lease before the view, so that the view contains everything that the lease
 	// covers.
--- a/internal/gateway/peerrefresh_test.go
+++ b/internal/gateway/peerrefresh_test.go
@@ -47,7 +47,7 @@
 }
 
 // State confirmed by the leader is relayed with its age. It is valid for the time within which
-// the leader promises operators that a change is in force.
+// the leader guarantees operators that a change is in force.
 func TestLeaderStateIsRelayedWithItsAge(t *testing.T) {
 	g := gatewayWithTwoZones(t)
 	grantedAt := steady.Reading()
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -29,7 +29,7 @@
 	loadMaxAge = 2 * time.Second
 )
 
-// peerLoad is the load that a gateway reports of the back end beside it.
+// peerLoad is the load that a gateway reports of its local back end.
 type peerLoad struct {
 	running, waiting, slots int
 	// serviceTime is the average time that a request occupies a slot, and shortServiceTime that of
@@ -73,7 +73,7 @@
 	pool *upstream.Pool
 
 	mutex sync.Mutex
-	// pending is the number of requests that were sent there and are not answered yet.
+	// pending is the number of requests that were sent there and have no response yet.
 	// pendingAtReport is its value when load was reported.
 	pending         int
 	pendingAtReport int
@@ -147,9 +147,9 @@
 	return max(p.load.linkBacklog-now.Sub(p.loadReportedAt), 0)
 }
 
-// expectedSeconds estimates the duration of a request at the peer, in seconds. avoided is set if the
-// peer failed recently. The estimate decreases with the age of the last report, so that a back
-// end that was slow is tried again.
+// expectedSeconds estimates the duration of a request at the peer, in seconds. avoided is set
+// if the peer failed recently. The estimate decreases with the age of the last report, so that
+// a back end that was slow gets requests again.
 func (p *peer) expectedSeconds(target time.Duration, now time.Time) (seconds float64, avoided bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -195,14 +195,14 @@
 	switch {
 	case result.Outcome == outcomeAnswered && result.Status < http.StatusInternalServerError:
 		p.failures = 0
-	case result.Reason == reasonUnreachable || result.Reason == reasonInterrupted || result.Reason == reasonBackendTerminated || result.Reason == reasonTimeout:
+	case result.Reason == reasonUnreachable || result.Reason == reasonInterrupted || result.Reason == reasonBackendCrashed || result.Reason == reasonTimeout:
 		penalty := min(initialPenalty<<min(p.failures, 8), maxPenalty)
 		p.failures++
 		p.avoidUntil = now.Add(penalty)
 	}
 }
 
-// send forwards an attempt to a peer, for the back end beside it.
+// send forwards an attempt to a peer, for its local back end.
 func (p *peer) send(ctx context.Context, request *forwardRequest) *forwardResult {
 	if p.pool == nil {
 		return notRun(reasonUnreachable)
--- a/internal/gateway/peerserver.go
+++ b/internal/gateway/peerserver.go
@@ -10,8 +10,7 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// peerHandler handles the requests that other gateways forward to the back end beside this
-// one.
+// peerHandler handles the requests that other gateways forward to the local back end.
 func (g *Gateway) peerHandler(w http.ResponseWriter, r *http.Request) {
 	g.activePeers.Add(1)
 	defer g.activePeers.Add(-1)
@@ -20,7 +19,7 @@
 		g.serveRelayedState(w, r)
 		return
 	}
-	if r.Header.Get(fieldReportsTerminations) != "" {
+	if r.Header.Get(fieldReportsCrashes) != "" {
 		g.receiveCrashes(w, r)
 		return
 	}
@@ -75,8 +74,8 @@
 	return g.pacer.writeBody(ctx, w, body)
 }
 
-// writeResponseHeader writes the header of a response whose body has the given length. Before a large
-// body it waits until the earlier responses on the connection have been written.
+// writeResponseHeader writes the header of a response whose body has the given length. Before a
+// large body it waits until the earlier responses on the connection have been written.
 func writeResponseHeader(ctx context.Context, w http.ResponseWriter, status, length int) {
 	header := w.Header()
 	if _, ok := header["Content-Type"]; !ok {
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -20,9 +20,9 @@
 	// and maxTrialWait the upper bound.
 	trialWaitShare = 0.5
 	maxTrialWait   = time.Second
-	// heldBackRetryAfter is the retry time sent with the refusal of a request that has no
+	// quarantineRetryAfter is the retry time sent with the refusal of a request that has no
 	// trial left.
-	heldBackRetryAfter = 20 * time.Second
+	quarantineRetryAfter = 20 * time.Second
 	// expectedCrashLifetime is how long a request stays suspected if its caller's gateway is
 	// the first to learn that a back end crashed during it. The notice of the crash arrives
 	// within that time.
@@ -45,8 +45,8 @@
 	notSuspected suspicion = iota
 	// trialOnly means that the request may run only by a trial.
 	trialOnly
-	// heldBack means that no trial is left.
-	heldBack
+	// quarantined means that no trial is left.
+	quarantined
 )
 
 // quarantineTracker is the gateway's part of the quarantine. The zero value is ready to use.
@@ -89,7 +89,7 @@
 	}
 	switch {
 	case known && suspect.Held():
-		return heldBack
+		return quarantined
 	case known || k.hasUnconfirmed(digest):
 		return trialOnly
 	}
@@ -184,7 +184,7 @@
 func (k *quarantineTracker) recordTrialEnd(ended trial, result *forwardResult) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	k.queueTrialEnd(quarantine.Over{Request: ended.digest, Number: ended.number, Sent: result.Sent, Failed: result.Reason == reasonBackendTerminated})
+	k.queueTrialEnd(quarantine.Over{Request: ended.digest, Number: ended.number, Sent: result.Sent, Failed: result.Reason == reasonBackendCrashed})
 }
 
 // queueTrialEnd queues the end of a trial for the next report to the leader. The caller must
@@ -196,8 +196,8 @@
 	k.endedTrials[trial{end.Request, end.Number}] = end
 }
 
-// recordAnswer records a complete response to a suspected request.
-func (k *quarantineTracker) recordAnswer(digest quarantine.Digest, v *view) {
+// recordResponse records a complete response to a suspected request.
+func (k *quarantineTracker) recordResponse(digest quarantine.Digest, v *view) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if k.answeredSuspects == nil {
@@ -287,9 +287,9 @@
 		switch g.quarantine.suspicionOf(suspect, v) {
 		case notSuspected:
 			return 0, nil
-		case heldBack:
+		case quarantined:
 			refusal = notRun(reasonQuarantined)
-			refusal.RetryAfter = heldBackRetryAfter
+			refusal.RetryAfter = quarantineRetryAfter
 			return 0, refusal
 		case trialOnly:
 		}
@@ -316,8 +316,8 @@
 	g.session.requestReport()
 }
 
-// blocksSuspect reports whether a request must not go to the back end beside this gateway
-// because it is suspected and the gateway of its caller did not know.
+// blocksSuspect reports whether a request must not go to the local back end because it is
+// suspected and the gateway of its caller did not know.
 func (g *Gateway) blocksSuspect(request *forwardRequest) bool {
 	if request.Trial != 0 {
 		return false
@@ -326,14 +326,14 @@
 	return g.quarantine.suspects(v) && g.quarantine.suspicionOf(request.digest(), v) != notSuspected
 }
 
-// clearAnsweredSuspect clears a suspected request that got a complete response. The digest is computed
-// only if any request is suspected.
+// clearAnsweredSuspect clears a suspected request that got a complete response. The digest is
+// computed only if any request is suspected.
 func (g *Gateway) clearAnsweredSuspect(digest func() quarantine.Digest) {
 	v := g.views.load()
 	if !g.quarantine.suspects(v) || g.quarantine.suspicionOf(digest(), v) == notSuspected {
 		return
 	}
-	g.quarantine.recordAnswer(digest(), v)
+	g.quarantine.recordResponse(digest(), v)
 	g.session.requestReport()
 }
 
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -57,12 +57,12 @@
 	return hops, &runs
 }
 
-// A suspect without a trial must be stopped by either gateway: the one beside its caller or,
-// if that one does not know of the suspicion, the one beside the back end.
+// A suspect without a trial must be stopped by either gateway: its caller's local gateway or,
+// if that one does not know of the suspicion, the back end's local gateway.
 func TestSuspectWithoutTrialIsStoppedByEitherGateway(t *testing.T) {
 	for name, informed := range map[string]func(*twoHops) *Gateway{
-		"beside the caller":   func(h *twoHops) *Gateway { return h.near },
-		"beside the back end": func(h *twoHops) *Gateway { return h.far },
+		"of the caller":   func(h *twoHops) *Gateway { return h.near },
+		"of the back end": func(h *twoHops) *Gateway { return h.far },
 	} {
 		t.Run(name, func(t *testing.T) {
 			hops, runs := startCountingHops(t)
@@ -167,15 +167,15 @@
 		keyed  bool
 		want   bool
 	}{
-		"alone":            {result: forwardResult{Reason: reasonBackendTerminated, RequestsRunning: 1}, want: true},
-		"one of many":      {result: forwardResult{Reason: reasonBackendTerminated, RequestsRunning: 2}},
-		"on trial":         {result: forwardResult{Reason: reasonBackendTerminated, RequestsRunning: 2}, trial: 4, want: true},
-		"with a key":       {result: forwardResult{Reason: reasonBackendTerminated, RequestsRunning: 9}, keyed: true, want: true},
+		"alone":            {result: forwardResult{Reason: reasonBackendCrashed, RequestsRunning: 1}, want: true},
+		"one of many":      {result: forwardResult{Reason: reasonBackendCrashed, RequestsRunning: 2}},
+		"on trial":         {result: forwardResult{Reason: reasonBackendCrashed, RequestsRunning: 2}, trial: 4, want: true},
+		"with a key":       {result: forwardResult{Reason: reasonBackendCrashed, RequestsRunning: 9}, keyed: true, want: true},
 		"connection broke": {result: forwardResult{Reason: reasonInterrupted}, keyed: true},
-		"number unknown":   {result: forwardResult{Reason: reasonBackendTerminated}, want: true},
+		"number unknown":   {result: forwardResult{Reason: reasonBackendCrashed}, want: true},
 	} {
 		c := &call{service: &routeconfig.Service{Keyed: test.keyed}}
-		assert.Equal(t, finalAfterTermination(c, &test.result, test.trial), test.want, name)
+		assert.Equal(t, finalAfterCrash(c, &test.result, test.trial), test.want, name)
 	}
 }
 
--- a/internal/gateway/registration.go
+++ b/internal/gateway/registration.go
@@ -15,7 +15,7 @@
 	Service string
 	Slots   int
 	State   fleetwire.InstanceState
-	// WarmupLeft is the remaining time of its warmup after the start.
+	// WarmupLeft is the remaining time of its warm-up after the start.
 	WarmupLeft time.Duration
 	// Sequence increases with each heartbeat of an incarnation, so that a delayed one is
 	// recognized.
@@ -34,9 +34,9 @@
 	deregistered bool
 	// refusesFrom is the time from which a draining back end gets no new requests.
 	refusesFrom time.Time
-	// endedIncarnations has the incarnations that were replaced, or deregistered while another
+	// formerIncarnations has the incarnations that were replaced, or deregistered while another
 	// one was current.
-	endedIncarnations map[string]bool
+	formerIncarnations map[string]bool
 	// heartbeatInterval is the longest time between two heartbeats of an incarnation, and
 	// lastHeartbeatAt the arrival of the current one's last heartbeat.
 	heartbeatInterval time.Duration
@@ -47,42 +47,42 @@
 	// candidate is an incarnation that sends heartbeats besides the current one and is not
 	// accepted yet.
 	candidate candidate
-	// stopGrants is called, without the mutex, before another incarnation replaces a former one.
-	// It reports whether every grant to the former one has expired; if not, grants to it stop,
-	// and retry is called once they have expired.
+	// stopGrants is called, without the mutex, before another incarnation replaces a former
+	// one. It reports whether every grant to the former one has expired; if not, grants to it
+	// stop, and retryCandidate is called once they have expired.
 	stopGrants func(former string, now time.Time) bool
 	// onReplaced is called, without the mutex, after another incarnation has replaced one that
 	// had not announced its stop.
 	onReplaced func(former string)
-	// leaderAnswered reports whether the leader has answered this process, which then knows
-	// the incarnation that the leader knew; retry is called once it has.
-	leaderAnswered func() bool
+	// leaderResponded reports whether the leader has responded to this process, which then
+	// knows the incarnation that the leader knew; retryCandidate is called once it has.
+	leaderResponded func() bool
 	// reportedState is the state that the current instance last reported.
 	reportedState fleetwire.InstanceState
-	// otherAtAddress is set if another back end has answered at the address since the last
+	// otherAtAddress is set if another back end has responded at the address since the last
 	// heartbeat of the current instance.
 	otherAtAddress bool
 	// reprobe is called, without the mutex, when an unreachable instance sends a heartbeat.
 	reprobe func(instance string)
-	// unheardIntervals counts the intervals since the last contact with the current instance.
-	unheardIntervals int
+	// missedIntervals counts the intervals since the last contact with the current instance.
+	missedIntervals int
 	// onChange is called after each change, without the mutex.
 	onChange func()
-	// onWarmup is called, with the mutex, for each heartbeat with the remaining warmup time of the
-	// current instance, before requests are admitted because of it; fresh is set for the first
-	// heartbeat of an incarnation.
-	onWarmup func(left time.Duration, fresh bool)
+	// onWarmUp is called, with the mutex, for each heartbeat with the remaining warm-up time of
+	// the current instance, before requests are admitted because of it; fresh is set for the
+	// first heartbeat of an incarnation.
+	onWarmUp func(left time.Duration, fresh bool)
 }
 
 func newRegistry(changed func()) *registry {
 	return &registry{
-		endedIncarnations: map[string]bool{},
-		onChange:          changed,
-		onWarmup:          func(time.Duration, bool) {},
-		reprobe:           func(string) {},
-		stopGrants:        func(string, time.Time) bool { return true },
-		onReplaced:        func(string) {},
-		leaderAnswered:    func() bool { return true },
+		formerIncarnations: map[string]bool{},
+		onChange:           changed,
+		onWarmUp:           func(time.Duration, bool) {},
+		reprobe:            func(string) {},
+		stopGrants:         func(string, time.Time) bool { return true },
+		onReplaced:         func(string) {},
+		leaderResponded:    func() bool { return true },
 	}
 }
 
@@ -145,8 +145,8 @@
 		r.startIncarnation(registration)
 	}
 	r.lastHeartbeatAt, r.unverified, r.otherAtAddress = now, false, false
-	r.onWarmup(registration.WarmupLeft, fresh)
-	r.unheardIntervals = 0
+	r.onWarmUp(registration.WarmupLeft, fresh)
+	r.missedIntervals = 0
 	r.current.Sequence = registration.Sequence
 	r.current.Slots = registration.Slots
 	if r.deregistered {
@@ -166,7 +166,7 @@
 // startIncarnation starts a new incarnation of the back end.
 func (r *registry) startIncarnation(registration Registration) {
 	if r.current.ID != "" {
-		r.endedIncarnations[r.current.ID] = true
+		r.formerIncarnations[r.current.ID] = true
 	}
 	r.deregistered, r.candidate = false, candidate{}
 	r.refusesFrom = time.Time{}
@@ -191,7 +191,7 @@
 	r.mutex.Lock()
 	known := id != "" && (id == r.current.ID || id == incarnation.IDOf(r.current.ID))
 	if !known {
-		r.endedIncarnations[id] = true
+		r.formerIncarnations[id] = true
 	}
 	if known && !r.deregistered {
 		r.deregistered = true
@@ -207,7 +207,7 @@
 	r.onChange()
 }
 
-// markDisplaced records that another back end has answered at an instance's address.
+// markDisplaced records that another back end has responded at an instance's address.
 func (r *registry) markDisplaced(instance string) {
 	r.mutex.Lock()
 	r.otherAtAddress = r.otherAtAddress || instance == r.current.ID
@@ -215,8 +215,8 @@
 	r.markUnreachable(instance)
 }
 
-// markUnreachable records that an instance is unreachable. It gets no new requests until it is reached
-// again.
+// markUnreachable records that an instance is unreachable. It gets no new requests until it is
+// reached again.
 func (r *registry) markUnreachable(instance string) {
 	r.mutex.Lock()
 	known := instance != "" && instance == r.current.ID && r.current.State != fleetwire.InstanceGone
@@ -229,9 +229,9 @@
 	}
 }
 
-// markReachable records that a process listens at an instance's address. An unreachable instance
-// becomes reachable again, unless another incarnation has sent heartbeats or answered there.
-// Its former keys may have been assigned to another owner.
+// markReachable records that a process listens at an instance's address. An unreachable
+// instance becomes reachable again, unless another incarnation has sent heartbeats or responded
+// there. Its former keys may have been assigned to another owner.
 func (r *registry) markReachable(instance string) {
 	r.mutex.Lock()
 	again := instance == r.current.ID && r.current.State == fleetwire.InstanceGone && r.reportedState != 0 && !r.candidate.waiting && !r.otherAtAddress
@@ -281,7 +281,7 @@
 	}
 }
 
-// verify records that the back end itself has answered under an id. The answer may come from
+// verify records that the back end itself has responded under an id. The response may come from
 // another incarnation with the same id, which gets the grants meant for the current one until
 // its own heartbeat is accepted.
 func (r *registry) verify(id string) {
--- a/internal/gateway/releasereport_test.go
+++ b/internal/gateway/releasereport_test.go
@@ -12,7 +12,7 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// leaseRequestedAt applies a lease that answers a report sent at the given time.
+// leaseRequestedAt applies a lease that responds to a report sent at the given time.
 func (r *grantRig) leaseRequestedAt(requestedAt time.Duration, held, release []fleetwire.Held) {
 	r.g.keys.applyLease(&fleetwire.Lease{SentAt: requestedAt, Duration: 8 * time.Second, Instance: "i-1", Held: held, Release: release}, r.epoch)
 	time.Sleep(grantCheckInterval)
@@ -22,7 +22,7 @@
 // reportRelease has a range released and reported, and returns when it was last reported.
 func (r *grantRig) reportRelease(t *testing.T) (reportedAt time.Duration) {
 	t.Helper()
-	time.Sleep(2 * answerValidity)
+	time.Sleep(2 * responseValidity)
 	r.lease(leasedRange(0, 99), nil)
 	r.lease(leasedRange(0, 39), releasable(40, 99))
 	reportedAt = steady.Elapsed(r.epoch)
@@ -75,7 +75,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		rig := newGrantRig(t)
 		assert.Assert(t, !rig.g.keys.earlierProcessExpiresAt().Before(rig.g.keys.started.Add(keyhold.WithDrift(DefaultKeyHold+maxTransitDelay))))
-		assert.Assert(t, !rig.g.keys.earlierProcessExpiresAt().Before(rig.g.keys.started.Add(keyhold.WithDrift(DefaultHeartbeatInterval+answerValidity))))
+		assert.Assert(t, !rig.g.keys.earlierProcessExpiresAt().Before(rig.g.keys.started.Add(keyhold.WithDrift(DefaultHeartbeatInterval+responseValidity))))
 		time.Sleep(steady.Until(rig.g.keys.earlierProcessExpiresAt()) - time.Millisecond)
 		assert.Assert(t, !rig.g.session.buildReport().EarlierOver)
 		time.Sleep(time.Millisecond)
--- a/internal/gateway/comeback_test.go
+++ b/internal/gateway/retryafter_test.go
@@ -14,8 +14,8 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// refuseRequests refuses requests at a rate per second for a time and returns the wait that
-// the last one was told.
+// refuseRequests refuses requests at a rate per second for a time and returns the Retry-After
+// time of the last one.
 func refuseRequests(g *slotLimiter, rate float64, duration time.Duration) (last time.Duration) {
 	for began := steady.Reading(); steady.Elapsed(began) < duration; {
 		last = g.retryAfter(time.Second)
@@ -36,8 +36,8 @@
 	})
 }
 
-// The wait told to a caller may exceed the time that the caller would have waited, up to a
-// limit: a shorter wait would bring it back to be refused again.
+// The Retry-After time of a caller may exceed the time that the caller would have waited, up to
+// a limit: a shorter time would bring it back to be refused again.
 func TestRetryAfterIsNotShortenedBelowItsLimit(t *testing.T) {
 	full := notRun(reasonNoSlot)
 	full.RetryAfter = 12 * time.Second
@@ -46,7 +46,7 @@
 	assert.Equal(t, retryAfter(full), maxRetryAfter)
 }
 
-// The wait that the back end's gateway tells reaches a caller of another gateway.
+// The Retry-After time that the back end's gateway sends reaches a caller of another gateway.
 func TestRetryAfterReachesTheCallerOfAnotherGateway(t *testing.T) {
 	hops := startTwoHops(t, twoHopsConfig{repetition: routeconfig.Repeatable, timeout: 20 * time.Second}, http.HandlerFunc(serveComplete))
 	full := hops.far.slots
--- a/internal/gateway/runtracker.go
+++ b/internal/gateway/runtracker.go
@@ -10,9 +10,9 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// This file tracks the requests that the back end beside the gateway is processing, and which
-// of them were interrupted when it crashed. A refused connection is taken as the sign of a
-// crash. If that is wrong, each of these requests needs a trial before it may run again.
+// This file tracks the requests that the local back end is processing, and which of them were
+// interrupted when it crashed. A refused connection is taken as the sign of a crash. If that is
+// wrong, each of these requests needs a trial before it may run again.
 
 const (
 	// brokenRunWindow is how long before the detection of a crash a connection may have broken
@@ -50,8 +50,8 @@
 	inProgress  int
 }
 
-// runTracker tracks the requests in progress at the back end beside the gateway. The zero
-// value is ready to use.
+// runTracker tracks the requests in progress at the local back end. The zero value is ready to
+// use.
 type runTracker struct {
 	mutex  sync.Mutex
 	runs   map[*forwardRequest]struct{}
--- a/internal/gateway/runtracker_test.go
+++ b/internal/gateway/runtracker_test.go
@@ -43,7 +43,7 @@
 	b.CloseClientConnections()
 }
 
-// startEgress returns the egress of a gateway beside a back end with incarnation "i".
+// startEgress returns the egress of a gateway whose local back end has incarnation "i".
 func startEgress(t *testing.T, address string) *egress {
 	t.Helper()
 	g, err := Start(Config{Name: "n", Zone: "a", Service: "s", CallerListen: freeAddress(t), PeerListen: freeAddress(t), BackendAddress: address, Headers: testHeaders()})
@@ -81,7 +81,7 @@
 	for range 2 {
 		result := <-results
 		assert.Equal(t, result.Outcome, outcomeUnknown)
-		assert.Equal(t, result.Reason, reasonBackendTerminated)
+		assert.Equal(t, result.Reason, reasonBackendCrashed)
 	}
 	inProgress, crashed := e.gateway.runs.crashed("i")
 	assert.Assert(t, crashed)
@@ -100,7 +100,7 @@
 	results = serveAll(ctx, e, "/b")
 	<-backend.started
 	cancel()
-	assert.Assert(t, (<-results).Reason != reasonBackendTerminated)
+	assert.Assert(t, (<-results).Reason != reasonBackendCrashed)
 	_, crashed := e.gateway.runs.crashed("i")
 	assert.Assert(t, !crashed)
 }
--- a/internal/gateway/session.go
+++ b/internal/gateway/session.go
@@ -22,7 +22,7 @@
 	// sessionIdleTimeout is how long a session may receive nothing before it is closed.
 	sessionIdleTimeout = 1600 * time.Millisecond
 	sessionDialTimeout = 500 * time.Millisecond
-	// sessionRetryDelay is the pause after all known controllers have been tried.
+	// sessionRetryDelay is the pause after all known controllers have been dialed.
 	sessionRetryDelay = 100 * time.Millisecond
 	// After a leader fails, the gateways reopen their sessions spread over reconnectDelayPerGateway
 	// for each gateway of the fleet: a session costs the next leader about 0.5 ms of a full
@@ -30,9 +30,10 @@
 	// well within a lease (keylease.DefaultLeaseDuration).
 	reconnectDelayPerGateway = 3 * time.Millisecond
 	maxReconnectDelay        = 1500 * time.Millisecond
-	// firstMessageBase is how long a controller may take to answer when a session is opened,
-	// plus reconnectDelayPerGateway for each gateway that may connect at the same time. It covers
-	// several round trips between zones. A controller that hangs does not answer at all.
+	// firstMessageBase is how long a controller may take to respond when a session is opened,
+	// plus reconnectDelayPerGateway for each gateway that may connect at the same time. It
+	// covers several round trips between zones. A controller that hangs does not respond at
+	// all.
 	firstMessageBase = 400 * time.Millisecond
 	// maxRedirects bounds the redirects followed from one address of the list.
 	maxRedirects = 4
@@ -50,14 +51,14 @@
 	confirmRequests chan struct{}
 	// receivedView reports whether the last session delivered a view.
 	receivedView bool
-	// leaderHeardAt is when the last message of the leader arrived, in nanoseconds since
+	// lastLeaderMessageAt is when the last message of the leader arrived, in nanoseconds since
 	// started.
-	leaderHeardAt      atomic.Int64
-	configurationLease configurationLease
-	// standings and extendedByMajority are used only by the goroutine that maintains the
+	lastLeaderMessageAt atomic.Int64
+	configurationLease  configurationLease
+	// logStates and extendedByMajority are used only by the goroutine that maintains the
 	// session. extendedByMajority is set once a majority of the controllers has extended the
 	// configuration lease since a leader last delivered a view.
-	standings          configlease.LogStates
+	logStates          configlease.LogStates
 	extendedByMajority bool
 }
 
@@ -72,15 +73,15 @@
 	}
 }
 
-// heardFromLeader reports whether the leader has answered a report of this process.
-func (s *sessionClient) heardFromLeader() bool { return s.configurationLease.heardLeader() }
+// receivedResponse reports whether the leader has responded to a report of this process.
+func (s *sessionClient) receivedResponse() bool { return s.configurationLease.grantedByLeader() }
 
 // now reads the clock that timestamps in reports refer to.
 func (s *sessionClient) now() time.Duration { return steady.Elapsed(s.started) }
 
 // leaderSilence returns the time since the last message of the leader.
 func (s *sessionClient) leaderSilence(now time.Time) time.Duration {
-	return now.Sub(s.started) - time.Duration(s.leaderHeardAt.Load())
+	return now.Sub(s.started) - time.Duration(s.lastLeaderMessageAt.Load())
 }
 
 // requestReport asks the session to send the state of this process immediately.
@@ -155,7 +156,7 @@
 }
 
 // exchangeMessages runs one session. It returns the redirect that the controller sent, or the
-// error that ended the session.
+// error that closed the session.
 func (s *sessionClient) exchangeMessages(ctx context.Context, address string) (*fleetwire.Redirect, error) {
 	dialContext, cancelDial := context.WithTimeout(ctx, sessionDialTimeout)
 	conn, err := transport.Dial(dialContext, address, transport.Options{WriteTimeout: time.Second, IdleTimeout: s.firstMessageTimeout()})
@@ -183,14 +184,14 @@
 		if err := conn.Receive(&message); err != nil {
 			return nil, err
 		}
-		s.controllers.markHeard(address)
+		s.controllers.markResponsive(address)
 		conn.SetIdleTimeout(sessionIdleTimeout)
 		if message.Redirect != nil {
-			s.recordStanding(message.Redirect.Standing, requestedAt)
+			s.recordLogState(message.Redirect.Standing, requestedAt)
 			return message.Redirect, nil
 		}
 		silence := s.leaderSilence(steady.Reading())
-		s.leaderHeardAt.Store(int64(s.now()))
+		s.lastLeaderMessageAt.Store(int64(s.now()))
 		hadView := s.receivedView
 		if err := s.take(&message); err != nil {
 			return nil, err
@@ -228,7 +229,7 @@
 		s.requestReport()
 	}
 	if message.Lease != nil {
-		firstLease := !s.heardFromLeader()
+		firstLease := !s.receivedResponse()
 		// The lease must be extended last, since it covers the view that was applied above.
 		s.configurationLease.take(message.Lease, s.started)
 		g.keys.applyLease(message.Lease, s.started)
@@ -282,10 +283,10 @@
 	}
 }
 
-// awaitNextReport blocks until the next report is due. It returns false if the session is
-// over. While it waits it sends the confirmations that a pending operator request needs. All
-// gateways confirm at the same moment, and a separate confirmation costs the leader a fraction
-// of a report and its answer.
+// awaitNextReport blocks until the next report is due. It returns false if the session is over.
+// While it waits it sends the confirmations that a pending operator request needs. All gateways
+// confirm at the same moment, and a separate confirmation costs the leader a fraction of a
+// report and its response.
 func (s *sessionClient) awaitNextReport(ctx context.Context, conn *transport.Conn, due <-chan time.Time) (ok bool) {
 	for {
 		select {
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -10,9 +10,8 @@
 	// probeAfterIntervals is the number of intervals without contact after which the gateway
 	// probes whether the back end's process is still there: a single heartbeat may be late.
 	probeAfterIntervals = 2
-	// silentAfterIntervals is the number after which the leader is told that the back end is
-	// silent. It was set when grants lasted about as long at most, so that a back end that
-	// returned earlier had not lost its keys.
+	// silentAfterIntervals is the number after which the back end is reported to the leader as
+	// silent.
 	silentAfterIntervals = 4
 )
 
@@ -26,27 +25,27 @@
 // checkSilence counts one interval, and probes or reports the back end after too many without
 // contact.
 func (g *Gateway) checkSilence() {
-	instance, unheard := g.registry.countInterval()
-	if instance == "" || unheard < probeAfterIntervals {
+	instance, missed := g.registry.countInterval()
+	if instance == "" || missed < probeAfterIntervals {
 		return
 	}
 	g.probeBackend(instance)
-	if unheard == silentAfterIntervals {
-		g.config.Log.Warn("back end is silent", "instance", instance, "intervals", unheard, "interval_ms", g.config.HeartbeatInterval.Milliseconds())
+	if missed == silentAfterIntervals {
+		g.config.Log.Warn("back end is silent", "instance", instance, "intervals", missed, "interval_ms", g.config.HeartbeatInterval.Milliseconds())
 		g.session.requestReport()
 	}
 }
 
 // countInterval counts an interval without contact with the current instance, and returns
 // their number; the instance is empty if none is known or it is unreachable.
-func (r *registry) countInterval() (instance string, unheard int) {
+func (r *registry) countInterval() (instance string, missed int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.current.ID == "" || r.current.State == fleetwire.InstanceGone {
 		return "", 0
 	}
-	r.unheardIntervals++
-	return r.current.ID, r.unheardIntervals
+	r.missedIntervals++
+	return r.current.ID, r.missedIntervals
 }
 
 // recordContact records contact with the back end other than a heartbeat.
@@ -54,7 +53,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if instance == r.current.ID {
-		r.unheardIntervals = 0
+		r.missedIntervals = 0
 	}
 }
 
@@ -63,5 +62,5 @@
 func (r *registry) silent() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.unheardIntervals >= silentAfterIntervals
+	return r.missedIntervals >= silentAfterIntervals
 }
--- a/internal/gateway/silence_test.go
+++ b/internal/gateway/silence_test.go
@@ -11,11 +11,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// newSilenceRig returns a rig whose back end has ended: nothing listens at its address.
+// newSilenceRig returns a rig whose back end has crashed: nothing listens at its address.
 func newSilenceRig(t *testing.T, grants routeconfig.GrantMode) *grantRig {
 	rig := newGrantRig(t)
 	rig.setGrants(grants, 1)
-	rig.holder.setError(errors.New("no answer"))
+	rig.holder.setError(errors.New("no response"))
 	rig.g.config.BackendAddress = freeAddress(t)
 	go rig.g.watchSilence(t.Context())
 	return rig
@@ -40,7 +40,7 @@
 	}
 }
 
-// A back end that is stalled sends no heartbeats but has not ended, and one that can't reach
+// A back end that is stalled sends no heartbeats but has not crashed, and one that can't reach
 // the gateway may still accept grants by call.
 func TestABackEndIsSilentUntilAHeartbeatOrAConfirmedGrant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -53,7 +53,7 @@
 		assert.Assert(t, rig.g.session.buildReport().Silent)
 		rig.lease(leasedRange(0, 99), nil)
 		assert.Assert(t, !rig.g.session.buildReport().Silent, "it has confirmed a grant")
-		rig.holder.setError(errors.New("no answer"))
+		rig.holder.setError(errors.New("no response"))
 		for range silentAfterIntervals {
 			rig.g.registry.countInterval()
 		}
--- a/internal/gateway/silentleader_test.go
+++ b/internal/gateway/silentleader_test.go
@@ -24,7 +24,7 @@
 )
 
 const (
-	// applyWithin is promised to operators: this long after a configuration was acknowledged,
+	// applyWithin is guaranteed to operators: this long after a configuration was acknowledged,
 	// no request is routed by the one that it replaced.
 	applyWithin = 2 * time.Second
 	// waitTimeout bounds each wait for a condition.
@@ -154,7 +154,7 @@
 	return s
 }
 
-// startGateway starts a gateway with a back end beside it.
+// startGateway starts a gateway and its local back end.
 func (s *leaderTest) startGateway(name, caller, controller string) *Gateway {
 	s.t.Helper()
 	backend := httptest.NewServer(http.HandlerFunc(serveComplete))
@@ -229,10 +229,10 @@
 // A configuration was acknowledged to the operator, but more than 2 s later two gateways still
 // routed by the one before it: "handled by version 72 or older; version 74 was acked more than
 // 2000 ms before". The leader that had accepted the earlier one hung. The next leader accepted
-// the change at 65.046 s, and gateways that had waited 1.6 s for the hung leader waited as
-// long again, until 67.06 s. Only the sum of such timeouts bounded the time for which a
-// gateway routes by its last configuration, so any process that hangs for longer broke the
-// promise. In this test the gateway does not receive the removal of a route.
+// the change at 65.046 s, and gateways that had waited 1.6 s for the hung leader waited as long
+// again, until 67.06 s. Only the sum of such timeouts bounded the time for which a gateway
+// routes by its last configuration, so any process that hangs for longer broke the guarantee.
+// In this test the gateway does not receive the removal of a route.
 func TestReplacedConfigurationIsNotUsedWhileLeaderHangs(t *testing.T) {
 	t.Parallel()
 	s := startLeaderTest(t)
--- a/internal/gateway/state_test.go
+++ b/internal/gateway/state_test.go
@@ -26,7 +26,8 @@
 	assert.Equal(t, v.load().owners["s"].Find(1).Owner, "new")
 }
 
-// A new leader has not heard from all gateways yet, so the known instances stay in use.
+// A new leader has not received reports from all gateways yet, so the known instances stay in
+// use.
 func TestIncompleteViewKeepsOtherInstances(t *testing.T) {
 	v := newViewStore()
 	listing := func(complete bool, ids ...string) *fleetwire.View {
@@ -58,7 +59,7 @@
 	assert.Assert(t, !r.admits("a", now.Add(time.Second)), "refused after the drain")
 	r.heartbeat(registration("b", 1, fleetwire.InstanceReady), time.Second, now)
 	r.heartbeat(registration("a", 9, fleetwire.InstanceReady), time.Second, now)
-	assert.Equal(t, r.snapshot().ID, "b", "the earlier incarnation has ended")
+	assert.Equal(t, r.snapshot().ID, "b", "the earlier incarnation has been replaced")
 	assert.Assert(t, r.admits("b", now.Add(time.Hour)))
 }
 
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -103,9 +103,9 @@
 	assert.Equal(t, pool.Stats().Open, 0)
 }
 
-// While a back end runs a request of another gateway, it makes calls of its own through the
-// gateway beside it. A planned stop must close the listener for callers after the one for
-// other gateways, so that those calls are served.
+// While a back end runs a request of another gateway, it makes calls of its own through its
+// local gateway. A planned stop must close the listener for callers after the one for other
+// gateways, so that those calls are served.
 func TestStoppingGatewayServesCallsOfRunningRequests(t *testing.T) {
 	t.Parallel()
 	var hops *twoHops
@@ -157,9 +157,9 @@
 	assert.NilError(t, <-stopped)
 }
 
-// A request of a caller of the stopping gateway itself runs at the back end beside it, which
-// may still make calls through the listener for callers. The listener must stay open until no
-// such request is in progress. The request ends by its deadline, well before the stop does.
+// A request of a caller of the stopping gateway itself runs at its local back end, which may
+// still make calls through the listener for callers. The listener must stay open until no such
+// request is in progress. The request ends by its deadline, well before the stop does.
 func TestCallerListenerStaysOpenForOwnCallersRequests(t *testing.T) {
 	t.Parallel()
 	running := make(chan struct{})
@@ -169,7 +169,7 @@
 		close(running)
 		<-r.Context().Done()
 	}))
-	hops.caller = hops.farCaller // received by the gateway beside the back end
+	hops.caller = hops.farCaller // received by the back end's local gateway
 	request := hops.request(t.Context(), t, "r1")
 	answered := make(chan error, 1)
 	go func() {
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -7,10 +7,10 @@
 	"sync"
 )
 
-// The caller's gateway streams large responses: buffering a response of 90 KB completely
-// before passing it on would add 60 ms per hop over a link of 12 Mbit/s. The gateway beside
-// the back end has the whole response before it sends the first byte, and sends its length,
-// so that a truncated response is always detected.
+// The caller's gateway streams large responses: buffering a response of 90 KB completely before
+// passing it on would add 60 ms per hop over a link of 12 Mbit/s. The back end's local gateway
+// has the whole response before it sends the first byte, and sends its length, so that a
+// truncated response is always detected.
 
 // responseStream is the body of a response that is being received. It is received as fast as
 // it arrives, however slowly the caller reads: a slow caller would otherwise occupy the link
@@ -53,7 +53,7 @@
 	_, _ = s.body.Read(make([]byte, 1))
 }
 
-// advance records received bytes, or the error that ended receiving, and wakes readers.
+// advance records received bytes, or the error that stopped receiving, and wakes readers.
 func (s *responseStream) advance(count int, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -24,7 +24,7 @@
 	_, _ = w.Write(largeBody)
 }
 
-// A caller that reads slowly delays only its own response: the gateway beside the back end
+// A caller that reads slowly delays only its own response: the back end's local gateway
 // finishes sending long before.
 func TestSlowReaderDoesNotDelaySender(t *testing.T) {
 	hops := startTwoHops(t, twoHopsConfig{repetition: routeconfig.RepeatableTransfer, timeout: 10 * time.Second}, http.HandlerFunc(serveLarge))
--- a/internal/gateway/lives.go
+++ b/internal/gateway/successor.go
@@ -24,12 +24,12 @@
 // candidate is an incarnation that has sent heartbeats while another one is the current one.
 type candidate struct {
 	id string
-	// sequence and firstHeardAt are those of its first heartbeat since the last one of the
+	// sequence and firstReceivedAt are those of its first heartbeat since the last one of the
 	// current incarnation.
-	sequence     uint64
-	firstHeardAt time.Time
+	sequence        uint64
+	firstReceivedAt time.Time
 	// waiting is set if its newest heartbeat, kept in registration and drainWithin, is to be
-	// tried again (registry.retry).
+	// retried (registry.retryCandidate).
 	waiting      bool
 	registration Registration
 	drainWithin  time.Duration
@@ -49,11 +49,11 @@
 	if now.Sub(r.lastHeartbeatAt) >= intervals(silentIntervals) || registration.Sequence <= firstHeartbeats && (unreachable || draining) {
 		return true
 	}
-	if r.candidate.id != registration.ID || !r.lastHeartbeatAt.Before(r.candidate.firstHeardAt) {
-		r.candidate = candidate{id: registration.ID, sequence: registration.Sequence, firstHeardAt: now}
+	if r.candidate.id != registration.ID || !r.lastHeartbeatAt.Before(r.candidate.firstReceivedAt) {
+		r.candidate = candidate{id: registration.ID, sequence: registration.Sequence, firstReceivedAt: now}
 		return false
 	}
-	return registration.Sequence > r.candidate.sequence && now.Sub(r.candidate.firstHeardAt) >= intervals(soleIntervals)
+	return registration.Sequence > r.candidate.sequence && now.Sub(r.candidate.firstReceivedAt) >= intervals(soleIntervals)
 }
 
 // accept reports whether a heartbeat is accepted as one of the current incarnation or of its
@@ -64,7 +64,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	switch {
-	case r.endedIncarnations[registration.ID]:
+	case r.formerIncarnations[registration.ID]:
 		return "", false
 	case registration.ID == r.current.ID:
 		if registration.Sequence <= r.current.Sequence {
@@ -72,7 +72,7 @@
 		}
 		r.candidate = candidate{}
 		return "", true
-	case r.current.ID == "" && registration.Sequence > firstHeartbeats && !r.leaderAnswered():
+	case r.current.ID == "" && registration.Sequence > firstHeartbeats && !r.leaderResponded():
 		// It may be delayed, or come from another sender. If it were accepted, the leader
 		// would reassign the keys of the incarnation that it knows.
 		r.candidate = candidate{id: registration.ID, waiting: true, registration: registration, drainWithin: drainWithin}
@@ -93,8 +93,8 @@
 	return r.candidate.waiting
 }
 
-// retryCandidate retries a heartbeat that had to wait until the grants of the former incarnation
-// expired, or until the leader told which incarnation it knew.
+// retryCandidate retries a heartbeat that had to wait until the grants of the former
+// incarnation expired, or until the leader has reported which incarnation it knew.
 func (r *registry) retryCandidate(now time.Time) {
 	r.mutex.Lock()
 	candidate := r.candidate
--- a/internal/gateway/lives_test.go
+++ b/internal/gateway/successor_test.go
@@ -15,7 +15,7 @@
 )
 
 // Incarnations under one id. The clock of the back end has jumped back between them, so that
-// their start times say nothing about their order.
+// their start times do not show their order.
 var (
 	formerIncarnation = incarnation.Incarnation{ID: "i-1", Born: 2000}.Name()
 	nextIncarnation   = incarnation.Incarnation{ID: "i-1", Born: 1000}.Name()
@@ -37,7 +37,7 @@
 	connectionRefused = "connection refused"
 	deregistered      = "deregistered"
 	gatewayRestarts   = "gateway restarts"
-	leaderAnswers     = "leader answers"
+	leaderResponds    = "leader responds"
 )
 
 func (e incarnationEvent) apply(r *registry, now time.Time) *registry {
@@ -49,7 +49,7 @@
 	case gatewayRestarts:
 		r = newRegistry(func() {})
 		r.heartbeatInterval = heartbeatInterval
-	case leaderAnswers:
+	case leaderResponds:
 		r.restore(fleetwire.Instance{ID: e.incarnation, Service: "s", State: fleetwire.InstanceReady, Sequence: e.sequence}, time.Second, now)
 	default:
 		sendHeartbeat(r, e.incarnation, e.sequence, now)
@@ -83,16 +83,16 @@
 			{after: 3, incarnation: formerIncarnation, sequence: 42},
 		}},
 		"a late heartbeat of the former incarnation, to a gateway that restarted": {want: nextIncarnation, events: []incarnationEvent{
-			{incarnation: nextIncarnation, sequence: 5}, {event: gatewayRestarts}, {incarnation: nextIncarnation, sequence: 5, event: leaderAnswers},
+			{incarnation: nextIncarnation, sequence: 5}, {event: gatewayRestarts}, {incarnation: nextIncarnation, sequence: 5, event: leaderResponds},
 			{after: 0.2, incarnation: formerIncarnation, sequence: 40}, {after: 0.1, incarnation: formerIncarnation, sequence: 41},
 			{after: 0.2, incarnation: nextIncarnation, sequence: 6}, {after: 0.8, incarnation: formerIncarnation, sequence: 42}, {after: 0.2, incarnation: nextIncarnation, sequence: 7},
 		}},
 		"a first heartbeat of the former incarnation, late": {want: nextIncarnation, events: []incarnationEvent{
-			{incarnation: nextIncarnation, sequence: 5}, {event: gatewayRestarts}, {incarnation: nextIncarnation, sequence: 5, event: leaderAnswers},
+			{incarnation: nextIncarnation, sequence: 5}, {event: gatewayRestarts}, {incarnation: nextIncarnation, sequence: 5, event: leaderResponds},
 			{after: 0.2, incarnation: formerIncarnation, sequence: 1}, {after: 0.2, incarnation: nextIncarnation, sequence: 6},
 		}},
 		"a first heartbeat of an earlier incarnation under another id, late, to a gateway that restarted": {want: nextIncarnation, events: []incarnationEvent{
-			{incarnation: nextIncarnation, sequence: 5}, {event: gatewayRestarts}, {incarnation: nextIncarnation, sequence: 5, event: leaderAnswers},
+			{incarnation: nextIncarnation, sequence: 5}, {event: gatewayRestarts}, {incarnation: nextIncarnation, sequence: 5, event: leaderResponds},
 			{after: 0.2, incarnation: otherIncarnation, sequence: 1}, {after: 0.7, incarnation: nextIncarnation, sequence: 6}, {after: 0.1, incarnation: otherIncarnation, sequence: 2},
 			{after: 0.8, incarnation: nextIncarnation, sequence: 7},
 		}},
@@ -113,7 +113,7 @@
 			{incarnation: formerIncarnation, sequence: 40}, {after: 0.4, incarnation: nextIncarnation, sequence: 1}, {after: 1, incarnation: nextIncarnation, sequence: 1},
 		}},
 		"a restarted gateway and the next incarnation": {want: nextIncarnation, events: []incarnationEvent{
-			{event: gatewayRestarts}, {incarnation: formerIncarnation, sequence: 40, event: leaderAnswers},
+			{event: gatewayRestarts}, {incarnation: formerIncarnation, sequence: 40, event: leaderResponds},
 			{after: 0.5, incarnation: nextIncarnation, sequence: 7}, {after: 1, incarnation: nextIncarnation, sequence: 8},
 		}},
 		"a late heartbeat of the former incarnation that arrives first": {want: nextIncarnation, events: []incarnationEvent{
@@ -174,9 +174,9 @@
 }
 
 // Another incarnation at the address does not prove the end of the former one, which may only
-// have closed its listener, and no answer from there shortens the time of the former one's
-// grants: the other one also receives renewals meant for the former one. The leader is told of
-// it once those grants have expired.
+// have closed its listener, and no response from there shortens the time of the former one's
+// grants: the other one also receives renewals meant for the former one. The other one is
+// reported to the leader once those grants have expired.
 func TestTheNextIncarnationIsReportedOnceTheFormerOnesGrantsExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newIncarnationRig(t)
@@ -197,8 +197,8 @@
 	})
 }
 
-// The next incarnation is accepted although renewals were not answered. The former one may
-// still apply such a renewal, so that its keys are free only once it can't any more.
+// The next incarnation is accepted although renewals got no response. The former one may still
+// apply such a renewal, so that its keys are free only once it can't any more.
 func TestUnansweredGrantsDelayTheFormerIncarnationsKeysButNotTheNextIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newIncarnationRig(t)
@@ -260,24 +260,24 @@
 	})
 }
 
-// slowHolder answers grants only when the test tells it to.
+// slowHolder responds to grants only when the test lets it.
 type slowHolder struct {
 	fakeHolder
-	called, answer chan struct{}
+	called, respond chan struct{}
 }
 
 func (h *slowHolder) Grant(context.Context, GrantOrder) error {
 	h.called <- struct{}{}
-	<-h.answer
+	<-h.respond
 	return errInvalidResponse
 }
 
-// A grant in flight when its incarnation becomes unreachable may still be applied. The leader
-// is told that the keys are free once it can't be any more.
+// A grant in flight when its incarnation becomes unreachable may still be applied. The keys are
+// reported to the leader as free once it can't be any more.
 func TestKeysOfAnUnreachableIncarnationAreFreeOnceNoGrantIsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newIncarnationRig(t)
-		holder := &slowHolder{called: make(chan struct{}, 1), answer: make(chan struct{})}
+		holder := &slowHolder{called: make(chan struct{}, 1), respond: make(chan struct{})}
 		rig.g.config.Keys = holder
 		rig.lease(leasedRange(0, 9), nil)
 		<-holder.called
@@ -287,10 +287,10 @@
 		ended := rig.g.registry.snapshot()
 		assert.Equal(t, ended.State, fleetwire.InstanceGone, "it gets no new requests")
 		assert.Assert(t, !ended.Released)
-		close(holder.answer)
+		close(holder.respond)
 		time.Sleep(maxGrantDelay - grantCheckInterval)
 		synctest.Wait()
-		assert.Assert(t, !rig.g.registry.snapshot().Released, "the grant had no answer")
+		assert.Assert(t, !rig.g.registry.snapshot().Released, "the grant had no response")
 		time.Sleep(3 * grantCheckInterval)
 		synctest.Wait()
 		assert.Assert(t, rig.g.registry.snapshot().Released)
@@ -327,11 +327,11 @@
 	})
 }
 
-// A gateway that had restarted accepted a heartbeat of another sender as its back end's,
-// before it knew any incarnation or configuration. The leader reassigned the keys of the
-// incarnation that it knew while that one held them: "side-7-0 and side-12-0 both hold keys of
-// 16384 to 17671". So the gateway waits for the leader to tell the incarnation that it knew,
-// unless an incarnation has just started.
+// A gateway that had restarted accepted a heartbeat of another sender as its back end's, before
+// it knew any incarnation or configuration. The leader reassigned the keys of the incarnation
+// that it knew while that one held them: "side-7-0 and side-12-0 both hold keys of 16384 to
+// 17671". So the gateway waits for the leader to report the incarnation that it knew, unless an
+// incarnation has just started.
 func TestAGatewayThatKnowsNoIncarnationWaitsForTheLeader(t *testing.T) {
 	for name, test := range map[string]struct {
 		known, want string
@@ -344,7 +344,7 @@
 			answered := false
 			r := newRegistry(func() {})
 			r.heartbeatInterval = heartbeatInterval
-			r.leaderAnswered = func() bool { return answered }
+			r.leaderResponded = func() bool { return answered }
 			now := steady.Reading()
 			sendHeartbeat(r, formerIncarnation, 40, now)
 			assert.Equal(t, r.snapshot().ID, "")
@@ -357,7 +357,7 @@
 		})
 	}
 	r := newRegistry(func() {})
-	r.leaderAnswered = func() bool { return false }
+	r.leaderResponded = func() bool { return false }
 	sendHeartbeat(r, nextIncarnation, 1, steady.Reading())
 	assert.Equal(t, r.snapshot().ID, nextIncarnation, "an incarnation that has just started")
 }
--- a/internal/gateway/summary.go
+++ b/internal/gateway/summary.go
@@ -9,7 +9,7 @@
 // summaryInterval is how often a gateway logs a summary of its attempts.
 const summaryInterval = time.Second
 
-// attemptCounters counts attempts at the back end beside the gateway since the last summary.
+// attemptCounters counts attempts at the local back end since the last summary.
 type attemptCounters struct {
 	answered, failed, refusedByGateway, refusedByBackend, unknown atomic.Int64
 	// waitMicros and runMicros are the total times for which attempts waited for a slot and
@@ -41,7 +41,7 @@
 }
 
 func (g *Gateway) writeSummary() {
-	t := &g.tally
+	t := &g.attemptCounters
 	answered, failed, unknown := t.answered.Swap(0), t.failed.Swap(0), t.unknown.Swap(0)
 	refusedByGateway, refusedByBackend := t.refusedByGateway.Swap(0), t.refusedByBackend.Swap(0)
 	waited, used := t.waitMicros.Swap(0), t.runMicros.Swap(0)
--- a/internal/gateway/twohops_test.go
+++ b/internal/gateway/twohops_test.go
@@ -35,8 +35,8 @@
 	return listener.Addr().String()
 }
 
-// twoHops are a gateway beside the caller and one beside a back end that know each other
-// without a controller.
+// twoHops are the local gateways of a caller and of a back end that know each other without a
+// controller.
 type twoHops struct {
 	near, far *Gateway
 	// caller and farCaller are the addresses for callers' requests of near and far.
@@ -195,8 +195,8 @@
 	assert.Equal(t, arrived, 0)
 }
 
-// A request that its back end does not answer ends at its route's timeout, and the response
-// does not claim that it has not run.
+// A request to which its back end does not respond ends at its route's timeout, and the
+// response does not claim that it has not run.
 func TestRouteTimeoutDoesNotClaimNotRun(t *testing.T) {
 	hops := startTwoHops(t, twoHopsConfig{timeout: 100 * time.Millisecond}, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
--- a/internal/gateway/unresponsive_test.go
+++ b/internal/gateway/unresponsive_test.go
@@ -13,7 +13,7 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// unresponsiveHolder is a back end that answers no grant or release order until the test is
+// unresponsiveHolder is a back end that responds to no grant or release order until the test is
 // over, even if the caller gives up.
 type unresponsiveHolder struct {
 	called   chan struct{}
@@ -38,7 +38,7 @@
 	return "", nil
 }
 
-// Stop waits for the key goroutine, which must end even if the back end never answers an
+// Stop waits for the key goroutine, which must end even if the back end never responds to an
 // order.
 func TestKeyGoroutineEndsDespiteUnresponsiveBackend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/gateway/view_test.go
+++ b/internal/gateway/view_test.go
@@ -53,7 +53,7 @@
 	assert.Equal(t, len(v.load().byID), 2)
 }
 
-// A new leader does not hear from a gateway that cannot reach it, although the back end of
+// A new leader receives nothing from a gateway that cannot reach it, although the back end of
 // that gateway still owns keys under a running lease.
 func TestOwnerUnknownToNewLeaderKeepsItsKeys(t *testing.T) {
 	v := newViewStore()
--- a/internal/gateway/warmup.go
+++ b/internal/gateway/warmup.go
@@ -14,16 +14,16 @@
 	"github.com/quartzdock/quartzdock/internal/overload"
 )
 
-// A cold back end can serve a few requests a second and fails above that. The gateway beside
-// it is its only sender, so it enforces the warm-up rate exactly. It reports the rate to the
-// other gateways and the cold state to the leader, which take them into account.
+// A cold back end can serve a few requests a second and fails above that. Its local gateway is
+// its only sender, so it enforces the warm-up rate exactly. It reports the rate to the other
+// gateways and the cold state to the leader, which take them into account.
 
 const (
-	// warmupCheckInterval is how often it is checked whether the back end has warmed up or
+	// warmUpCheckInterval is how often it is checked whether the back end has warmed up or
 	// should be probed: a fraction of the seconds for which a back end is cold.
-	warmupCheckInterval = 100 * time.Millisecond
-	// warmupProbeTimeout bounds one probe. Back ends answer on their health path at once.
-	warmupProbeTimeout = 300 * time.Millisecond
+	warmUpCheckInterval = 100 * time.Millisecond
+	// warmUpProbeTimeout bounds one probe. Back ends respond on their health path at once.
+	warmUpProbeTimeout = 300 * time.Millisecond
 	// maxHealthBody bounds how much of a health response's body is read. Its content is
 	// ignored.
 	maxHealthBody = 64 << 10
@@ -32,11 +32,11 @@
 // errDuplicateField means that a header field of the response occurs more than once.
 var errDuplicateField = errors.New("duplicate header field")
 
-// errOtherInstance means that another instance of the back end has answered.
-var errOtherInstance = errors.New("another instance answered")
+// errOtherInstance means that another instance of the back end has responded.
+var errOtherInstance = errors.New("another instance responded")
 
-// configureWarmup applies the warm-up rate and period of the back end's service.
-func (g *slotLimiter) configureWarmup(perSecond float64, length time.Duration) {
+// configureWarmUp applies the warm-up rate and period of the back end's service.
+func (g *slotLimiter) configureWarmUp(perSecond float64, length time.Duration) {
 	g.withQueue(func(queue *overload.SlotQueue, _ time.Time) { queue.ConfigureWarmUp(perSecond, length) })
 }
 
@@ -45,62 +45,62 @@
 	g.withQueue(func(queue *overload.SlotQueue, now time.Time) { queue.SuspectCold(now) })
 }
 
-// updateWarmupFromHeartbeat applies a heartbeat's report of how much longer the back end is cold; fresh
-// says that it is the first heartbeat of an incarnation.
-func (g *slotLimiter) updateWarmupFromHeartbeat(left time.Duration, fresh bool) {
+// updateWarmUpFromHeartbeat applies a heartbeat's report of how much longer the back end is
+// cold; fresh is set if it is the first heartbeat of an incarnation.
+func (g *slotLimiter) updateWarmUpFromHeartbeat(left time.Duration, fresh bool) {
 	g.withQueue(func(queue *overload.SlotQueue, now time.Time) { queue.WarmUpFromHeartbeat(left, fresh, now) })
 }
 
-// updateWarmupFromProbe applies the back end's answer to a probe: how much longer it is cold.
-func (g *slotLimiter) updateWarmupFromProbe(left time.Duration) {
+// updateWarmUpFromProbe applies the back end's response to a probe: how much longer it is cold.
+func (g *slotLimiter) updateWarmUpFromProbe(left time.Duration) {
 	g.withQueue(func(queue *overload.SlotQueue, now time.Time) { queue.WarmUpFromAnswer(left, now) })
 }
 
-// warmupState reports whether the back end is treated as cold, and whether it should be probed.
-func (g *slotLimiter) warmupState() (cold, probe bool) {
+// warmUpState reports whether the back end is treated as cold, and whether it should be probed.
+func (g *slotLimiter) warmUpState() (cold, probe bool) {
 	g.withQueue(func(queue *overload.SlotQueue, now time.Time) { cold, probe = queue.WarmUpState(now) })
 	return cold, probe
 }
 
-// hasWarmupCapacity reports whether a request that arrived now could run without waiting for
+// hasWarmUpCapacity reports whether a request that arrived now could run without waiting for
 // the warm-up rate.
-func (g *slotLimiter) hasWarmupCapacity() (available bool) {
+func (g *slotLimiter) hasWarmUpCapacity() (available bool) {
 	g.withQueue(func(queue *overload.SlotQueue, now time.Time) { available = queue.AdmitsNow(now) })
 	return available
 }
 
-// monitorWarmup checks the warm-up state regularly.
-func (g *Gateway) monitorWarmup(ctx context.Context) {
-	runEvery(ctx, warmupCheckInterval, func() { g.checkWarmup(ctx) })
+// monitorWarmUp checks the warm-up state regularly.
+func (g *Gateway) monitorWarmUp(ctx context.Context) {
+	runEvery(ctx, warmUpCheckInterval, func() { g.checkWarmUp(ctx) })
 }
 
-// checkWarmup probes the back end if it is unknown whether it is cold, and reports a changed
+// checkWarmUp probes the back end if it is unknown whether it is cold, and reports a changed
 // state to the leader. In an evacuated zone nothing is probed: the back end may turn cold
 // again just before it gets requests.
-func (g *Gateway) checkWarmup(ctx context.Context) {
+func (g *Gateway) checkWarmUp(ctx context.Context) {
 	v := g.views.load()
 	if v.evacuated(g.config.Zone) {
 		g.slots.assumeCold()
-	} else if _, probe := g.slots.warmupState(); probe {
-		if err := g.probeWarmup(ctx, v); err != nil {
-			g.metrics.countUnreadable(unreadableWarmth)
+	} else if _, probe := g.slots.warmUpState(); probe {
+		if err := g.probeWarmUp(ctx, v); err != nil {
+			g.metrics.countUnreadable(unreadableWarmUp)
 			g.config.Log.Info("warm-up probe of the back end failed", "error", err)
 		}
 	}
-	cold, _ := g.slots.warmupState()
+	cold, _ := g.slots.warmUpState()
 	if g.registry.setCold(cold) {
 		g.instanceChanged()
 	}
 }
 
-// probeWarmup asks the back end's health path how much longer the back end is cold.
-func (g *Gateway) probeWarmup(ctx context.Context, v *view) error {
+// probeWarmUp asks the back end's health path how much longer the back end is cold.
+func (g *Gateway) probeWarmUp(ctx context.Context, v *view) error {
 	instance := g.registry.snapshot()
 	service := v.service(g.config.Service)
 	if instance.ID == "" || instance.State == fleetwire.InstanceGone || service == nil || service.HealthPath == "" {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, warmupProbeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, warmUpProbeTimeout)
 	defer cancel()
 	names := &g.config.Headers
 	header := http.Header{"User-Agent": {""}}
@@ -117,30 +117,30 @@
 	if len(response.Header.Values(names.InstanceID)) > 1 || len(response.Header.Values(names.WarmupLeft)) > 1 {
 		return errDuplicateField
 	}
-	answeredBy := response.Header.Get(names.InstanceID)
-	if answeredBy != "" && answeredBy != incarnation.IDOf(instance.ID) {
+	respondedBy := response.Header.Get(names.InstanceID)
+	if respondedBy != "" && respondedBy != incarnation.IDOf(instance.ID) {
 		return errOtherInstance
 	}
-	if answeredBy != "" && !g.registry.verified() {
-		g.registry.verify(answeredBy)
+	if respondedBy != "" && !g.registry.verified() {
+		g.registry.verify(respondedBy)
 		g.keys.signal()
 	}
 	text := response.Header.Get(names.WarmupLeft)
 	if text == "" && response.StatusCode == http.StatusOK {
-		g.slots.updateWarmupFromProbe(0)
+		g.slots.updateWarmUpFromProbe(0)
 		return nil
 	}
 	left, ok := parseMilliseconds(text)
 	if !ok {
 		return fmt.Errorf("%s: %.64q is not a number of milliseconds", names.WarmupLeft, text)
 	}
-	g.slots.updateWarmupFromProbe(left)
+	g.slots.updateWarmUpFromProbe(left)
 	return nil
 }
 
-// identityUnconfirmed reports whether the back end may be another incarnation than the one that the
-// leader knew when this process started. Such a back end is granted no keys: the leader
-// would not know which incarnation holds them. A probe's answer or the first heartbeat
+// identityUnconfirmed reports whether the back end may be another incarnation than the one that
+// the leader knew when this process started. Such a back end is granted no keys: the leader
+// would not know which incarnation holds them. A probe's response or the first heartbeat
 // settles it.
 func (g *Gateway) identityUnconfirmed() bool {
 	service := g.views.load().service(g.config.Service)
@@ -152,10 +152,10 @@
 // end that got no requests for a while is cold.
 func (g *Gateway) prepareView(before, after *view) {
 	if service := after.service(g.config.Service); service != nil {
-		g.slots.configureWarmup(service.WarmupRate, service.Warmup)
+		g.slots.configureWarmUp(service.WarmupRate, service.Warmup)
 	}
 	if before.version() != after.version() {
-		g.firstTries.follow(after)
+		g.firstAttempts.follow(after)
 	}
 	if before.table == nil || before.evacuationsIndex != after.evacuationsIndex {
 		g.slots.assumeCold()
--- a/internal/gateway/warmup_test.go
+++ b/internal/gateway/warmup_test.go
@@ -25,8 +25,8 @@
 func coldLimiter(left time.Duration) *slotLimiter {
 	g := newSlotLimiter()
 	g.setCapacity(18)
-	g.configureWarmup(coldRate, coldPeriod)
-	g.updateWarmupFromHeartbeat(left, true)
+	g.configureWarmUp(coldRate, coldPeriod)
+	g.updateWarmUpFromHeartbeat(left, true)
 	return g
 }
 
@@ -58,24 +58,24 @@
 	return times
 }
 
-// maxPerSecond returns the most of the given sorted times that are within one second.
+// maxPerSecond returns the highest number of the given sorted times within one second.
 func maxPerSecond(times []time.Time) int {
-	most, first := 0, 0
+	highest, first := 0, 0
 	for last := range times {
 		for times[last].Sub(times[first]) > time.Second {
 			first++
 		}
-		most = max(most, last-first+1)
+		highest = max(highest, last-first+1)
 	}
-	return most
+	return highest
 }
 
 // A cold back end that gets more requests than it can serve fails and restarts cold.
-func TestColdBackendIsLimitedToWarmupRate(t *testing.T) {
+func TestColdBackendIsLimitedToWarmUpRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		times := flood(t, coldLimiter(coldPeriod), coldPeriod)
-		most := maxPerSecond(times)
-		assert.Assert(t, float64(most) <= maxColdRequests, "%d in a second", most)
+		highest := maxPerSecond(times)
+		assert.Assert(t, float64(highest) <= maxColdRequests, "%d in a second", highest)
 		assert.Assert(t, float64(len(times)) >= 0.9*coldRate*coldPeriod.Seconds(), "%d in all", len(times))
 	})
 }
@@ -91,7 +91,7 @@
 }
 
 // A request that would wait too long for the warm-up rate is refused at once.
-func TestRequestBeyondWarmupRateIsRefusedAtOnce(t *testing.T) {
+func TestRequestBeyondWarmUpRateIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := coldLimiter(time.Minute)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -111,25 +111,25 @@
 
 // A gateway that has just started does not know whether the back end is cold and probes it.
 // Until then it applies the warm-up rate.
-func TestRestartedGatewayProbesWarmupState(t *testing.T) {
-	answers := map[string]struct {
-		answer string
-		cold   bool
+func TestRestartedGatewayProbesWarmUpState(t *testing.T) {
+	responses := map[string]struct {
+		response string
+		cold     bool
 	}{
-		"cold":             {"HTTP/1.1 200 OK\r\nAnswered-By: i-1\r\nCold-Ms: 2500\r\nContent-Length: 0\r\n\r\n", true},
-		"warm":             {"HTTP/1.1 200 OK\r\nAnswered-By: i-1\r\nCold-Ms: 0\r\nContent-Length: 0\r\n\r\n", false},
-		"says nothing":     {"HTTP/1.1 200 OK\r\nAnswered-By: i-1\r\nContent-Length: 0\r\n\r\n", false},
-		"another instance": {"HTTP/1.1 200 OK\r\nAnswered-By: i-2\r\nCold-Ms: 0\r\nContent-Length: 0\r\n\r\n", true},
-		"not a time":       {"HTTP/1.1 200 OK\r\nAnswered-By: i-1\r\nCold-Ms: soon\r\nContent-Length: 0\r\n\r\n", true},
-		"two times":        {"HTTP/1.1 200 OK\r\nAnswered-By: i-1\r\nCold-Ms: 0\r\nCold-Ms: 2500\r\nContent-Length: 0\r\n\r\n", true},
-		"two instances":    {"HTTP/1.1 200 OK\r\nAnswered-By: i-1\r\nAnswered-By: i-2\r\nCold-Ms: 0\r\nContent-Length: 0\r\n\r\n", true},
-		"beyond its range": {"HTTP/1.1 200 OK\r\nAnswered-By: i-1\r\nCold-Ms: 99999999999999999999\r\nContent-Length: 0\r\n\r\n", true},
-		"below zero":       {"HTTP/1.1 200 OK\r\nAnswered-By: i-1\r\nCold-Ms: -1\r\nContent-Length: 0\r\n\r\n", true},
-		"fails":            {"HTTP/1.1 503 X\r\nAnswered-By: i-1\r\nContent-Length: 0\r\n\r\n", true},
+		"cold":                 {"HTTP/1.1 200 OK\r\nAnswered-By: i-1\r\nCold-Ms: 2500\r\nContent-Length: 0\r\n\r\n", true},
+		"warm":                 {"HTTP/1.1 200 OK\r\nAnswered-By: i-1\r\nCold-Ms: 0\r\nContent-Length: 0\r\n\r\n", false},
+		"has no warm-up state": {"HTTP/1.1 200 OK\r\nAnswered-By: i-1\r\nContent-Length: 0\r\n\r\n", false},
+		"another instance":     {"HTTP/1.1 200 OK\r\nAnswered-By: i-2\r\nCold-Ms: 0\r\nContent-Length: 0\r\n\r\n", true},
+		"not a time":           {"HTTP/1.1 200 OK\r\nAnswered-By: i-1\r\nCold-Ms: soon\r\nContent-Length: 0\r\n\r\n", true},
+		"two times":            {"HTTP/1.1 200 OK\r\nAnswered-By: i-1\r\nCold-Ms: 0\r\nCold-Ms: 2500\r\nContent-Length: 0\r\n\r\n", true},
+		"two instances":        {"HTTP/1.1 200 OK\r\nAnswered-By: i-1\r\nAnswered-By: i-2\r\nCold-Ms: 0\r\nContent-Length: 0\r\n\r\n", true},
+		"beyond its range":     {"HTTP/1.1 200 OK\r\nAnswered-By: i-1\r\nCold-Ms: 99999999999999999999\r\nContent-Length: 0\r\n\r\n", true},
+		"below zero":           {"HTTP/1.1 200 OK\r\nAnswered-By: i-1\r\nCold-Ms: -1\r\nContent-Length: 0\r\n\r\n", true},
+		"fails":                {"HTTP/1.1 503 X\r\nAnswered-By: i-1\r\nContent-Length: 0\r\n\r\n", true},
 	}
-	for name, test := range answers {
+	for name, test := range responses {
 		t.Run(name, func(t *testing.T) {
-			backend := startRawBackend(t, func(*http.Request) string { return test.answer })
+			backend := startRawBackend(t, func(*http.Request) string { return test.response })
 			g := gatewayWithBackend(t, backend)
 			g.config.Service = "s"
 			g.config.Headers.WarmupLeft, g.config.Headers.InstanceID = "Cold-Ms", "Answered-By"
@@ -137,10 +137,10 @@
 			advance(t, g.views, &fleetwire.View{Document: &routeconfig.Document{Version: 1, Services: []routeconfig.Service{
 				{Name: "s", HealthPath: "/health", WarmupRate: coldRate, Warmup: time.Hour},
 			}}})
-			cold, probe := g.slots.warmupState()
+			cold, probe := g.slots.warmUpState()
 			assert.Assert(t, cold && probe, "before the probe")
-			g.checkWarmup(t.Context())
-			cold, _ = g.slots.warmupState()
+			g.checkWarmUp(t.Context())
+			cold, _ = g.slots.warmUpState()
 			assert.Equal(t, cold, test.cold)
 			assert.Equal(t, g.registry.snapshot().Cold, test.cold)
 		})
@@ -152,26 +152,26 @@
 // because the previous one was.
 func TestNewIncarnationIsColdFromFirstHeartbeat(t *testing.T) {
 	g := newSlotLimiter()
-	g.configureWarmup(coldRate, coldPeriod)
+	g.configureWarmUp(coldRate, coldPeriod)
 	r := newRegistry(func() {})
-	r.onWarmup = g.updateWarmupFromHeartbeat
+	r.onWarmUp = g.updateWarmUpFromHeartbeat
 	beat := func(id string, sequence uint64, left time.Duration) {
 		r.heartbeat(Registration{ID: id, State: fleetwire.InstanceReady, Sequence: sequence, WarmupLeft: left}, time.Second, steady.Reading())
 	}
 	beat("i-1", 1, 0)
-	cold, _ := g.warmupState()
+	cold, _ := g.warmUpState()
 	assert.Assert(t, !cold)
 	beat("i-2", 1, coldPeriod)
-	cold, _ = g.warmupState()
+	cold, _ = g.warmUpState()
 	assert.Assert(t, cold && r.snapshot().Cold)
 	beat("i-2", 2, 0)
-	cold, _ = g.warmupState()
+	cold, _ = g.warmUpState()
 	assert.Assert(t, cold, "a heartbeat may be older than the cause of the cold state")
 }
 
 // To every gateway a cold back end looks idle. Together they must send it about its warm-up
 // rate.
-func TestGatewaysShareWarmupRate(t *testing.T) {
+func TestGatewaysShareWarmUpRate(t *testing.T) {
 	const seconds = 10
 	synctest.Test(t, func(t *testing.T) {
 		var gateways []*Gateway
--- a/internal/gateway/warmupshare.go
+++ b/internal/gateway/warmupshare.go
@@ -12,10 +12,10 @@
 // service's warm-up rate, so that all gateways together stay close to that rate without
 // having to discover it by refusals.
 
-// withinWarmupShare reports whether this gateway may send a cold instance a request now.
-func (g *Gateway) withinWarmupShare(service *routeconfig.Service, candidate fleetwire.Instance, now time.Time) bool {
+// withinWarmUpShare reports whether this gateway may send a cold instance a request now.
+func (g *Gateway) withinWarmUpShare(service *routeconfig.Service, candidate fleetwire.Instance, now time.Time) bool {
 	if candidate.Node == g.config.Name {
-		return g.slots.hasWarmupCapacity()
+		return g.slots.hasWarmUpCapacity()
 	}
 	peer := g.peers.get(candidate.Address)
 	peer.mutex.Lock()
@@ -23,9 +23,9 @@
 	return service.WarmupRate <= 0 || peer.coldShare.Available(service.WarmupRate, g.gatewayCount(), rand.Float64(), now)
 }
 
-// countWarmupShare counts a request that is sent to a cold instance against this gateway's
+// countWarmUpShare counts a request that is sent to a cold instance against this gateway's
 // share.
-func (g *Gateway) countWarmupShare(service *routeconfig.Service, chosen fleetwire.Instance, now time.Time) {
+func (g *Gateway) countWarmUpShare(service *routeconfig.Service, chosen fleetwire.Instance, now time.Time) {
 	if chosen.Node == g.config.Name || service.WarmupRate <= 0 {
 		return
 	}
@@ -35,5 +35,5 @@
 	peer.coldShare.Take(service.WarmupRate, g.gatewayCount(), rand.Float64(), now)
 }
 
-// gatewayCount is the number of gateways that may send requests: one beside each back end.
+// gatewayCount is the number of gateways that may send requests: one for each back end.
 func (g *Gateway) gatewayCount() int { return len(g.views.load().byID) }
