--- a/internal/fleetcontroller/quarantine.go
+++ b/internal/fleetcontroller/quarantine.go
@@ -91,7 +91,7 @@
 	for i := range after.Suspects {
 		suspect := &after.Suspects[i]
 		earlier := before.Find(suspect.Request)
-		if suspect.Held() && (earlier == nil || !earlier.Held()) {
+		if suspect.Quarantined() && (earlier == nil || !earlier.Quarantined()) {
 			c.metrics.heldBack.Inc()
 			c.config.Log.Warn("request held back", "digest", suspect.Request.String(), "service", suspect.Service, "ends", suspect.Ends,
 				"failed_trials", suspect.FailedTrials, "late_trials", suspect.LateTrials)
@@ -103,7 +103,7 @@
 			continue
 		}
 		c.metrics.cleared.Inc()
-		if suspect.Held() {
+		if suspect.Quarantined() {
 			c.config.Log.Info("request no longer held back", "digest", suspect.Request.String(), "service", suspect.Service)
 		}
 	}
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -88,7 +88,7 @@
 		return notSuspected
 	}
 	switch {
-	case known && suspect.Held():
+	case known && suspect.Quarantined():
 		return quarantined
 	case known || k.hasUnconfirmed(digest):
 		return trialOnly
@@ -341,7 +341,7 @@
 // the requests that were in progress.
 func (g *Gateway) reportCrash(incarnation string, interrupted []interruptedRun) {
 	crash := quarantine.Ended{Life: incarnation, Service: g.registry.snapshot().Service}
-	for _, run := range interrupted[:min(len(interrupted), quarantine.MaxEndedRequests)] {
+	for _, run := range interrupted[:min(len(interrupted), quarantine.MaxCrashRequests)] {
 		crash.Requests = append(crash.Requests, run.digest)
 	}
 	g.quarantine.addCrashes([]quarantine.Ended{crash})
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -78,7 +78,7 @@
 // A request that is held back is refused immediately, with a long retry time.
 func TestHeldBackRequestIsRefusedImmediately(t *testing.T) {
 	hops, runs := startCountingHops(t)
-	advance(t, hops.near.views, suspectView(7, quarantine.Suspect{Request: hopsDigest(), Ends: quarantine.LikelyCauseEnds, FailedTrials: 2}))
+	advance(t, hops.near.views, suspectView(7, quarantine.Suspect{Request: hopsDigest(), Ends: quarantine.LikelyCauseCrashes, FailedTrials: 2}))
 	began := steady.Reading()
 	status, body := hops.sendRequest(t, "r1")
 	assert.Equal(t, status, http.StatusServiceUnavailable)
--- a/internal/quarantine/set.go
+++ b/internal/quarantine/set.go
@@ -6,26 +6,26 @@
 )
 
 const (
-	// LikelyCauseEnds is the number of incarnations of back ends that have ended while processing a
-	// request from which it counts as the likely cause.
-	LikelyCauseEnds = 3
-	// MaxLateTrials is how often a request may be sent in all once LikelyCauseEnds incarnations have
-	// ended, unless it is answered.
+	// LikelyCauseCrashes is the number of incarnations of back ends that have crashed while
+	// processing a request from which it counts as the likely cause.
+	LikelyCauseCrashes = 3
+	// MaxLateTrials is how often a request may be sent in all once LikelyCauseCrashes
+	// incarnations have crashed, unless it is answered.
 	MaxLateTrials = 3
-	// maxFailedTrials is the number of failed trials from which a request with LikelyCauseEnds is
-	// held back. Several ends at the same moment, as when a zone loses power, are not failed
-	// trials.
+	// maxFailedTrials is the number of failed trials from which a request with
+	// LikelyCauseCrashes is quarantined. Several crashes at the same moment, as when a zone
+	// loses power, are not failed trials.
 	maxFailedTrials = 2
-	// MaxSuspects bounds the set. The oldest suspect with fewer than LikelyCauseEnds is evicted
+	// MaxSuspects bounds the set. The oldest suspect with fewer than LikelyCauseCrashes is evicted
 	// first.
 	MaxSuspects = 512
-	// maxIncarnations bounds the incarnations whose end is remembered so that it counts once.
+	// maxIncarnations bounds the incarnations whose crash is remembered so that it counts once.
 	maxIncarnations = 512
 	// maxNameLength bounds names of services, incarnations and gateways, in bytes.
 	maxNameLength = 256
-	// MaxEndedRequests bounds the requests that are reported as in process when an incarnation
-	// ended.
-	MaxEndedRequests = 256
+	// MaxCrashRequests bounds the requests that are reported as in process when an incarnation
+	// crashed.
+	MaxCrashRequests = 256
 )
 
 // Trial lets one gateway send a request once.
@@ -37,34 +37,36 @@
 	Number uint64
 }
 
-// Suspect is a request during which a back end has ended.
+// Suspect is a request during which a back end has crashed.
 type Suspect struct {
 	Request Digest
 	Service string
-	// Ends is how many incarnations have ended while processing it, and FailedTrials how many
+	// Ends is how many incarnations have crashed while processing it, and FailedTrials how many
 	// of these were trials.
 	Ends, FailedTrials int
-	// LateTrials is how often it may have been sent since LikelyCauseEnds incarnations had ended.
+	// LateTrials is how often it may have been sent since LikelyCauseCrashes incarnations had
+	// crashed.
 	LateTrials int
 	// Further is how many failed trials it is allowed beyond maxFailedTrials.
 	Further int
-	// Trial is the current trial, nil where none is granted.
+	// Trial is the current trial, nil if none is granted.
 	Trial *Trial
-	// Untold are the numbers of trials that were granted before LikelyCauseEnds incarnations had
-	// ended and that were closed without a report of their gateways: they may still be sent.
+	// Untold are the numbers of trials that were granted before LikelyCauseCrashes incarnations
+	// had crashed and that were closed without a report of their gateways: they may still be
+	// sent.
 	Untold []uint64
 }
 
-// Held reports whether the request is held back, as no trial is left.
-func (s *Suspect) Held() bool {
-	return s.Exhausted() || s.Ends >= LikelyCauseEnds && s.FailedTrials >= maxFailedTrials+s.Further
+// Quarantined reports whether the request is quarantined because no trial is left.
+func (s *Suspect) Quarantined() bool {
+	return s.Exhausted() || s.Ends >= LikelyCauseCrashes && s.FailedTrials >= maxFailedTrials+s.Further
 }
 
-// Exhausted reports whether all late trials are used up, so that a held request gets no
+// Exhausted reports whether all late trials are used up, so that a quarantined request gets no
 // further trial by waiting.
 func (s *Suspect) Exhausted() bool { return s.LateTrials+len(s.Untold) >= MaxLateTrials }
 
-// Ended reports that an incarnation of a back end has ended, with the requests that it was
+// Ended reports the crash of an incarnation of a back end, with the requests that it was
 // processing.
 type Ended struct {
 	Life     string
@@ -76,9 +78,9 @@
 func (e *Ended) Check() error {
 	switch {
 	case e.Life == "" || len(e.Life) > maxNameLength || len(e.Service) > maxNameLength:
-		return fmt.Errorf("end of a back end: incarnation name of %d bytes, service name of %d bytes", len(e.Life), len(e.Service))
-	case len(e.Requests) > MaxEndedRequests:
-		return fmt.Errorf("end of back end %.64q: %d requests, %d at most", e.Life, len(e.Requests), MaxEndedRequests)
+		return fmt.Errorf("crash of a back end: incarnation name of %d bytes, service name of %d bytes", len(e.Life), len(e.Service))
+	case len(e.Requests) > MaxCrashRequests:
+		return fmt.Errorf("crash of back end %.64q: %d requests, %d at most", e.Life, len(e.Requests), MaxCrashRequests)
 	}
 	return nil
 }
@@ -90,25 +92,25 @@
 	Boot    uint64
 }
 
-// Over reports the end of a trial that got no answer.
+// Over reports the end of a trial that got no response.
 type Over struct {
 	Request Digest
 	// Number is that of the trial.
 	Number uint64
-	// Sent says that the request may have been sent to a back end, and Failed that this back
-	// end ended.
+	// Sent is set if the request may have been sent to a back end, and Failed if this back end
+	// crashed.
 	Sent, Failed bool
-	// Lost says that the gateway has not reported the end and may still send the request.
+	// Lost is set if the gateway has not reported the end and may still send the request.
 	Lost bool
 }
 
 // Change is a set of events. They are applied in the order of the fields.
 type Change struct {
 	Ended []Ended
-	// Answered are suspects that got a complete answer.
+	// Answered are suspects that got a complete response.
 	Answered []Digest
 	Over     []Over
-	// Further are held requests that get one more trial, and Released suspects that an
+	// Further are quarantined requests that get one more trial, and Released suspects that an
 	// operator has cleared.
 	Further  []Digest
 	Released []Digest
@@ -136,7 +138,7 @@
 	// Index is the log index of the last change that had an effect.
 	Index    uint64
 	Suspects []Suspect
-	// Lives are the incarnations whose end was counted, the latest last.
+	// Lives are the incarnations whose crash was counted, the latest last.
 	Lives []string
 }
 
@@ -150,7 +152,7 @@
 	return nil
 }
 
-// HasCounted reports whether the end of an incarnation was counted.
+// HasCounted reports whether the crash of an incarnation was counted.
 func (s *Set) HasCounted(incarnation string) bool { return slices.Contains(s.Lives, incarnation) }
 
 // Clone returns a deep copy.
@@ -169,7 +171,7 @@
 // Apply applies the change at a log index and reports whether it had an effect.
 func (s *Set) Apply(index uint64, change *Change) (changed bool) {
 	for i := range change.Ended {
-		changed = s.recordEnd(&change.Ended[i]) || changed
+		changed = s.recordCrash(&change.Ended[i]) || changed
 	}
 	for _, request := range change.Answered {
 		changed = s.clear(request) || changed
@@ -197,7 +199,7 @@
 	after := s.Clone()
 	var part Change
 	for i := range change.Ended {
-		if after.recordEnd(&change.Ended[i]) {
+		if after.recordCrash(&change.Ended[i]) {
 			part.Ended = append(part.Ended, change.Ended[i])
 		}
 	}
@@ -220,23 +222,23 @@
 	return kept
 }
 
-// recordEnd counts the end of an incarnation for all requests that it was processing.
-func (s *Set) recordEnd(ended *Ended) bool {
-	if ended.Check() != nil || s.HasCounted(ended.Life) {
+// recordCrash counts the crash of an incarnation for all requests that it was processing.
+func (s *Set) recordCrash(crash *Ended) bool {
+	if crash.Check() != nil || s.HasCounted(crash.Life) {
 		return false
 	}
-	s.Lives = append(s.Lives[max(0, len(s.Lives)+1-maxIncarnations):], ended.Life)
+	s.Lives = append(s.Lives[max(0, len(s.Lives)+1-maxIncarnations):], crash.Life)
 	counted := map[Digest]bool{}
-	for _, request := range ended.Requests {
+	for _, request := range crash.Requests {
 		if !counted[request] {
 			counted[request] = true
-			s.countEnd(request, ended.Service)
+			s.countCrash(request, crash.Service)
 		}
 	}
 	return true
 }
 
-func (s *Set) countEnd(request Digest, service string) {
+func (s *Set) countCrash(request Digest, service string) {
 	suspect := s.Find(request)
 	if suspect == nil {
 		s.evictIfFull()
@@ -244,7 +246,7 @@
 		suspect = &s.Suspects[len(s.Suspects)-1]
 	}
 	if suspect.Trial != nil {
-		// The gateway of the trial may still send the request: the incarnation may have ended
+		// The gateway of the trial may still send the request: the incarnation may have crashed
 		// while processing an earlier copy.
 		suspect.FailedTrials++
 		suspect.loseTrial()
@@ -254,7 +256,7 @@
 
 // loseTrial closes the current trial without a report of its gateway.
 func (s *Suspect) loseTrial() {
-	if s.Ends < LikelyCauseEnds {
+	if s.Ends < LikelyCauseCrashes {
 		s.Untold = append(s.Untold, s.Trial.Number)
 	}
 	s.Trial = nil
@@ -265,7 +267,7 @@
 	if len(s.Suspects) < MaxSuspects {
 		return
 	}
-	oldest := max(0, slices.IndexFunc(s.Suspects, func(suspect Suspect) bool { return suspect.Ends < LikelyCauseEnds }))
+	oldest := max(0, slices.IndexFunc(s.Suspects, func(suspect Suspect) bool { return suspect.Ends < LikelyCauseCrashes }))
 	s.Suspects = slices.Delete(s.Suspects, oldest, oldest+1)
 }
 
@@ -290,7 +292,7 @@
 	switch {
 	case over.Failed:
 		suspect.FailedTrials++
-	case !over.Sent && suspect.Ends >= LikelyCauseEnds:
+	case !over.Sent && suspect.Ends >= LikelyCauseCrashes:
 		suspect.LateTrials--
 	}
 	return true
@@ -303,7 +305,7 @@
 		return false
 	}
 	s.Untold = slices.Delete(s.Untold, place, place+1)
-	if over.Sent && s.Ends >= LikelyCauseEnds {
+	if over.Sent && s.Ends >= LikelyCauseCrashes {
 		s.LateTrials++
 	}
 	return true
@@ -311,7 +313,7 @@
 
 func (s *Set) allowFurtherTrial(request Digest) bool {
 	suspect := s.Find(request)
-	if suspect == nil || !suspect.Held() || suspect.Exhausted() {
+	if suspect == nil || !suspect.Quarantined() || suspect.Exhausted() {
 		return false
 	}
 	suspect.Further = suspect.FailedTrials + 1 - maxFailedTrials
@@ -320,11 +322,11 @@
 
 func (s *Set) grantTrial(index uint64, asked Asked) bool {
 	suspect := s.Find(asked.Request)
-	if suspect == nil || suspect.Trial != nil || suspect.Held() || len(asked.Node) > maxNameLength {
+	if suspect == nil || suspect.Trial != nil || suspect.Quarantined() || len(asked.Node) > maxNameLength {
 		return false
 	}
 	suspect.Trial = &Trial{Node: asked.Node, Boot: asked.Boot, Number: index}
-	if suspect.Ends >= LikelyCauseEnds {
+	if suspect.Ends >= LikelyCauseCrashes {
 		suspect.LateTrials++
 	}
 	return true
@@ -339,7 +341,7 @@
 	for i := range s.Suspects {
 		suspect := &s.Suspects[i]
 		if seen[suspect.Request] || suspect.Ends < 1 || suspect.LateTrials < 0 || suspect.FailedTrials < 0 || suspect.LateTrials+len(suspect.Untold) > MaxLateTrials {
-			return fmt.Errorf("quarantine of %v: %d ends, %d late trials", suspect.Request, suspect.Ends, suspect.LateTrials)
+			return fmt.Errorf("quarantine of %v: %d crashes, %d late trials", suspect.Request, suspect.Ends, suspect.LateTrials)
 		}
 		seen[suspect.Request] = true
 		if trial := suspect.Trial; trial != nil && trial.Number > s.Index {
--- a/internal/quarantine/set_test.go
+++ b/internal/quarantine/set_test.go
@@ -12,7 +12,7 @@
 	_ "github.com/quartzdock/quartzdock/internal/rapidseed"
 )
 
-// numbered returns the digest of a request with a number.
+// numberedDigest returns the digest of a request with a number.
 func numberedDigest(number int) quarantine.Digest {
 	return quarantine.Digest{byte(number >> 8), byte(number)}
 }
@@ -34,8 +34,8 @@
 	return h.Apply(h.index, &change)
 }
 
-// ends ends one more incarnation while it processes some requests.
-func (h *history) ends(requests ...quarantine.Digest) {
+// crash crashes one more incarnation while it processes some requests.
+func (h *history) crash(requests ...quarantine.Digest) {
 	h.incarnations++
 	h.apply(quarantine.Change{Ended: []quarantine.Ended{{Life: fmt.Sprint("life-", h.incarnations), Service: "s", Requests: requests}}})
 }
@@ -45,8 +45,8 @@
 	return h.apply(quarantine.Change{Asked: []quarantine.Asked{{Request: request, Node: node, Boot: 1}}})
 }
 
-// over ends the current trial of a request.
-func (h *history) over(request quarantine.Digest, sent, failed bool) {
+// endTrial ends the current trial of a request.
+func (h *history) endTrial(request quarantine.Digest, sent, failed bool) {
 	h.apply(quarantine.Change{Over: []quarantine.Over{{Request: request, Number: h.Find(request).Trial.Number, Sent: sent, Failed: failed}}})
 }
 
@@ -55,65 +55,65 @@
 	h.apply(quarantine.Change{Over: []quarantine.Over{{Request: request, Number: h.Find(request).Trial.Number, Lost: true}}})
 }
 
-// A request that ends each back end that processes it is held back after the third end.
-func TestCauseIsHeldBackAfterThreeEnds(t *testing.T) {
+// A request that crashes each back end that processes it is quarantined after the third crash.
+func TestCauseIsQuarantinedAfterThreeCrashes(t *testing.T) {
 	var h history
-	h.ends(cause, harmless)
+	h.crash(cause, harmless)
 	for range 2 {
 		assert.Assert(t, h.ask(cause, "a"))
 		assert.Assert(t, !h.ask(cause, "b"), "one at a time")
-		h.ends(cause)
+		h.crash(cause)
 	}
-	assert.Equal(t, h.Find(cause).Ends, quarantine.LikelyCauseEnds)
-	assert.Assert(t, h.Find(cause).Held())
+	assert.Equal(t, h.Find(cause).Ends, quarantine.LikelyCauseCrashes)
+	assert.Assert(t, h.Find(cause).Quarantined())
 	assert.Assert(t, !h.ask(cause, "a"))
-	assert.Assert(t, !h.Find(harmless).Held())
+	assert.Assert(t, !h.Find(harmless).Quarantined())
 }
 
-// One complete answer clears a request. Others that were in process at the same time stay
+// One complete response clears a request. Others that were in process at the same time stay
 // suspects.
-func TestAnswerClearsRequest(t *testing.T) {
+func TestResponseClearsRequest(t *testing.T) {
 	var h history
-	h.ends(cause, harmless)
+	h.crash(cause, harmless)
 	assert.Assert(t, h.ask(harmless, "a"))
 	h.apply(quarantine.Change{Answered: []quarantine.Digest{harmless}})
 	assert.Assert(t, h.Find(harmless) == nil)
 	assert.Assert(t, h.Find(cause) != nil)
 }
 
-// A zone loses power while many of its back ends process a popular request. The request is tried
-// again at once, and not held back.
-func TestSimultaneousEndsDoNotHoldRequestBack(t *testing.T) {
+// A zone loses power while many of its back ends process a popular request. The request is
+// retried at once, and not quarantined.
+func TestSimultaneousCrashesDoNotQuarantineRequest(t *testing.T) {
 	var h history
 	for range 25 {
-		h.ends(harmless)
+		h.crash(harmless)
 	}
-	assert.Assert(t, !h.Find(harmless).Held())
+	assert.Assert(t, !h.Find(harmless).Quarantined())
 	assert.Assert(t, h.ask(harmless, "a"))
-	h.over(harmless, false, false)
+	h.endTrial(harmless, false, false)
 	assert.Assert(t, h.ask(harmless, "b"), "a trial that was not sent does not count")
 }
 
-// The end of an incarnation counts once, however often it is reported and by whom.
-func TestEndOfIncarnationCountsOnce(t *testing.T) {
+// The crash of an incarnation counts once, however often it is reported and by whom.
+func TestCrashOfIncarnationCountsOnce(t *testing.T) {
 	var h history
-	ended := quarantine.Change{Ended: []quarantine.Ended{{Life: "i", Service: "s", Requests: []quarantine.Digest{cause, cause}}}}
-	assert.Assert(t, h.apply(ended))
-	assert.Assert(t, !h.apply(ended))
+	crashed := quarantine.Change{Ended: []quarantine.Ended{{Life: "i", Service: "s", Requests: []quarantine.Digest{cause, cause}}}}
+	assert.Assert(t, h.apply(crashed))
+	assert.Assert(t, !h.apply(crashed))
 	assert.Equal(t, h.Find(cause).Ends, 1)
-	part := h.Effective(&ended)
+	part := h.Effective(&crashed)
 	assert.Assert(t, part.Empty())
 }
 
-// Late trials without an answer are limited; an operator may still release the request.
+// Late trials without a response are limited; an operator may still release the request.
 func TestLateTrialsAreLimited(t *testing.T) {
 	var h history
-	for range quarantine.LikelyCauseEnds {
-		h.ends(cause)
+	for range quarantine.LikelyCauseCrashes {
+		h.crash(cause)
 	}
 	for range quarantine.MaxLateTrials {
 		assert.Assert(t, h.ask(cause, "a"))
-		h.over(cause, true, false)
+		h.endTrial(cause, true, false)
 	}
 	assert.Assert(t, h.Find(cause).Exhausted() && !h.ask(cause, "a"))
 	assert.Assert(t, !h.apply(quarantine.Change{Further: []quarantine.Digest{cause}}))
@@ -121,15 +121,15 @@
 	assert.Assert(t, h.Find(cause) == nil)
 }
 
-// Thousands of distinct requests evict the oldest ones first. Requests with LikelyCauseEnds are evicted
-// last.
+// Thousands of distinct requests evict the oldest ones first. Requests with LikelyCauseCrashes
+// are evicted last.
 func TestSetIsBounded(t *testing.T) {
 	var h history
-	for range quarantine.LikelyCauseEnds {
-		h.ends(cause)
+	for range quarantine.LikelyCauseCrashes {
+		h.crash(cause)
 	}
 	for number := range 3 * quarantine.MaxSuspects {
-		h.ends(numberedDigest(100 + number))
+		h.crash(numberedDigest(100 + number))
 	}
 	assert.Equal(t, len(h.Suspects), quarantine.MaxSuspects)
 	assert.Assert(t, h.Find(cause) != nil)
@@ -140,9 +140,9 @@
 // not used.
 type sender struct{ granted []uint64 }
 
-// Whatever is lost, delayed or repeated, and whichever gateway asks: once LikelyCauseEnds incarnations
-// have ended while processing a request, it is sent at most MaxLateTrials times until it is
-// answered.
+// Whatever is lost, delayed or repeated, and whichever gateway asks: once LikelyCauseCrashes
+// incarnations have crashed while processing a request, it is sent at most MaxLateTrials times
+// until it is answered.
 func TestNoOrderOfEventsGivesMoreLateTrials(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h history
@@ -152,8 +152,8 @@
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			node := rapid.IntRange(0, 2).Draw(t, "gateway")
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
-			case 0: // a back end ends while processing a copy that was sent before
-				h.ends(cause)
+			case 0: // a back end crashes while processing a copy that was sent before
+				h.crash(cause)
 			case 1:
 				if h.ask(cause, fmt.Sprint(node)) {
 					senders[node].granted = append(senders[node].granted, h.Find(cause).Trial.Number)
@@ -161,7 +161,7 @@
 			case 2: // a granted trial is used, once, whatever the state of the set is by now
 				if granted := senders[node].granted; len(granted) > 0 {
 					senders[node].granted = granted[1:]
-					if suspect := h.Find(cause); suspect.Ends >= quarantine.LikelyCauseEnds {
+					if suspect := h.Find(cause); suspect.Ends >= quarantine.LikelyCauseCrashes {
 						late++
 					}
 					failed := rapid.Bool().Draw(t, "failed")
@@ -176,7 +176,7 @@
 				if len(reports) > 0 {
 					h.apply(reports[rapid.IntRange(0, len(reports)-1).Draw(t, "told")])
 				}
-			case 5: // a trial is lost with its gateway, or a held request gets one more trial
+			case 5: // a trial is lost with its gateway, or a quarantined request gets one more trial
 				if suspect := h.Find(cause); suspect != nil && suspect.Trial != nil && rapid.Bool().Draw(t, "lost") {
 					h.lose(cause)
 				} else {
@@ -184,35 +184,35 @@
 				}
 			}
 			if late > quarantine.MaxLateTrials {
-				t.Fatalf("sent %d times after %d ends", late, quarantine.LikelyCauseEnds)
+				t.Fatalf("sent %d times after %d crashes", late, quarantine.LikelyCauseCrashes)
 			}
 			assert.NilError(t, h.Check())
 		}
 	})
 }
 
-// A trial whose end is not reported counts as lost after TrialLimit, and a held request is tried
-// once more after FurtherAfter, three times in all.
-func TestDeskReturnsDueChanges(t *testing.T) {
+// A trial whose end is not reported counts as lost after TrialLimit, and a quarantined request
+// gets one more trial after FurtherAfter, three times in all.
+func TestTimersReturnDueChanges(t *testing.T) {
 	terms := quarantine.Terms{}.WithDefaults()
 	assert.NilError(t, terms.Check())
 	assert.ErrorContains(t, quarantine.Terms{TrialLimit: -1}.Check(), "trial limit")
 	var h history
-	var desk quarantine.Timers
-	h.ends(cause)
+	var timers quarantine.Timers
+	h.crash(cause)
 	h.ask(cause, "a")
-	due := desk.Due(&h.Set, terms, time.Second)
+	due := timers.Due(&h.Set, terms, time.Second)
 	assert.Assert(t, due.Empty())
-	due = desk.Due(&h.Set, terms, time.Second+terms.TrialLimit)
+	due = timers.Due(&h.Set, terms, time.Second+terms.TrialLimit)
 	assert.Equal(t, len(due.Over), 1)
 	assert.Assert(t, h.apply(due))
 	for range 2 {
 		h.ask(cause, "a")
-		h.ends(cause)
+		h.crash(cause)
 	}
 	now, further := time.Hour, 0
-	for h.Find(cause).Held() && further <= quarantine.MaxLateTrials {
-		due = desk.Due(&h.Set, terms, now)
+	for h.Find(cause).Quarantined() && further <= quarantine.MaxLateTrials {
+		due = timers.Due(&h.Set, terms, now)
 		now += terms.FurtherAfter
 		if !h.apply(due) {
 			if h.Find(cause).Exhausted() {
@@ -222,7 +222,7 @@
 		}
 		further++
 		assert.Assert(t, h.ask(cause, "a"))
-		h.ends(cause)
+		h.crash(cause)
 	}
 	assert.Assert(t, h.Find(cause).Exhausted())
 	assert.Assert(t, further <= quarantine.MaxLateTrials, "%d", further)
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -11,7 +11,7 @@
 	"github.com/quartzdock/quartzdock/internal/quarantine"
 )
 
-// Simulates, in virtual time, harmless requests that are in process when back ends end. Most
+// Simulates, in virtual time, harmless requests that are in process when back ends crash. Most
 // requests are unique and retried by their callers; a few popular ones arrive all the time, at
 // all gateways. Slots and queues are not modelled, and there is always a leader.
 
@@ -29,7 +29,7 @@
 	maxRefusedShare = 1e-4
 )
 
-// simulatedLoad describes a service whose back ends end from time to time.
+// simulatedLoad describes a service whose back ends crash from time to time.
 type simulatedLoad struct {
 	backends int
 	// perStep is how many requests arrive in each step, and popular the share of them that are
@@ -37,10 +37,10 @@
 	perStep      int
 	popular      float64
 	popularKinds int
-	// endInterval is the time between two failures, in each of which simultaneousEnds back ends
-	// end.
-	endInterval      time.Duration
-	simultaneousEnds int
+	// crashInterval is the time between two failures, in each of which simultaneousCrashes back
+	// ends crash.
+	crashInterval       time.Duration
+	simultaneousCrashes int
 }
 
 // requestCopy is one copy of a request that waits, or runs until a step.
@@ -60,9 +60,9 @@
 	running []requestCopy
 	waiting []requestCopy
 	// delayed are the reports that arrive in a later step.
-	delayed                     map[int][]quarantine.Change
-	arrived, refused            int
-	longestWait, uniqueRequests int
+	delayed                   map[int][]quarantine.Change
+	arrived, refused          int
+	maxWaited, uniqueRequests int
 }
 
 func (s *simulation) drawRequest() quarantine.Digest {
@@ -78,29 +78,29 @@
 	s.delayed[at] = append(s.delayed[at], change)
 }
 
-// endBackends ends some back ends; their callers retry.
-func (s *simulation) endBackends(step int) {
+// crashBackends crashes some back ends; their callers retry.
+func (s *simulation) crashBackends(step int) {
 	first := s.random.IntN(s.load.backends)
 	var left []requestCopy
-	ended := make([]quarantine.Ended, s.load.simultaneousEnds)
-	for i := range ended {
+	crashes := make([]quarantine.Ended, s.load.simultaneousCrashes)
+	for i := range crashes {
 		s.history.incarnations++
-		ended[i] = quarantine.Ended{Life: fmt.Sprint("life-", s.history.incarnations), Service: "s"}
+		crashes[i] = quarantine.Ended{Life: fmt.Sprint("life-", s.history.incarnations), Service: "s"}
 	}
 	for _, run := range s.running {
 		place := (run.backend - first + s.load.backends) % s.load.backends
-		if place >= s.load.simultaneousEnds {
+		if place >= s.load.simultaneousCrashes {
 			left = append(left, run)
 			continue
 		}
-		ended[place].Requests = append(ended[place].Requests, run.request)
+		crashes[place].Requests = append(crashes[place].Requests, run.request)
 		if run.trial != 0 {
 			s.report(step, quarantine.Change{Over: []quarantine.Over{{Request: run.request, Number: run.trial, Sent: true, Failed: true}}})
 		}
 		s.waiting = append(s.waiting, requestCopy{request: run.request, arrivedAt: step + int(retryDelay/simulationStep)})
 	}
 	s.running = left
-	s.report(step, quarantine.Change{Ended: ended})
+	s.report(step, quarantine.Change{Ended: crashes})
 }
 
 // admit starts the waiting copies that may run. A copy that has waited too long is refused.
@@ -125,8 +125,8 @@
 }
 
 func (s *simulation) wait(remaining []requestCopy, waitingCopy requestCopy, step int) []requestCopy {
-	if waited := step - waitingCopy.arrivedAt; waited > s.longestWait {
-		s.longestWait = waited
+	if waited := step - waitingCopy.arrivedAt; waited > s.maxWaited {
+		s.maxWaited = waited
 	}
 	if time.Duration(step-waitingCopy.arrivedAt)*simulationStep > maxWait {
 		s.refused++
@@ -140,7 +140,7 @@
 	s.running = append(s.running, waitingCopy)
 }
 
-// finish ends the runs that are complete. An answer clears its request.
+// finish ends the runs that are complete. A response clears its request.
 func (s *simulation) finish(step int) {
 	var remaining []requestCopy
 	for _, run := range s.running {
@@ -163,8 +163,8 @@
 		}
 		delete(s.delayed, step)
 		s.finish(step)
-		if interval := int(load.endInterval / simulationStep); step%interval == interval-1 {
-			s.endBackends(step)
+		if interval := int(load.crashInterval / simulationStep); step%interval == interval-1 {
+			s.crashBackends(step)
 		}
 		for range load.perStep {
 			s.arrived++
@@ -175,19 +175,19 @@
 	return s
 }
 
-// Harmless requests are not refused, whether back ends end one by one or a zone of them at once,
-// and also if requests are popular.
-func TestHarmlessRequestsAreNotHeldBack(t *testing.T) {
-	busy := simulatedLoad{backends: 20, perStep: 20, popularKinds: 10, endInterval: 5 * time.Second, simultaneousEnds: 1}
+// Harmless requests are not refused, whether back ends crash one by one or a zone of them at
+// once, and also if requests are popular.
+func TestHarmlessRequestsAreNotQuarantined(t *testing.T) {
+	busy := simulatedLoad{backends: 20, perStep: 20, popularKinds: 10, crashInterval: 5 * time.Second, simultaneousCrashes: 1}
 	popular, zone, flapping := busy, busy, busy
 	popular.popular = 0.3
-	zone.popular, zone.simultaneousEnds, zone.endInterval = 0.3, 7, 9*time.Second
-	flapping.popular, flapping.endInterval = 0.3, 900*time.Millisecond
-	for name, load := range map[string]simulatedLoad{"busy": busy, "popular": popular, "a zone": zone, "back ends that end all the time": flapping} {
+	zone.popular, zone.simultaneousCrashes, zone.crashInterval = 0.3, 7, 9*time.Second
+	flapping.popular, flapping.crashInterval = 0.3, 900*time.Millisecond
+	for name, load := range map[string]simulatedLoad{"busy": busy, "popular": popular, "a zone": zone, "back ends that crash all the time": flapping} {
 		for seed := range uint64(10) {
 			s := simulate(load, seed, 20*time.Second)
 			share := float64(s.refused) / float64(s.arrived)
-			assert.Check(t, share <= maxRefusedShare, "%s, seed %d: %d of %d refused, the longest waited %v", name, seed, s.refused, s.arrived, time.Duration(s.longestWait)*simulationStep)
+			assert.Check(t, share <= maxRefusedShare, "%s, seed %d: %d of %d refused, the longest waited %v", name, seed, s.refused, s.arrived, time.Duration(s.maxWaited)*simulationStep)
 		}
 	}
 }
--- a/internal/quarantine/desk.go
+++ b/internal/quarantine/timers.go
@@ -8,10 +8,10 @@
 
 // Terms are the leader's time limits for suspects.
 type Terms struct {
-	// TrialLimit is how long after its grant a trial counts as lost unless its end is
-	// reported: its gateway may have ended.
+	// TrialLimit is how long after its grant a trial counts as lost unless its end is reported:
+	// its gateway process may have ended.
 	TrialLimit time.Duration
-	// FurtherAfter is how long a request is held back before it gets one more trial.
+	// FurtherAfter is how long a request is quarantined before it gets one more trial.
 	FurtherAfter time.Duration
 }
 
@@ -36,12 +36,12 @@
 	return nil
 }
 
-// Timers tracks since when trials are granted and requests are held back, for one term of
+// Timers tracks since when trials are granted and requests are quarantined, for one term of
 // leadership. A new leader starts from zero. The zero value is ready to use. It is not safe for
 // concurrent use.
 type Timers struct {
-	trials map[trialKey]time.Duration
-	held   map[Digest]time.Duration
+	trials      map[trialKey]time.Duration
+	quarantined map[Digest]time.Duration
 }
 
 // trialKey identifies a trial.
@@ -51,27 +51,27 @@
 }
 
 // Due returns the changes that are due at now, by the leader's clock: trials that count as
-// lost, and held requests that get one more trial.
-func (d *Timers) Due(set *Set, terms Terms, now time.Duration) Change {
+// lost, and quarantined requests that get one more trial.
+func (t *Timers) Due(set *Set, terms Terms, now time.Duration) Change {
 	var due Change
-	trials, held := map[trialKey]time.Duration{}, map[Digest]time.Duration{}
+	trials, quarantined := map[trialKey]time.Duration{}, map[Digest]time.Duration{}
 	for i := range set.Suspects {
 		suspect := &set.Suspects[i]
 		if trial := suspect.Trial; trial != nil {
 			of := trialKey{suspect.Request, trial.Number}
-			trials[of] = firstSeen(d.trials, of, now)
+			trials[of] = firstSeen(t.trials, of, now)
 			if now-trials[of] >= terms.TrialLimit {
 				due.Over = append(due.Over, Over{Request: suspect.Request, Number: trial.Number, Lost: true})
 			}
 		}
-		if suspect.Held() && !suspect.Exhausted() {
-			held[suspect.Request] = firstSeen(d.held, suspect.Request, now)
-			if now-held[suspect.Request] >= terms.FurtherAfter {
+		if suspect.Quarantined() && !suspect.Exhausted() {
+			quarantined[suspect.Request] = firstSeen(t.quarantined, suspect.Request, now)
+			if now-quarantined[suspect.Request] >= terms.FurtherAfter {
 				due.Further = append(due.Further, suspect.Request)
 			}
 		}
 	}
-	d.trials, d.held = trials, held
+	t.trials, t.quarantined = trials, quarantined
 	return due
 }
 
