--- a/internal/gateway/slots.go
+++ b/internal/gateway/slots.go
@@ -72,8 +72,8 @@
 		waiting:          reported.Waiting,
 		slots:            reported.Slots,
 		serviceTime:      reported.ServiceTime,
-		shortServiceTime: reported.ShortService,
-		shortMaxTarget:   reported.ShortUpTo,
+		shortServiceTime: reported.ShortServiceTime,
+		shortMaxTarget:   reported.ShortMaxTarget,
 		coldRate:         reported.MaxRate,
 	}
 }
--- a/internal/gateway/warmup.go
+++ b/internal/gateway/warmup.go
@@ -42,7 +42,7 @@
 
 // assumeCold treats the back end as cold until its state is known.
 func (g *slotLimiter) assumeCold() {
-	g.withQueue(func(queue *overload.SlotQueue, now time.Time) { queue.SuspectCold(now) })
+	g.withQueue(func(queue *overload.SlotQueue, now time.Time) { queue.AssumeCold(now) })
 }
 
 // updateWarmUpFromHeartbeat applies a heartbeat's report of how much longer the back end is
@@ -53,7 +53,7 @@
 
 // updateWarmUpFromProbe applies the back end's response to a probe: how much longer it is cold.
 func (g *slotLimiter) updateWarmUpFromProbe(left time.Duration) {
-	g.withQueue(func(queue *overload.SlotQueue, now time.Time) { queue.WarmUpFromAnswer(left, now) })
+	g.withQueue(func(queue *overload.SlotQueue, now time.Time) { queue.WarmUpFromProbe(left, now) })
 }
 
 // warmUpState reports whether the back end is treated as cold, and whether it should be probed.
--- a/internal/overload/doc.go
+++ b/internal/overload/doc.go
@@ -7,7 +7,7 @@
 //     wait for them.
 //   - RetryDetector (retries.go): how long ago a caller that retries made its first attempt.
 //   - Refusals (refusals.go): when a refused request should be retried.
-//   - Link (link.go): the machine's network link and the large answers that are sent over it.
+//   - Link (link.go): the machine's network link and the large responses that are sent over it.
 //
 // No type is safe for concurrent use.
 package overload
--- a/internal/overload/late.go
+++ b/internal/overload/late.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Late requests can no longer be answered in time, but before their callers give up. They
-// get the slots that requests in time don't need, since a late answer is better than a
-// refusal and a retry. If no slots are left over, they are refused at once.
+// Late requests can no longer be answered in time, but before their callers give up. They get
+// the slots that requests in time don't need, since a late response is better than a refusal
+// and a retry. If no slots are left over, they are refused at once.
 
 // minLeftOver is the share of the slots that must be left over for late requests to wait at
 // all. The rate is measured over a second; below this share its error is as large as the
@@ -68,7 +68,7 @@
 // at the rate at which slots are left over.
 func (q *SlotQueue) estimateLate(waiting *Ticket, ahead int, now time.Time) time.Duration {
 	const never = time.Hour
-	if q.warmth.Cold(now) {
+	if q.warmUp.Cold(now) {
 		return q.warmUpWait(len(q.short.queue)+len(q.long.queue)+ahead, now)
 	}
 	slots := q.usable(waiting.short, waiting.Priority)
@@ -109,6 +109,6 @@
 	if short {
 		return slots
 	}
-	kept := max(float64(q.reserved(priority)), q.short.busy)
-	return max(1, slots-kept)
+	reserved := max(float64(q.reserved(priority)), q.short.busy)
+	return max(1, slots-reserved)
 }
--- a/internal/overload/refusals.go
+++ b/internal/overload/refusals.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Callers that are refused for lack of capacity retry. If many more are refused than can
-// be served, as while one key is hot, they would be refused at every attempt until they
-// have none left. So each is told to retry when those that were refused before it could
-// have been served, which is about when its own turn would be.
+// Callers that are refused for lack of capacity retry. If many more are refused than can be
+// served, as while one key is hot, they would be refused at every attempt until they have none
+// left. So each is asked to retry when those that were refused before it could have been
+// served, which is about when its own turn would be.
 
 // Refusals counts the requests that were refused for lack of a slot and could not have
 // been served since. The zero value has none.
--- a/internal/overload/retries.go
+++ b/internal/overload/retries.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Under overload most arriving requests have been refused before: each refused caller
-// retries, so that there are more attempts than callers. If requests were served in the
-// order of arrival, the capacity of a back end would go to callers that are late already,
-// and those that could have been in time would be refused, to retry when they are late as well:
-// with two retries for each caller, two of three answers are late. A request's due time
-// has to count from its caller's first attempt.
+// Under overload most arriving requests have been refused before: each refused caller retries,
+// so that there are more attempts than callers. If requests were served in the order of
+// arrival, the capacity of a back end would go to callers that are late already, and those that
+// could have been in time would be refused, to retry when they are late as well: with two
+// retries for each caller, two of three responses are late. A request's due time has to count
+// from its caller's first attempt.
 //
 // HTTP has no field for that, but callers state how long they will wait. At its first
 // attempt a caller states one of a few round times, those that its program is configured
--- a/internal/overload/slots.go
+++ b/internal/overload/slots.go
@@ -42,8 +42,8 @@
 	lateLongTermBusy float64
 	// target is the mean target of requests, weighted by the slot time they use.
 	target time.Duration
-	// warmth limits the request rate of the back end while it is cold.
-	warmth warmup.Limiter
+	// warmUp limits the request rate of the back end while it is cold.
+	warmUp warmup.Limiter
 }
 
 const (
@@ -56,8 +56,8 @@
 	// longTermHalfLife is the same for the long-term average, which distinguishes lasting
 	// overload from a short burst.
 	longTermHalfLife = 4 * time.Second
-	// reservedForLessUrgent is how many slots are reserved for short requests against a
-	// more urgent long one: the least with which nested calls can complete at all.
+	// reservedForLessUrgent is how many slots are reserved for short requests against a more
+	// urgent long one: the smallest number with which nested calls can complete at all.
 	reservedForLessUrgent = 1
 	// minBusy is the average use of slots by short requests below which none are reserved.
 	minBusy = 0.05
@@ -92,11 +92,11 @@
 // Load describes the capacity and the load of a back end.
 type Load struct {
 	Running, Waiting, Slots int
-	// ServiceTime is how long a long request uses a slot on average, and ShortService
+	// ServiceTime is how long a long request uses a slot on average, and ShortServiceTime
 	// a short one.
-	ServiceTime, ShortService time.Duration
-	// ShortUpTo is the longest target of a short request.
-	ShortUpTo time.Duration
+	ServiceTime, ShortServiceTime time.Duration
+	// ShortMaxTarget is the longest target of a short request.
+	ShortMaxTarget time.Duration
 	// MaxRate is how many requests a second the back end can serve while it is cold; zero
 	// is unlimited.
 	MaxRate float64
@@ -105,13 +105,13 @@
 // Load returns the capacity and the load of the back end.
 func (q *SlotQueue) Load(now time.Time) Load {
 	return Load{
-		Running:      q.short.running + q.long.running,
-		Waiting:      q.short.waiting() + q.long.waiting(),
-		Slots:        q.capacity,
-		ServiceTime:  q.long.serviceTime,
-		ShortService: q.short.serviceTime,
-		ShortUpTo:    q.shortUpTo(),
-		MaxRate:      q.warmth.EnforcedRate(now),
+		Running:          q.short.running + q.long.running,
+		Waiting:          q.short.waiting() + q.long.waiting(),
+		Slots:            q.capacity,
+		ServiceTime:      q.long.serviceTime,
+		ShortServiceTime: q.short.serviceTime,
+		ShortMaxTarget:   q.shortMaxTarget(),
+		MaxRate:          q.warmUp.EnforcedRate(now),
 	}
 }
 
@@ -121,8 +121,8 @@
 	return q.short.running, q.long.running, q.lateRunning
 }
 
-// shortUpTo returns the longest target that counts as short.
-func (q *SlotQueue) shortUpTo() time.Duration {
+// shortMaxTarget returns the longest target that counts as short.
+func (q *SlotQueue) shortMaxTarget() time.Duration {
 	return time.Duration(shortTargetShare * float64(q.target))
 }
 
@@ -159,16 +159,16 @@
 	if q.short.busy < minBusy {
 		return 0
 	}
-	kept := int(math.Ceil(q.short.busy - minBusy))
+	count := int(math.Ceil(q.short.busy - minBusy))
 	if priority < q.short.priority {
-		kept = reservedForLessUrgent
+		count = reservedForLessUrgent
 	}
-	return min(kept, q.capacity/2)
+	return min(count, q.capacity/2)
 }
 
 // mayStart reports whether a request of a kind and priority may take a slot now.
 func (q *SlotQueue) mayStart(short bool, priority int, now time.Time) bool {
-	if q.short.running+q.long.running >= q.capacity || q.warmth.Wait(now) > 0 {
+	if q.short.running+q.long.running >= q.capacity || q.warmUp.Wait(now) > 0 {
 		return false
 	}
 	if short {
@@ -184,7 +184,7 @@
 	if q.target == 0 {
 		q.target = wanted.Target
 	}
-	arrived := &Ticket{Demand: wanted, Admitted: admitted, short: wanted.Target <= q.shortUpTo(), arrivedAt: now, position: -1}
+	arrived := &Ticket{Demand: wanted, Admitted: admitted, short: wanted.Target <= q.shortMaxTarget(), arrivedAt: now, position: -1}
 	use := q.use(arrived.short)
 	use.priority = wanted.Priority
 	if q.mayStart(arrived.short, wanted.Priority, now) && len(use.queue) == 0 {
@@ -271,7 +271,7 @@
 
 // RetryAfter counts a refusal and returns after how long there may be a slot for the request.
 func (q *SlotQueue) RetryAfter(target time.Duration, now time.Time) time.Duration {
-	use := q.use(target <= q.shortUpTo())
+	use := q.use(target <= q.shortMaxTarget())
 	rate := float64(q.capacity) / max(use.serviceTime, time.Millisecond).Seconds()
 	return use.refused.Add(rate, now)
 }
@@ -290,7 +290,7 @@
 		q.lateRunning++
 	}
 	next.admitted = true
-	q.warmth.Sent(now)
+	q.warmUp.Sent(now)
 }
 
 // admitFrom admits requests from one queue of each kind while there are free slots.
--- a/internal/overload/tickets.go
+++ b/internal/overload/tickets.go
@@ -10,22 +10,22 @@
 	// first.
 	Priority int
 	Due      time.Time
-	// Target is the time within which the answer is in time. Slots are reserved for
-	// requests with a short target: others that hold slots, here or elsewhere, may be
-	// waiting for their answers.
+	// Target is the time within which the response is in time. Slots are reserved for requests
+	// with a short target: others that hold slots, here or elsewhere, may be waiting for their
+	// responses.
 	Target time.Duration
-	// InTimeWait is how long the request may wait and still be answered in time, and Latest
+	// InTimeWait is how long the request may wait and still be answered in time, and MaxWait
 	// how long it may wait at all, if there are slots for late ones.
 	InTimeWait time.Duration
 	MaxWait    time.Duration
-	// OnlyHere says that no other back end can serve the request, as this one owns its key.
+	// OnlyHere is set if no other back end can serve the request, as this one owns its key.
 	OnlyHere bool
 }
 
 // Slot describes a slot that was given to a request.
 type Slot struct {
 	Short bool
-	// Late says that the request can no longer be answered in time.
+	// Late is set if the request can no longer be answered in time.
 	Late   bool
 	Target time.Duration
 }
--- a/internal/warmup/share.go
+++ b/internal/warmup/share.go
@@ -11,10 +11,10 @@
 	at     time.Time
 }
 
-// Take reports whether the sender may send a request now, and if so counts it. Rate is the
-// back end's limit in requests per second, and senders is the number of senders. Draw is a
-// random number from 0 to 1 and becomes the share's first tokens, so that senders don't all
-// begin at the same time.
+// Take reports whether the sender may send a request now, and if so counts it. rate is the back
+// end's limit in requests per second, and senders is the number of senders. draw is a random
+// number from 0 to 1 and becomes the share's first tokens, so that senders don't all begin at
+// the same time.
 func (s *Share) Take(rate float64, senders int, draw float64, now time.Time) bool {
 	if !s.Available(rate, senders, draw, now) {
 		return false
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -64,19 +64,19 @@
 	l.assumedColdUntil = now.Add(l.coldTime)
 }
 
-// StateUnknown reports whether the back end should be asked for its state.
+// StateUnknown reports whether the back end should be probed for its state.
 func (l *Limiter) StateUnknown() bool { return l.stateUnknown && l.rate > 0 }
 
-// RecordAnswer records how much longer the back end stays cold, as it answered a question that was
-// asked after the last call of Suspect.
-func (l *Limiter) RecordAnswer(left time.Duration, now time.Time) {
+// RecordProbe records how much longer the back end stays cold, as it reported in its response
+// to a probe that was sent after the last call of MarkUnknown.
+func (l *Limiter) RecordProbe(left time.Duration, now time.Time) {
 	l.stateUnknown = false
 	l.RecordReport(left, now)
 }
 
-// RecordReport records how much longer the back end stays cold, as it reported in any other message.
-// Such a message may be older than an event that made the back end cold: it never shortens
-// the cold time, and one that reports a warm back end doesn't clear an unknown state.
+// RecordReport records how much longer the back end stays cold, as it reported in any other
+// message. Such a message may be older than an event that made the back end cold: it never
+// shortens the cold time, and one that reports a warm back end doesn't clear an unknown state.
 func (l *Limiter) RecordReport(left time.Duration, now time.Time) {
 	if left > 0 {
 		l.stateUnknown = false
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -47,7 +47,7 @@
 func TestColdBackEndGetsItsConfiguredRate(t *testing.T) {
 	l := &warmup.Limiter{}
 	l.Configure(rate, coldTime)
-	l.RecordAnswer(10*time.Second, start)
+	l.RecordProbe(10*time.Second, start)
 	sent := sendAll(l, start, 8*time.Second)
 	assert.Assert(t, float64(maxPerSecond(sent)) <= maxInAnySecond, "%d in one second", maxPerSecond(sent))
 	assert.Assert(t, float64(len(sent)) >= 0.95*8*rate, "%d in 8 s", len(sent))
@@ -61,7 +61,7 @@
 		l.Sent(start.Add(time.Duration(i) * 5 * time.Millisecond))
 	}
 	now := start.Add(time.Second)
-	l.RecordAnswer(5*time.Second, now)
+	l.RecordProbe(5*time.Second, now)
 	assert.Assert(t, l.Wait(now) > 900*time.Millisecond)
 	assert.Assert(t, l.Wait(now) < 1200*time.Millisecond)
 }
@@ -73,7 +73,7 @@
 	l.MarkUnknown(start)
 	assert.Assert(t, l.Cold(start) && l.StateUnknown())
 	assert.Equal(t, l.EnforcedRate(start), rate)
-	l.RecordAnswer(0, start)
+	l.RecordProbe(0, start)
 	assert.Assert(t, !l.Cold(start) && !l.StateUnknown())
 	assert.Equal(t, l.EnforcedRate(start), 0.0)
 }
@@ -89,7 +89,7 @@
 	assert.Assert(t, l.Cold(start) && !l.StateUnknown(), "the back end has reported its cold time")
 }
 
-// A back end that never answers isn't considered cold forever.
+// A back end that never responds isn't considered cold forever.
 func TestUnknownStateExpires(t *testing.T) {
 	l := &warmup.Limiter{}
 	l.Configure(rate, coldTime)
@@ -102,11 +102,11 @@
 func TestLateMessageDoesNotShortenTheColdTime(t *testing.T) {
 	l := &warmup.Limiter{}
 	l.Configure(rate, coldTime)
-	l.RecordAnswer(3*time.Second, start)
-	l.RecordAnswer(0, start.Add(100*time.Millisecond))
+	l.RecordProbe(3*time.Second, start)
+	l.RecordProbe(0, start.Add(100*time.Millisecond))
 	assert.Assert(t, l.Cold(start.Add(2*time.Second)))
 	assert.Assert(t, !l.Cold(start.Add(3*time.Second)))
-	l.RecordAnswer(3*time.Second, start.Add(4*time.Second))
+	l.RecordProbe(3*time.Second, start.Add(4*time.Second))
 	l.Reset()
 	assert.Assert(t, !l.Cold(start.Add(4*time.Second)), "after a restart")
 	assert.Equal(t, l.Rate(), rate)
@@ -117,7 +117,7 @@
 	l := &warmup.Limiter{}
 	l.Configure(-1, coldTime)
 	l.MarkUnknown(start)
-	l.RecordAnswer(time.Hour, start)
+	l.RecordProbe(time.Hour, start)
 	l.Sent(start)
 	assert.Equal(t, l.Wait(start), time.Duration(0))
 	assert.Assert(t, !l.StateUnknown())
