--- a/internal/configlease/grantor.go
+++ b/internal/configlease/grantor.go
@@ -7,7 +7,7 @@
 	"github.com/quartzdock/quartzdock/internal/routeconfig"
 )
 
-// Gateway identifies one process of a gateway.
+// Gateway identifies one gateway process.
 type Gateway struct {
 	Node string
 	// Boot is a random number chosen at each start.
@@ -18,9 +18,9 @@
 // leadership. It is not safe for concurrent use.
 type Grantor struct {
 	terms Terms
-	// earlierLeasesEnd is when all leases granted by earlier leaders have ended.
-	earlierLeasesEnd time.Duration
-	gateways         map[Gateway]*gatewayLeases
+	// earlierLeasesExpireAt is when all leases granted by earlier leaders have expired.
+	earlierLeasesExpireAt time.Duration
+	gateways              map[Gateway]*gatewayLeases
 }
 
 // gatewayLeases has the configurations that one gateway may use.
@@ -33,19 +33,19 @@
 
 // grant is a lease of a version, and of none that is older, until a time.
 type grant struct {
-	version routeconfig.Version
-	until   time.Duration
+	version   routeconfig.Version
+	expiresAt time.Duration
 }
 
 // NewGrantor returns the grantor of a leader whose predecessors' leadership leases ended at
 // earlierEnd.
 func NewGrantor(terms Terms, earlierEnd time.Duration) *Grantor {
-	return &Grantor{terms: terms, earlierLeasesEnd: max(earlierEnd, 0) + terms.Validity(), gateways: map[Gateway]*gatewayLeases{}}
+	return &Grantor{terms: terms, earlierLeasesExpireAt: max(earlierEnd, 0) + terms.Validity(), gateways: map[Gateway]*gatewayLeases{}}
 }
 
 // Grant handles a report of a gateway that has a version in force. It returns the duration of
-// the lease of the current version that the answer grants, counted from when the report was
-// sent. The current version must be sent in the answer or before it.
+// the lease of the current version that the response grants, counted from when the report was
+// sent. The current version must be sent in the response or before it.
 func (g *Grantor) Grant(gateway Gateway, confirmed, current routeconfig.Version, now time.Duration) time.Duration {
 	known, ok := g.gateways[gateway]
 	if !ok {
@@ -54,9 +54,9 @@
 	}
 	known.confirm(confirmed)
 	known.grants = slices.DeleteFunc(known.grants, func(earlier grant) bool {
-		return earlier.version < known.confirmed || earlier.version == current || earlier.until <= now
+		return earlier.version < known.confirmed || earlier.version == current || earlier.expiresAt <= now
 	})
-	known.grants = append(known.grants, grant{version: current, until: now + g.terms.Validity()})
+	known.grants = append(known.grants, grant{version: current, expiresAt: now + g.terms.Validity()})
 	return g.terms.Validity()
 }
 
@@ -73,7 +73,7 @@
 // will use an older one after ApplyWithin.
 func (g *Grantor) MayAcknowledge(version routeconfig.Version, now time.Duration) bool {
 	latest := now + g.terms.ApplyWithin
-	if g.earlierLeasesEnd > latest {
+	if g.earlierLeasesExpireAt > latest {
 		return false
 	}
 	for _, known := range g.gateways {
@@ -88,7 +88,7 @@
 // after a time.
 func (l *gatewayLeases) mayServeOlderAfter(version routeconfig.Version, latest time.Duration) bool {
 	return l.confirmed < version && slices.ContainsFunc(l.grants, func(lease grant) bool {
-		return lease.version < version && lease.until > latest
+		return lease.version < version && lease.expiresAt > latest
 	})
 }
 
@@ -104,10 +104,10 @@
 	return names
 }
 
-// Expire drops the gateways whose leases have all ended.
+// Expire drops the gateways whose leases have all expired.
 func (g *Grantor) Expire(now time.Duration) {
 	for gateway, known := range g.gateways {
-		if !slices.ContainsFunc(known.grants, func(lease grant) bool { return lease.until > now }) {
+		if !slices.ContainsFunc(known.grants, func(lease grant) bool { return lease.expiresAt > now }) {
 			delete(g.gateways, gateway)
 		}
 	}
--- a/internal/configlease/grantor_test.go
+++ b/internal/configlease/grantor_test.go
@@ -14,7 +14,7 @@
 
 const (
 	second = time.Second
-	// start is when the leases of earlier leaders have ended.
+	// start is when the leases of earlier leaders have expired.
 	start = time.Minute
 )
 
@@ -48,7 +48,7 @@
 	assert.Assert(t, g.MayAcknowledge(2, start+terms.AcknowledgeWithin))
 }
 
-// A gateway that goes on reporting without confirming gets the new version with each answer,
+// A gateway that goes on reporting without confirming gets the new version with each response,
 // so that its reports don't prolong the delay.
 func TestGatewayWithoutConfirmationDelaysForBoundedTime(t *testing.T) {
 	g := settled()
@@ -94,11 +94,11 @@
 	name    configlease.Gateway
 	version routeconfig.Version
 	until   time.Duration
-	// answers in flight, which may arrive in any later step, in their order.
-	answers []answer
+	// responses in flight, which may arrive in any later step, in their order.
+	responses []response
 }
 
-type answer struct {
+type response struct {
 	version routeconfig.Version
 	until   time.Duration
 }
@@ -120,14 +120,14 @@
 			case 1: // a report that took a while
 				sent := now - time.Duration(rapid.IntRange(0, 900).Draw(t, "way"))*time.Millisecond
 				validity := g.Grant(gateway.name, gateway.version, current, now)
-				gateway.answers = append(gateway.answers, answer{current, sent + validity})
+				gateway.responses = append(gateway.responses, response{current, sent + validity})
 			case 2:
-				if len(gateway.answers) > 0 {
-					gateway.version, gateway.until = gateway.answers[0].version, max(gateway.until, gateway.answers[0].until)
-					gateway.answers = gateway.answers[1:]
+				if len(gateway.responses) > 0 {
+					gateway.version, gateway.until = gateway.responses[0].version, max(gateway.until, gateway.responses[0].until)
+					gateway.responses = gateway.responses[1:]
 				}
-			case 3: // the session ends, and the answers in flight are lost
-				gateway.answers = nil
+			case 3: // the session ends, and the responses in flight are lost
+				gateway.responses = nil
 			case 4:
 				g.Expire(now)
 			}
@@ -145,7 +145,7 @@
 	})
 }
 
-func BenchmarkInForceInTime(b *testing.B) {
+func BenchmarkMayAcknowledge(b *testing.B) {
 	g := settled()
 	for i := range 1100 {
 		g.Grant(configlease.Gateway{Node: string(rune('a' + i)), Boot: uint64(i)}, 1, 2, start)
--- a/internal/configlease/standings_test.go
+++ b/internal/configlease/logstates_test.go
@@ -20,23 +20,23 @@
 	return voters
 }
 
-// Half of a group of even size is no majority, and an answer counts from when the question was
+// Half of a group of even size is no majority, and a response counts from when the request was
 // sent.
-func TestMajorityIsAsOldAsItsOldestAnswer(t *testing.T) {
+func TestMajorityIsAsOldAsItsOldestResponse(t *testing.T) {
 	var s configlease.LogStates
 	voters := votersUpTo(4)
-	for i, asked := range []time.Duration{second, 3 * second} {
-		s.Record(configlease.LogState{Asked: asked, Member: voters[i], Voters: voters, Version: 1})
+	for i, requestedAt := range []time.Duration{second, 3 * second} {
+		s.Record(configlease.LogState{RequestedAt: requestedAt, Member: voters[i], Voters: voters, Version: 1})
 	}
 	_, ok := s.NothingNewerSince(1, 1, 0)
 	assert.Assert(t, !ok, "two of four")
-	s.Record(configlease.LogState{Asked: 2 * second, Member: 3, Voters: voters, Version: 1})
+	s.Record(configlease.LogState{RequestedAt: 2 * second, Member: 3, Voters: voters, Version: 1})
 	since, ok := s.NothingNewerSince(1, 1, 0)
 	assert.Assert(t, ok && since == second)
-	s.Record(configlease.LogState{Asked: 4 * second, Member: 4, Voters: voters, Version: 1})
+	s.Record(configlease.LogState{RequestedAt: 4 * second, Member: 4, Voters: voters, Version: 1})
 	since, _ = s.NothingNewerSince(1, 1, 0)
-	assert.Equal(t, since, 2*second, "three of them have answered since")
-	s.Record(configlease.LogState{Asked: 5 * second, Member: 3, Voters: voters, Version: 1, EvacuationsIndex: 7})
+	assert.Equal(t, since, 2*second, "three of them have responded since")
+	s.Record(configlease.LogState{RequestedAt: 5 * second, Member: 3, Voters: voters, Version: 1, EvacuationsIndex: 7})
 	since, _ = s.NothingNewerSince(1, 1, 0)
 	assert.Equal(t, since, second)
 }
@@ -44,7 +44,7 @@
 // However leaders change and whatever is lost or delayed, no gateway uses an older version
 // ApplyWithin after a newer one was accepted. Leaders are not modelled: any voter may have a
 // newer entry that the majority doesn't have, and entries of a minority may be lost again.
-func TestNoGatewayUsesOlderConfigurationByMajorityAnswers(t *testing.T) {
+func TestNoGatewayUsesOlderConfigurationByMajorityResponses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := start
 		voters := votersUpTo(rapid.IntRange(1, 8).Draw(t, "voters"))
@@ -74,10 +74,10 @@
 				}
 			case 1: // an entry that the majority doesn't have is lost
 				logs[i] = min(logs[i], committed)
-			case 2: // a voter answers a question that was sent a while before
-				asked := now - time.Duration(rapid.IntRange(0, 900).Draw(t, "way"))*time.Millisecond
-				inFlight = append(inFlight, configlease.LogState{Asked: asked, Member: voters[i], Voters: voters, Version: logs[i]})
-			case 3: // an answer arrives, in any order
+			case 2: // a voter responds to a request that was sent a while before
+				requestedAt := now - time.Duration(rapid.IntRange(0, 900).Draw(t, "way"))*time.Millisecond
+				inFlight = append(inFlight, configlease.LogState{RequestedAt: requestedAt, Member: voters[i], Voters: voters, Version: logs[i]})
+			case 3: // a response arrives, in any order
 				if len(inFlight) > 0 {
 					at := rapid.IntRange(0, len(inFlight)-1).Draw(t, "answer")
 					s.Record(inFlight[at])
--- a/internal/configlease/terms.go
+++ b/internal/configlease/terms.go
@@ -4,13 +4,13 @@
 //
 // # Why no request is served with a replaced configuration
 //
-// The leader's answer to a gateway's report carries everything that was accepted before the
-// report was handled, and grants a lease of that configuration for Terms.Validity from when
-// the report was sent. A gateway without a lease serves no requests. The leader acknowledges
-// a configuration to an operator once every gateway that may use an older one will stop doing
-// so within Terms.ApplyWithin: it has confirmed the new one, or its lease of the older one
-// ends by then. So it does not matter which process is suspended, or for how long: the lease
-// ends by the gateway's own clock.
+// The leader's response to a gateway's report carries everything that was accepted before the
+// report was handled, and grants a lease of that configuration for Terms.Validity from when the
+// report was sent. A gateway without a lease serves no requests. The leader acknowledges a
+// configuration to an operator once every gateway that may use an older one will stop doing so
+// within Terms.ApplyWithin: it has confirmed the new one, or its lease of the older one expires
+// by then. So it does not matter which process is suspended, or for how long: the lease expires
+// by the gateway's own clock.
 //
 // A new leader does not know the leases that its predecessors granted. It assumes that every
 // gateway got one at the end of their leadership leases.
@@ -35,12 +35,12 @@
 // Defaults of Terms.
 const (
 	DefaultApplyWithin = 2 * time.Second
-	// DefaultAcknowledgeWithin is less than the second after which operators' programs
-	// try another controller.
+	// DefaultAcknowledgeWithin is less than the second after which operators' programs connect
+	// to another controller.
 	DefaultAcknowledgeWithin = 750 * time.Millisecond
 	// minValidity lets gateways go on serving while a leader is replaced: a gateway that
 	// reports every 0.5 s detects the leader's silence after 1.6 s more and has the next
-	// leader's answer 0.2 s later.
+	// leader's response 0.2 s later.
 	minValidity = 2500 * time.Millisecond
 )
 
--- a/internal/gateway/majority.go
+++ b/internal/gateway/majority.go
@@ -21,7 +21,7 @@
 		return
 	}
 	s.logStates.Record(configlease.LogState{
-		Asked: requestedAt, Member: state.Member, Voters: state.Voters, Version: state.Version, EvacuationsIndex: state.EvacuationsIndex,
+		RequestedAt: requestedAt, Member: state.Member, Voters: state.Voters, Version: state.Version, EvacuationsIndex: state.EvacuationsIndex,
 	})
 	since, ok := s.logStates.NothingNewerSince(state.Member, v.version(), v.evacuationsIndex)
 	if !ok {
