--- a/internal/keyhold/bound.go
+++ b/internal/keyhold/bound.go
@@ -1,12 +1,12 @@
 // Package keyhold computes an upper bound on how long a back end may hold keys, from the grants
-// that it was sent and its answers. It does no I/O and reads no clock: readings of the sender's
-// clock go in.
+// that it was sent and its responses. It does no I/O and reads no clock: readings of the
+// sender's clock go in.
 //
 // A back end counts the duration of a grant from its arrival, which the sender doesn't know: if
 // the sender is suspended between creating a grant and sending it, the grant arrives later by
-// that time. So the keys never count as free while a grant is in flight, and its duration counts
-// from its answer. That the back end seems to have ended changes nothing: one that refuses
-// connections may still run, and what it holds expires by itself.
+// that time. So the keys never count as free while a grant is in flight, and its duration
+// counts from its response. That the back end seems to have crashed changes nothing: one that
+// refuses connections may still run, and what it holds expires by itself.
 package keyhold
 
 import "time"
@@ -38,7 +38,7 @@
 	b.Extend(now, b.hold)
 }
 
-// Unanswered records that no answer to the grant in flight is awaited any more. It may still
+// Unanswered records that no response to the grant in flight is awaited any more. It may still
 // arrive until the time arrives; if it is applied later, its fence alone makes it ineffective.
 func (b *Bound) Unanswered(now, arrives time.Time) {
 	if arrives.Before(now) {
--- a/internal/keyhold/bound_test.go
+++ b/internal/keyhold/bound_test.go
@@ -63,9 +63,9 @@
 			if arrived.After(heldUntil) {
 				heldUntil = arrived
 			}
-			pass("before the answer")
+			pass("before the response")
 			bound.Answered(now)
-			pass("after the answer")
+			pass("after the response")
 		}
 	})
 }
--- a/internal/keylease/instances.go
+++ b/internal/keylease/instances.go
@@ -13,14 +13,14 @@
 	fleetwire.Instance
 	firstSeen    time.Duration
 	lastReportAt time.Duration
-	// leasedUntil is when the last lease given to it ends.
+	// leasedUntil is when the last lease given to it expires.
 	leasedUntil time.Duration
 	load        loadTable
 	// runs measures how long its requests run.
 	runs runTimes
 	// boot identifies the gateway process that sent the last report.
 	boot uint64
-	// silent is set while its gateway has not heard from it for some time.
+	// silent is set while its gateway has received nothing from it for some time.
 	silent bool
 }
 
@@ -39,8 +39,8 @@
 	return all
 }
 
-// InstanceAt returns the last reported state of the instance behind a gateway, nil
-// where there is none.
+// InstanceAt returns the last reported state of a gateway's local back end, nil if there is
+// none.
 func (p *Planner) InstanceAt(node string) *fleetwire.Instance {
 	known := p.instances[p.nodes[node]]
 	if known == nil {
@@ -55,7 +55,7 @@
 func (p *Planner) updateInstance(reported *fleetwire.Instance, now time.Duration) *instance {
 	known, ok := p.instances[reported.ID]
 	if !ok {
-		known = &instance{Instance: *reported, firstSeen: now, leasedUntil: p.earlierLeasesEnd}
+		known = &instance{Instance: *reported, firstSeen: now, leasedUntil: p.earlierLeasesExpireAt}
 		p.instances[reported.ID] = known
 		p.revision++
 	}
@@ -82,10 +82,10 @@
 	return known
 }
 
-// replaceEarlierIncarnations makes the reported incarnation the current one behind its
-// gateway. Earlier ones, including those known only as owners of keys, get no new keys, but
-// keep those that they hold until their leases end: such a process may still run and have
-// closed only its listener.
+// replaceEarlierIncarnations makes the reported incarnation the current one of its gateway.
+// Earlier ones, including those known only as owners of keys, get no new keys, but keep those
+// that they hold until their leases expire: such a process may still run and have closed only
+// its listener.
 func (p *Planner) replaceEarlierIncarnations(reported *fleetwire.Instance) {
 	earlier := p.nodes[reported.Node]
 	if earlier == reported.ID {
@@ -98,7 +98,7 @@
 	for service, owners := range p.state.AllOwners() {
 		for _, owned := range owners.All() {
 			if owned.Node == reported.Node && owned.Owner != reported.ID && p.instances[owned.Owner] == nil {
-				former := &instance{Instance: fleetwire.Instance{ID: owned.Owner, Service: service, Node: owned.Node}, leasedUntil: p.earlierLeasesEnd}
+				former := &instance{Instance: fleetwire.Instance{ID: owned.Owner, Service: service, Node: owned.Node}, leasedUntil: p.earlierLeasesExpireAt}
 				p.instances[owned.Owner] = former
 				p.supersede(former)
 			}
@@ -178,5 +178,5 @@
 		first = min(first, target.firstSeen)
 		last = max(last, target.firstSeen)
 	}
-	return now > last+p.config.SettleTime || now > first+p.config.LongestSettle
+	return now > last+p.config.SettleTime || now > first+p.config.MaxSettleTime
 }
--- a/internal/keylease/load.go
+++ b/internal/keylease/load.go
@@ -104,16 +104,16 @@
 	ready = p.moveHotBuckets(used, ready, now)
 	ordered := used.byLoad(ready)
 	for len(ordered) >= 2 {
-		least, most := ordered[0], ordered[len(ordered)-1]
+		target, source := ordered[0], ordered[len(ordered)-1]
 		ordered = ordered[1:]
-		if len(used.ownedBy(least.ID)) >= maxOwnedRanges {
+		if len(used.ownedBy(target.ID)) >= maxOwnedRanges {
 			continue
 		}
-		low, high := used.utilization(least), used.utilization(most)
-		if (high < busyUtilization || high-low < minImbalance) && !used.needsFirstKeys(least, now) {
+		low, high := used.utilization(target), used.utilization(source)
+		if (high < busyUtilization || high-low < minImbalance) && !used.needsFirstKeys(target, now) {
 			return
 		}
-		if !p.equalize(used, most, least, now) {
+		if !p.equalize(used, source, target, now) {
 			ordered = ordered[:len(ordered)-1]
 			continue
 		}
@@ -121,17 +121,17 @@
 	}
 }
 
-// equalize starts to move as much load from one back end to another as makes their
-// utilizations equal, and reports whether there was anything to move.
-func (p *Planner) equalize(used *usage, most, least *instance, now time.Duration) bool {
-	difference := used.utilization(most) - used.utilization(least)
-	ratio := used.runTimeRatio(least) / used.runTimeRatio(most)
-	wanted := difference / (1/float64(max(most.Slots, 1)) + ratio/float64(max(least.Slots, 1)))
+// equalize starts to move as much load from a source to a target as makes their utilizations
+// equal, and reports whether there was anything to move.
+func (p *Planner) equalize(used *usage, source, target *instance, now time.Duration) bool {
+	difference := used.utilization(source) - used.utilization(target)
+	ratio := used.runTimeRatio(target) / used.runTimeRatio(source)
+	wanted := difference / (1/float64(max(source.Slots, 1)) + ratio/float64(max(target.Slots, 1)))
 	// The demand on a full back end may be many times its slots.
-	wanted = min(wanted, maxMovedShare*float64(most.Slots))
-	chosen := p.chooseParts(p.unmovedParts(used, most), most, wanted)
+	wanted = min(wanted, maxMovedShare*float64(source.Slots))
+	chosen := p.chooseParts(p.unmovedParts(used, source), source, wanted)
 	for _, part := range chosen {
-		p.startMove(used.service, part.from, part.keys, least.ID, now)
+		p.startMove(used.service, part.from, part.keys, target.ID, now)
 	}
 	return len(chosen) > 0
 }
--- a/internal/keylease/merge.go
+++ b/internal/keylease/merge.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// mergeThreshold is the number of ranges of one owner from which its adjacent
-	// ranges are merged. Each range takes an entry in a lease and in the answer to a
-	// heartbeat, which is limited to gateway.MaxOfferedRanges.
+	// mergeThreshold is the number of ranges of one owner from which its adjacent ranges are
+	// merged. Each range takes an entry in a lease and in the response to a heartbeat, which is
+	// limited to gateway.MaxOfferedRanges.
 	mergeThreshold = 16
 	// maxOwnedRanges is the number of ranges from which an owner gets no more keys by
 	// load balancing.
@@ -87,8 +87,8 @@
 	return changes
 }
 
-// canMerge reports whether next may be merged with an earlier range: a ready back
-// end holds both through the same process of its gateway.
+// canMerge reports whether next may be merged with an earlier range: a ready back end holds
+// both through the same gateway process.
 func (p *Planner) canMerge(service string, earlier, next keyspace.Assignment, now time.Duration) bool {
 	owner, ok := p.instances[earlier.Owner]
 	if !ok || owner.State != fleetwire.InstanceReady || owner.boot != earlier.Boot {
--- a/internal/keylease/moves.go
+++ b/internal/keylease/moves.go
@@ -16,8 +16,8 @@
 	began   time.Duration
 	// to is the preferred target; another one is chosen if it is lost.
 	to string
-	// leasesEndAt is when every lease that lists the range has ended.
-	leasesEndAt time.Duration
+	// leasesExpireAt is when every lease that lists the range has expired.
+	leasesExpireAt time.Duration
 	// released is set once the gateway has confirmed the release, and handover is what
 	// the back end left for the next owner.
 	released bool
@@ -65,26 +65,26 @@
 // small range goes to one target.
 func (p *Planner) spread(service string, from keyspace.Assignment, keys keyspace.Range, targets []*instance, now time.Duration) {
 	parts := divide(keys, min(len(targets), 1+keys.Size()/maxUndividedSize))
-	least := p.usageOf(service, now).leastLoaded(targets, len(parts))
+	leastLoaded := p.usageOf(service, now).leastLoaded(targets, len(parts))
 	for i, part := range parts {
-		p.startMove(service, from, part, least[i].ID, now)
+		p.startMove(service, from, part, leastLoaded[i].ID, now)
 	}
 }
 
 // startMove starts a move. From now on no lease lists the range as held.
 func (p *Planner) startMove(service string, from keyspace.Assignment, keys keyspace.Range, to string, now time.Duration) {
-	leasesEnd := p.earlierLeasesEnd
+	leasesEnd := p.earlierLeasesExpireAt
 	if owner, ok := p.instances[from.Owner]; ok {
 		leasesEnd = owner.leasedUntil
 	}
 	p.nodesToReport[from.Node] = true
 	started := &move{
-		service:     service,
-		held:        fleetwire.Held{Keys: keys, Fence: from.Fence},
-		from:        from.Owner,
-		began:       now,
-		to:          to,
-		leasesEndAt: leasesEnd,
+		service:        service,
+		held:           fleetwire.Held{Keys: keys, Fence: from.Fence},
+		from:           from.Owner,
+		began:          now,
+		to:             to,
+		leasesExpireAt: leasesEnd,
 	}
 	p.usageOf(service, now).applyMove(started)
 	p.moves = append(p.moves, started)
@@ -96,9 +96,9 @@
 	var changes []fleetstate.OwnershipChange
 	for _, moving := range p.moves {
 		if owner, ok := p.instances[moving.from]; ok && owner.leasedUntil == 0 {
-			moving.leasesEndAt = 0
+			moving.leasesExpireAt = 0
 		}
-		if !moving.released && now <= moving.leasesEndAt {
+		if !moving.released && now <= moving.leasesExpireAt {
 			continue
 		}
 		to := p.target(moving, now)
--- a/internal/keylease/owners.go
+++ b/internal/keylease/owners.go
@@ -65,9 +65,8 @@
 	return divided
 }
 
-// moveFromEnded starts moves for the ranges of owners that drain, have ended or are
-// lost.
-func (p *Planner) moveFromEnded(service string, now time.Duration) {
+// moveFromUnavailable starts moves for the ranges of owners whose keys should move away.
+func (p *Planner) moveFromUnavailable(service string, now time.Duration) {
 	targets := p.usageOf(service, now).targets
 	if len(targets) == 0 {
 		return
@@ -96,26 +95,27 @@
 	return ok && owner.boot != 0 && owner.boot != assignment.Boot && owner.State != fleetwire.InstanceGone
 }
 
-// successor returns the next incarnation of an ended owner if it has no keys yet. It
-// then gets all keys of that owner.
-func (p *Planner) successor(used *usage, ended keyspace.Assignment) *instance {
+// successor returns the next incarnation of a former owner if it has no keys yet. It then gets
+// all keys of that owner.
+func (p *Planner) successor(used *usage, former keyspace.Assignment) *instance {
 	for _, target := range used.targets {
-		if target.Node == ended.Node && len(used.ownedBy(target.ID)) == 0 {
+		if target.Node == former.Node && len(used.ownedBy(target.ID)) == 0 {
 			return target
 		}
 	}
 	return nil
 }
 
-// shouldLoseKeys reports whether an owner's keys should move away: it drains, has
-// ended or is silent, its zone is evacuated, or its lease has ended.
+// shouldLoseKeys reports whether an owner's keys should move away: it drains or is silent, its
+// zone is evacuated, or its lease has expired. An unreachable owner keeps its keys until its
+// lease expires.
 func (p *Planner) shouldLoseKeys(owner string, now time.Duration) bool {
 	known, ok := p.instances[owner]
 	if !ok {
-		return now > p.earlierLeasesEnd
+		return now > p.earlierLeasesExpireAt
 	}
 	if known.State == fleetwire.InstanceGone {
-		// Until its lease ends it may become reachable again and keep its keys.
+		// Until its lease expires it may become reachable again and keep its keys.
 		return now > known.leasedUntil
 	}
 	if known.State != fleetwire.InstanceReady || known.silent || p.state.Evacuated(known.Zone) {
--- a/internal/keylease/planner.go
+++ b/internal/keylease/planner.go
@@ -13,7 +13,7 @@
 //   - The gateway confirmed (fleetwire.Released) that its back end will not
 //     serve the range again under its fence. The range has been left out of all
 //     leases since the release was requested.
-//   - Every lease that listed the range has ended at the leader. The gateway
+//   - Every lease that listed the range has expired at the leader. The gateway
 //     counts a lease from when it sent its report, which is earlier.
 //   - The gateway reported that all its grants have expired: those of the current
 //     incarnation of its back end (fleetwire.Instance.Released), or those of earlier
@@ -41,9 +41,9 @@
 	// LeaseDuration of a gateway's lease.
 	LeaseDuration time.Duration
 	// SettleTime is how long the first assignment of keys waits after the last new
-	// back end appeared. It waits at most LongestSettle in all.
+	// back end appeared. It waits at most MaxSettleTime in all.
 	SettleTime    time.Duration
-	LongestSettle time.Duration
+	MaxSettleTime time.Duration
 	// RebalanceInterval between two decisions about load.
 	RebalanceInterval time.Duration
 	// SilentAfter is how long after its last report a gateway is given no new keys.
@@ -58,7 +58,7 @@
 const (
 	DefaultLeaseDuration     = 8 * time.Second
 	DefaultSettleTime        = 700 * time.Millisecond
-	DefaultLongestSettle     = 3 * time.Second
+	DefaultMaxSettleTime     = 3 * time.Second
 	DefaultRebalanceInterval = 200 * time.Millisecond
 	DefaultSilentAfter       = 2500 * time.Millisecond
 	DefaultWarmUp            = 300 * time.Millisecond
@@ -67,7 +67,7 @@
 func (c Config) withDefaults() Config {
 	c.LeaseDuration = cmp.Or(c.LeaseDuration, DefaultLeaseDuration)
 	c.SettleTime = cmp.Or(c.SettleTime, DefaultSettleTime)
-	c.LongestSettle = cmp.Or(c.LongestSettle, DefaultLongestSettle)
+	c.MaxSettleTime = cmp.Or(c.MaxSettleTime, DefaultMaxSettleTime)
 	c.RebalanceInterval = cmp.Or(c.RebalanceInterval, DefaultRebalanceInterval)
 	c.SilentAfter = cmp.Or(c.SilentAfter, DefaultSilentAfter)
 	c.WarmUp = cmp.Or(c.WarmUp, DefaultWarmUp)
@@ -79,11 +79,11 @@
 type Planner struct {
 	config Config
 	state  *fleetstate.State
-	// earlierLeasesEnd is when the leases of earlier leaders have ended; began is when
+	// earlierLeasesExpireAt is when the leases of earlier leaders have expired; began is when
 	// this term began.
-	earlierLeasesEnd time.Duration
-	began            time.Duration
-	instances        map[string]*instance
+	earlierLeasesExpireAt time.Duration
+	began                 time.Duration
+	instances             map[string]*instance
 	// nodes maps each gateway to the ID of its current instance.
 	nodes map[string]string
 	// superseded has, for each gateway, the earlier incarnations that may hold keys.
@@ -107,14 +107,14 @@
 func New(config Config, state *fleetstate.State, earlierEnd, now time.Duration) *Planner {
 	config = config.withDefaults()
 	return &Planner{
-		config:           config,
-		state:            state,
-		began:            now,
-		earlierLeasesEnd: max(earlierEnd, 0) + config.LeaseDuration,
-		instances:        map[string]*instance{},
-		nodes:            map[string]string{},
-		superseded:       map[string][]string{},
-		nodesToReport:    map[string]bool{},
+		config:                config,
+		state:                 state,
+		began:                 now,
+		earlierLeasesExpireAt: max(earlierEnd, 0) + config.LeaseDuration,
+		instances:             map[string]*instance{},
+		nodes:                 map[string]string{},
+		superseded:            map[string][]string{},
+		nodesToReport:         map[string]bool{},
 	}
 }
 
@@ -168,7 +168,7 @@
 		if !moving.released && !moving.proposed {
 			asked := moving.held
 			if asked.MayCover = now < moving.began+coverPeriod; asked.MayCover {
-				moving.leasesEndAt = max(moving.leasesEndAt, now+lease.Duration)
+				moving.leasesExpireAt = max(moving.leasesExpireAt, now+lease.Duration)
 			}
 			lease.Release = append(lease.Release, asked)
 		}
@@ -202,7 +202,7 @@
 			continue
 		}
 		batch.Changes = append(batch.Changes, p.renewFences(service.Name)...)
-		p.moveFromEnded(service.Name, now)
+		p.moveFromUnavailable(service.Name, now)
 		batch.Changes = append(batch.Changes, p.firstOwners(service.Name, now)...)
 		batch.Changes = append(batch.Changes, p.mergeRanges(service.Name, now)...)
 		p.rebalance(service.Name, now)
--- a/internal/keylease/planner_test.go
+++ b/internal/keylease/planner_test.go
@@ -126,12 +126,12 @@
 		l.report(instance(1, 0))
 		l.advance(100 * time.Millisecond)
 	}
-	lastHeard := l.now
+	lastReported := l.now
 	for l.state.Owners(service).OwnedBy("i-0-0") != nil {
 		l.report(instance(1, 0))
 		l.advance(100 * time.Millisecond)
 	}
-	assert.Assert(t, l.now-lastHeard >= keylease.DefaultLeaseDuration-100*time.Millisecond, "%s", l.now-lastHeard)
+	assert.Assert(t, l.now-lastReported >= keylease.DefaultLeaseDuration-100*time.Millisecond, "%s", l.now-lastReported)
 }
 
 func TestNewLeaderWaitsForLeasesOfItsPredecessor(t *testing.T) {
@@ -343,7 +343,7 @@
 	assert.Assert(t, moved > 8192, "%d keys", moved)
 }
 
-// A back end that hangs behind a working gateway keeps its lease. Its keys move once they
+// A back end that hangs while its local gateway works keeps its lease. Its keys move once they
 // are released, and it gets none until it responds again.
 func TestSilentBackEndLosesKeysAndGetsNone(t *testing.T) {
 	l := newLeader()
--- a/internal/keylease/reportorder_test.go
+++ b/internal/keylease/reportorder_test.go
@@ -14,14 +14,14 @@
 type incarnationReport struct {
 	// reported is the reported incarnation; nil stands for the election of a new leader.
 	reported *fleetwire.Instance
-	// earlierReleased says that the gateway confirms that earlier incarnations hold no keys.
+	// earlierReleased is set if the gateway confirms that earlier incarnations hold no keys.
 	earlierReleased bool
 }
 
 // Reports of two incarnations arrive in any order, delayed or repeated, with changes of leader
 // between them. The earlier incarnation keeps its keys until the gateway confirms that they are
-// released, or until every lease has ended. The current incarnation is the one that was reported
-// last, except for delayed reports to the same leader.
+// released, or until every lease has expired. The current incarnation is the one that was
+// reported last, except for delayed reports to the same leader.
 func TestKeysOfEarlierIncarnationForAnyOrderOfReports(t *testing.T) {
 	earlier, next := instance(0, 0), instance(0, 1)
 	gone := instance(0, 0)
@@ -29,7 +29,7 @@
 	elected := incarnationReport{}
 	for name, test := range map[string]struct {
 		reports []incarnationReport
-		// keysMove says that the earlier incarnation's keys go to others within a second.
+		// keysMove is set if the earlier incarnation's keys go to others within a second.
 		keysMove bool
 	}{
 		"next incarnation, release confirmed":                          {[]incarnationReport{{next, true}}, true},
@@ -63,7 +63,7 @@
 			l.reportFor(time.Second, other)
 			assert.Equal(t, l.keysOf(earlier) == 0, test.keysMove)
 			l.reportFor(2*keylease.DefaultLeaseDuration, other)
-			assert.Equal(t, l.keysOf(earlier), 0, "every lease has ended")
+			assert.Equal(t, l.keysOf(earlier), 0, "every lease has expired")
 		})
 	}
 }
--- a/internal/keylease/runtimes.go
+++ b/internal/keylease/runtimes.go
@@ -116,8 +116,8 @@
 	return hottest, ok
 }
 
-// fastest returns the instance with the shortest run time among those with room, nil where
-// none has room.
+// fastest returns the instance with the shortest run time among those with room, nil if none
+// has room.
 func (u *usage) fastest(candidates []*instance) *instance {
 	candidates = slices.DeleteFunc(slices.Clone(candidates), func(candidate *instance) bool {
 		return u.utilization(candidate) >= busyUtilization || len(u.ownedBy(candidate.ID)) >= maxOwnedRanges
--- a/internal/keylease/runtimes_test.go
+++ b/internal/keylease/runtimes_test.go
@@ -50,8 +50,8 @@
 	return times
 }
 
-// A single key whose load exceeds the capacity of any back end goes to the fastest one: with
-// a third of the run time it answers three times as many requests.
+// A single key whose load exceeds the capacity of any back end goes to the fastest one: with a
+// third of the run time it serves three times as many requests.
 func TestHotKeyMovesFromSlowToFastestBackEnd(t *testing.T) {
 	l := newLeader()
 	const nodes, hot = 6, keyspace.Key(100)
--- a/internal/keylease/unreachable_test.go
+++ b/internal/keylease/unreachable_test.go
@@ -32,7 +32,7 @@
 	assert.Equal(t, l.keysOf(a), 0)
 }
 
-// If the release is never confirmed, the keys become free when the lease ends.
+// If the release is never confirmed, the keys become free when the lease expires.
 func TestKeysOfUnreachableOwnerMoveAfterItsLease(t *testing.T) {
 	l := newLeader()
 	a, b := instance(0, 0), instance(1, 0)
@@ -58,8 +58,8 @@
 	assert.Equal(t, l.keysOf(a), before)
 }
 
-// An earlier incarnation that only closed its listener holds its keys until their lease ends,
-// even if its gateway no longer reports anything about it.
+// An earlier incarnation that only closed its listener holds its keys until their lease
+// expires, even if its gateway no longer reports anything about it.
 func TestEarlierIncarnationKeepsKeysUntilItsLeaseEnds(t *testing.T) {
 	l := newLeader()
 	a, b := instance(0, 0), instance(1, 0)
--- a/internal/keylease/usage.go
+++ b/internal/keylease/usage.go
@@ -101,13 +101,13 @@
 	if count > 1 {
 		return u.byLoad(targets)[:count]
 	}
-	least := targets[0]
+	lowest := targets[0]
 	for _, target := range targets[1:] {
-		if u.utilization(target) < u.utilization(least) {
-			least = target
+		if u.utilization(target) < u.utilization(lowest) {
+			lowest = target
 		}
 	}
-	return []*instance{least}
+	return []*instance{lowest}
 }
 
 // loadOwnedBy returns the load of the buckets that an owner holds, in busy slots.
