--- a/internal/fleetcontroller/config.go
+++ b/internal/fleetcontroller/config.go
@@ -1,7 +1,7 @@
-// Package fleetcontroller is the controller of a fleet of gateways: a member of the group
-// that replicates the configuration and the owners of keys. The leader answers the
-// gateways' reports with leases, sends them the views by which they route requests, and
-// moves keys between owners.
+// Package fleetcontroller is the controller of a fleet of gateways: a member of the group that
+// replicates the configuration and the owners of keys. The leader responds to the gateways'
+// reports with leases, sends them the views by which they route requests, and moves keys
+// between owners.
 //
 // # Goroutines
 //
@@ -12,10 +12,10 @@
 //
 // # Automatic repair of the group
 //
-// A controller with an empty data folder requests admission from the others until the
-// leader has made it a voter (join.go). The leader removes a member that has lost its disk
-// when a new member requests admission from the same address, and a member that has been
-// silent for long while all others answer (members.go).
+// A controller with an empty data folder requests admission from the others until the leader
+// has made it a voter (join.go). The leader removes a member that has lost its disk when a new
+// member requests admission from the same address, and a member that has been silent for long
+// while all others respond (members.go).
 package fleetcontroller
 
 import (
@@ -55,7 +55,7 @@
 	HeartbeatInterval time.Duration
 	ElectionTimeout   time.Duration
 	TickInterval      time.Duration
-	// DeadAfter is how long a member must be silent to be removed, if all others answer.
+	// DeadAfter is how long a member must be silent to be removed, if all others respond.
 	DeadAfter time.Duration
 
 	Planner keylease.Config
--- a/internal/fleetcontroller/controller.go
+++ b/internal/fleetcontroller/controller.go
@@ -148,26 +148,26 @@
 // waitForGoroutines lets the sessions send their redirects, and closes the connections
 // that are still open after redirectTimeout.
 func (c *Controller) waitForGoroutines() {
-	ended := make(chan struct{})
+	finished := make(chan struct{})
 	go func() {
 		c.ended.Wait()
-		close(ended)
+		close(finished)
 	}()
-	if closedWithin(ended, redirectTimeout) {
+	if closedWithin(finished, redirectTimeout) {
 		return
 	}
 	c.config.Log.Info("connections closed because the sessions did not end in time", "connections", c.closeConnections())
-	if !closedWithin(ended, goroutineTimeout) {
+	if !closedWithin(finished, goroutineTimeout) {
 		c.config.Log.Warn("goroutines still running after the stop")
 	}
 }
 
 // closedWithin reports whether the channel is closed within the limit.
-func closedWithin(ended <-chan struct{}, limit time.Duration) bool {
+func closedWithin(channel <-chan struct{}, limit time.Duration) bool {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
-	case <-ended:
+	case <-channel:
 		return true
 	case <-timer.C:
 		return false
@@ -208,7 +208,7 @@
 	fields := []any{"base", uint64(change.Base), "digest", hex.EncodeToString(change.Digest[:4])}
 	switch {
 	case err != nil && isNotLeader(err):
-		return // nothing was done; the caller tries the leader
+		return // nothing was done; the caller repeats it at the leader
 	case err != nil:
 		fields = append(fields, "outcome", outcomeUnknown, "error", err)
 	default:
--- a/internal/fleetcontroller/controller_test.go
+++ b/internal/fleetcontroller/controller_test.go
@@ -101,8 +101,8 @@
 	})
 }
 
-// sendToLeader tries the controllers until a command succeeds at one, and returns the result
-// and the index of that controller.
+// sendToLeader sends a command to one controller after another until it succeeds at one, and
+// returns the result and the index of that controller.
 func (g *group) sendToLeader(
 	send func(context.Context, *fleetcontroller.Controller) (fleetstate.Result, error),
 ) (result fleetstate.Result, leader int) {
--- a/internal/fleetcontroller/inforce.go
+++ b/internal/fleetcontroller/inforce.go
@@ -14,7 +14,7 @@
 
 // ErrLeadershipLost means that this controller stopped leading before it was certain that a
 // configuration is in force in time. The configuration has been accepted. If the change is
-// repeated, the next leader answers it.
+// repeated, the next leader responds to it.
 var ErrLeadershipLost = errors.New("leadership lost before the configuration is known to be in force")
 
 // pendingAck is the acknowledgement of a configuration that waits for gateways.
--- a/internal/fleetcontroller/inforce_test.go
+++ b/internal/fleetcontroller/inforce_test.go
@@ -30,7 +30,7 @@
 	return &gatewaySession{t: t, conn: conn, boot: boot}
 }
 
-// report reports that a version is in force, and returns the lease that answers it.
+// report reports that a version is in force, and returns the lease in the response.
 func (s *gatewaySession) report(version routeconfig.Version) *fleetwire.Lease {
 	s.t.Helper()
 	assert.NilError(s.t, s.conn.Send(fleetwire.ToController{Report: &fleetwire.Report{Boot: s.boot, Version: version}}))
--- a/internal/fleetcontroller/join.go
+++ b/internal/fleetcontroller/join.go
@@ -17,8 +17,8 @@
 	joinInterval = 500 * time.Millisecond
 	// joinTimeout limits one request.
 	joinTimeout = 4 * time.Second
-	// maxLeaderSilence is how long a member hears no leader before it asks whether it is still a
-	// member.
+	// maxLeaderSilence is how long a member receives nothing from a leader before it asks
+	// whether it is still a member.
 	maxLeaderSilence = 3 * time.Second
 	admitTimeout     = 3 * time.Second
 )
@@ -46,8 +46,8 @@
 	}
 }
 
-// needsAdmission reports whether this controller isn't a voter, or hasn't heard from a leader for
-// maxLeaderSilence and may have been removed without its knowledge.
+// needsAdmission reports whether this controller isn't a voter, or has received nothing from a
+// leader for maxLeaderSilence and may have been removed without its knowledge.
 func (c *Controller) needsAdmission() bool {
 	status := c.replica.Status()
 	if !status.Membership.Names(status.ID, status.Incarnation) {
@@ -60,30 +60,30 @@
 }
 
 // requestAdmission sends a Join to the known controllers, one after the other, until the leader
-// has answered. It reports whether the leader has answered that this member was removed.
+// has responded. It reports whether the leader has responded that this member was removed.
 func (c *Controller) requestAdmission(ctx context.Context) bool {
-	tried := map[string]bool{c.config.SessionListen: true}
-	untried := append(c.controllers(c.replica.Status().Membership), c.config.Seeds...)
-	for len(untried) > 0 && ctx.Err() == nil {
-		address := untried[0]
-		untried = untried[1:]
-		if tried[address] {
+	contacted := map[string]bool{c.config.SessionListen: true}
+	pending := append(c.controllers(c.replica.Status().Membership), c.config.Seeds...)
+	for len(pending) > 0 && ctx.Err() == nil {
+		address := pending[0]
+		pending = pending[1:]
+		if contacted[address] {
 			continue
 		}
-		tried[address] = true
-		answer := c.sendJoin(ctx, address)
-		if answer.Admission != nil {
-			return answer.Admission.Refused
+		contacted[address] = true
+		response := c.sendJoin(ctx, address)
+		if response.Admission != nil {
+			return response.Admission.Refused
 		}
-		if answer.Redirect != nil {
-			untried = append([]string{answer.Redirect.Leader}, untried...)
-			untried = append(untried, answer.Redirect.Controllers...)
+		if response.Redirect != nil {
+			pending = append([]string{response.Redirect.Leader}, pending...)
+			pending = append(pending, response.Redirect.Controllers...)
 		}
 	}
 	return false
 }
 
-// sendJoin sends a Join to one controller. The result is empty if there was no answer.
+// sendJoin sends a Join to one controller. The result is empty if there was no response.
 func (c *Controller) sendJoin(ctx context.Context, address string) fleetwire.FromController {
 	if address == "" {
 		return fleetwire.FromController{}
@@ -104,11 +104,11 @@
 	if conn.Send(fleetwire.ToController{Hello: &fleetwire.Hello{Node: c.config.Name, Join: join}}) != nil {
 		return fleetwire.FromController{}
 	}
-	var answer fleetwire.FromController
-	if conn.Receive(&answer) != nil {
+	var response fleetwire.FromController
+	if conn.Receive(&response) != nil {
 		return fleetwire.FromController{}
 	}
-	return answer
+	return response
 }
 
 // handleRemoval empties the data folder of a member that was removed from the group. No data is
@@ -127,7 +127,7 @@
 	c.config.OnExpelled()
 }
 
-// admit makes a controller a voter; it runs at the leader. The controller repeats its Join
+// admit makes a controller a voter; it runs at the leader. The controller sends its Join again
 // until it is one.
 func (c *Controller) admit(ctx context.Context, join *fleetwire.Join) *fleetwire.Admission {
 	select {
--- a/internal/fleetcontroller/members.go
+++ b/internal/fleetcontroller/members.go
@@ -10,30 +10,32 @@
 const (
 	// memberCheckInterval is how often the leader checks for dead members.
 	memberCheckInterval = time.Second
-	// aliveTimeout is how recently a member must have been heard to count as answering.
+	// aliveTimeout is how recently a message of a member must have arrived for it to count as
+	// alive.
 	aliveTimeout = time.Second
-	// minVoters is the minimum number of voters that must remain, and answer, after a removal.
+	// minVoters is the minimum number of voters that must remain, and be alive, after a
+	// removal.
 	minVoters = 3
 )
 
-// removeDeadMember removes one member that has been silent for DeadAfter, if all others
-// answer, so that the group still has a quorum after the loss of another member.
+// removeDeadMember removes one member that has been silent for DeadAfter, if all others are
+// alive, so that the group still has a quorum after the loss of another member.
 func (c *Controller) removeDeadMember(status consensus.Status, now time.Duration) {
 	var dead consensus.Member
-	answering := 1
+	alive := 1
 	for _, peer := range status.Peers {
-		heardAt := max(peer.HeardAt, c.control.planner.Began())
+		lastMessageAt := max(peer.HeardAt, c.control.planner.Began())
 		member, ok := status.Membership.Find(peer.ID)
 		switch {
-		case now < heardAt+aliveTimeout:
+		case now < lastMessageAt+aliveTimeout:
 			if ok && !member.Learner {
-				answering++
+				alive++
 			}
-		case now > heardAt+c.config.DeadAfter && ok:
+		case now > lastMessageAt+c.config.DeadAfter && ok:
 			dead = member
 		}
 	}
-	if dead.ID == 0 || answering < minVoters || answering < status.Membership.Voters()-1 {
+	if dead.ID == 0 || alive < minVoters || alive < status.Membership.Voters()-1 {
 		return
 	}
 	go c.removeMember(dead)
--- a/internal/fleetcontroller/metrics.go
+++ b/internal/fleetcontroller/metrics.go
@@ -24,7 +24,7 @@
 	changes     *prometheus.CounterVec
 	moves       *prometheus.CounterVec
 	reports     prometheus.Counter
-	heldBack    prometheus.Counter
+	quarantined prometheus.Counter
 	cleared     prometheus.Counter
 	inForceWait prometheus.Histogram
 }
@@ -39,14 +39,14 @@
 		moves:       prometheus.NewCounterVec(options("ranges_moved_total", "Ranges of keys given to an owner, by whether its predecessor handed them over."), []string{"handover"}),
 		reports:     prometheus.NewCounter(options("reports_total", "Reports of gateways that this controller answered.")),
 	}
-	m.heldBack = prometheus.NewCounter(options("requests_held_back_total", "Requests that came to be held back, since back ends end under them."))
+	m.quarantined = prometheus.NewCounter(options("requests_held_back_total", "Requests that came to be held back, since back ends end under them."))
 	m.cleared = prometheus.NewCounter(options("suspects_cleared_total", "Requests that are no longer suspected, mostly as they were answered."))
 	m.inForceWait = prometheus.NewHistogram(prometheus.HistogramOpts{
 		Namespace: metrics.Namespace, Subsystem: subsystem, Name: "in_force_wait_seconds",
 		Help:    "How long acknowledgements of configurations waited for gateways, after the change was in the state.",
 		Buckets: []float64{0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6},
 	})
-	registry.MustRegister(m.leaderships, m.changes, m.moves, m.reports, m.heldBack, m.cleared, m.inForceWait)
+	registry.MustRegister(m.leaderships, m.changes, m.moves, m.reports, m.quarantined, m.cleared, m.inForceWait)
 	return m
 }
 
--- a/internal/fleetcontroller/operatorstate.go
+++ b/internal/fleetcontroller/operatorstate.go
@@ -14,8 +14,8 @@
 // rounds of a busy control goroutine.
 const operatorStateTimeout = 100 * time.Millisecond
 
-// unappliedCheck caches, for one state of the log, whether it holds operator commands that aren't
-// applied. While there is no leader, all gateways ask again and again, and the log doesn't
+// unappliedCheck caches, for one state of the log, whether it holds operator commands that
+// aren't applied. While there is no leader, all gateways ask repeatedly, and the log doesn't
 // change.
 type unappliedCheck struct {
 	lastIndex, lastTerm uint64
@@ -24,7 +24,7 @@
 }
 
 // operatorState reports the state set by operators that this controller has
-// (configlease.Standings), as of a time after the call. It returns nil if that can't be
+// (configlease.LogStates), as of a time after the call. It returns nil if that can't be
 // determined, or not within operatorStateTimeout.
 func (c *Controller) operatorState() *fleetwire.OperatorState {
 	result := make(chan *fleetwire.OperatorState, 1)
--- a/internal/fleetcontroller/publish.go
+++ b/internal/fleetcontroller/publish.go
@@ -64,10 +64,9 @@
 	ChangesFrom(earlier Set) Changes
 }
 
-// history is a set with the last deltas that lead to it, and a packed snapshot for sessions
-// to which these don't apply. Each is computed at most
-// once, when it is first sent, so the leader's work doesn't depend on how far the sessions
-// are behind.
+// history is a set with the last deltas that lead to it, and a packed snapshot for sessions to
+// which they don't apply. Each is computed at most once, when it is first sent, so the leader's
+// work doesn't depend on how far the sessions are behind.
 type history[Set diffable[Set, Changes], Changes any] struct {
 	set Set
 	// number identifies the set among all of its type in a term.
@@ -107,8 +106,8 @@
 	return changes, nil, nil
 }
 
-// instanceSet is numbered by a counter of the leader, and ownerSet by the log index of the
-// last change.
+// An instanceSet is numbered by a counter of the leader, and an ownerSet by the log index of
+// the last change.
 type (
 	instanceSet = history[fleetview.Instances, *fleetwire.InstanceChanges]
 	ownerSet    = history[fleetview.Owners, *fleetwire.OwnerChanges]
@@ -193,8 +192,8 @@
 
 // deliveredState is what the gateway of a session has.
 type deliveredState struct {
-	// hello tells what it had at the start of the session; nil once that has been compared
-	// with a view.
+	// hello lists what it had at the start of the session; nil once that has been compared with
+	// a view.
 	hello   *fleetwire.Hello
 	version routeconfig.Version
 	// owners and instances are the numbers of its sets; instances is zero if it has none.
--- a/internal/fleetcontroller/quarantine.go
+++ b/internal/fleetcontroller/quarantine.go
@@ -20,8 +20,8 @@
 const (
 	// quarantineReviewInterval is how often the leader checks for overdue trials.
 	quarantineReviewInterval = time.Second
-	// maxPendingQuarantineEvents limits the pending events. Gateways repeat those that are
-	// dropped.
+	// maxPendingQuarantineEvents limits the pending events. Gateways report those that are
+	// dropped again.
 	maxPendingQuarantineEvents = 4096
 )
 
@@ -32,9 +32,9 @@
 		return nil
 	}
 	set := c.control.state.Quarantine()
-	for _, ended := range reported.Ended {
-		if set.HasCounted(ended.Life) && c.control.published.quarantineIndex == set.Index {
-			known = append(known, ended.Life)
+	for _, crash := range reported.Ended {
+		if set.HasCounted(crash.Life) && c.control.published.quarantineIndex == set.Index {
+			known = append(known, crash.Life)
 		}
 	}
 	pending := &c.control.quarantine.pending
@@ -85,14 +85,14 @@
 	})
 }
 
-// logQuarantine logs and counts the requests that are newly held back, and those that are no
-// longer held back or suspect, between two states.
+// logQuarantine logs and counts the requests that are newly quarantined, and those that are no
+// longer quarantined or suspect, between two states.
 func (c *Controller) logQuarantine(before, after *quarantine.Set) {
 	for i := range after.Suspects {
 		suspect := &after.Suspects[i]
 		earlier := before.Find(suspect.Request)
 		if suspect.Quarantined() && (earlier == nil || !earlier.Quarantined()) {
-			c.metrics.heldBack.Inc()
+			c.metrics.quarantined.Inc()
 			c.config.Log.Warn("request held back", "digest", suspect.Request.String(), "service", suspect.Service, "ends", suspect.Ends,
 				"failed_trials", suspect.FailedTrials, "late_trials", suspect.LateTrials)
 		}
--- a/internal/fleetcontroller/sessions.go
+++ b/internal/fleetcontroller/sessions.go
@@ -31,9 +31,9 @@
 	mutex         sync.Mutex
 	lease         *fleetwire.Lease
 	knownInstance *fleetwire.Instance
-	// reportNow tells the sender to request a report.
+	// reportNow makes the sender request a report.
 	reportNow bool
-	// ended tells the sender to stop, after it has sent redirect if that is set.
+	// ended makes the sender stop, after it has sent redirect if that is set.
 	ended    bool
 	redirect *fleetwire.Redirect
 }
@@ -131,10 +131,9 @@
 	return &fleetwire.Redirect{Leader: c.Leader(), Controllers: c.controllers(c.replica.Status().Membership)}
 }
 
-// handleReport answers a report if this controller currently leads. It runs on the control
-// goroutine. A report of an earlier process of a gateway may be read after those of the
-// current one. It is ignored, because that process doesn't know what the current one has
-// granted.
+// handleReport responds to a report if this controller currently leads. It runs on the control
+// goroutine. A report of an earlier gateway process may be read after those of the current one.
+// It is ignored, because that process doesn't know what the current one has granted.
 func (c *Controller) handleReport(s *session, report *fleetwire.Report) {
 	if s.number < c.control.newestSessions[s.node] {
 		return
@@ -161,8 +160,8 @@
 	s.notify()
 }
 
-// send sends leases and changes of the view to a gateway until the session ends. Delivered
-// is what the gateway already has.
+// send sends leases and changes of the view to a gateway until the session ends. delivered is
+// what the gateway already has.
 func (c *Controller) send(s *session, delivered deliveredState) {
 	defer c.ended.Done()
 	defer s.conn.Close()
@@ -238,7 +237,7 @@
 	s.end(nil)
 }
 
-// end tells a session's sender to stop, after it has sent redirect if that isn't nil.
+// end makes a session's sender stop, after it has sent redirect if that isn't nil.
 func (s *session) end(redirect *fleetwire.Redirect) {
 	s.mutex.Lock()
 	s.ended = true
--- a/internal/fleetcontroller/stop_test.go
+++ b/internal/fleetcontroller/stop_test.go
@@ -20,10 +20,10 @@
 // requireStop stops a controller and fails if Stop hangs.
 func requireStop(t *testing.T, c *Controller) {
 	t.Helper()
-	ended := make(chan error, 1)
-	go func() { ended <- c.Stop() }()
+	finished := make(chan error, 1)
+	go func() { finished <- c.Stop() }()
 	select {
-	case err := <-ended:
+	case err := <-finished:
 		assert.Check(t, err)
 	case <-time.After(stopTimeout):
 		t.Error("Stop has not returned in time")
@@ -74,7 +74,7 @@
 	silent, err := net.Dial("tcp", c.listener.Address())
 	assert.NilError(t, err)
 	defer silent.Close()
-	// The answer over a later connection shows that the first one was accepted.
+	// The response over a later connection shows that the first one was accepted.
 	later, err := transport.Dial(t.Context(), c.listener.Address(), transport.Options{})
 	assert.NilError(t, err)
 	defer later.Close()
@@ -115,8 +115,8 @@
 		join := &fleetwire.Join{Incarnation: topology.Incarnation(100 + i), PeerAddress: "127.0.0.1:1"}
 		assert.NilError(t, conn.Send(fleetwire.ToController{Hello: &fleetwire.Hello{Node: "joining", Join: join}}))
 		go func() {
-			var answer fleetwire.FromController
-			_ = conn.Receive(&answer)
+			var response fleetwire.FromController
+			_ = conn.Receive(&response)
 		}()
 	}
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
--- a/internal/fleetcontroller/supersededsession_test.go
+++ b/internal/fleetcontroller/supersededsession_test.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// Reports of a gateway's process may still be unread when the process has ended and its
-// successor has opened a session. If the leader applied them then, a report that the back end
-// is gone and its keys are released would free keys that the new process has granted.
+// Reports of a gateway process may still be unread when the process has ended and its successor
+// has opened a session. If the leader applied them then, a report that the back end is gone and
+// its keys are released would free keys that the new process has granted.
 func TestReportsOfAnEarlierGatewayProcessAreIgnored(t *testing.T) {
 	g := startGroup(t)
 	_, leader := g.change(documentChange(1, 0, 1))
