--- a/internal/replica/bootstrap.go
+++ b/internal/replica/bootstrap.go
@@ -25,10 +25,10 @@
 //  2. A member that has received the same membership from all others starts the
 //     group.
 //
-// A replica that lost its data folder has another incarnation. The others
-// answer that the group is already bootstrapped, or that they have stored a
-// membership without this incarnation, so it does not start a group. It waits
-// until a membership change adds its new incarnation.
+// A replica that lost its data folder has another incarnation. The others respond that the
+// group is already bootstrapped, or that they have stored a membership without this
+// incarnation, so it does not start a group. It waits until a membership change adds its new
+// incarnation.
 type bootstrap struct {
 	r            *Replica
 	nextNoticeAt time.Duration
@@ -121,14 +121,14 @@
 	}
 }
 
-// receive handles a notice of a peer. If this replica's group is already
-// bootstrapped, it answers with a notice that says so.
+// receive handles a notice of a peer. If this replica's group is already bootstrapped, it
+// responds with a notice that reports this.
 func (b *bootstrap) receive(received envelope) {
 	notice := *received.Founding
 	if b.r.control.core != nil {
 		if !notice.Founded {
-			answer := bootstrapNotice{ID: b.r.files.folder.Identity().Replica, Founded: true}
-			b.r.peers.sendTo(received.Address, envelope{Founding: &answer})
+			response := bootstrapNotice{ID: b.r.files.folder.Identity().Replica, Founded: true}
+			b.r.peers.sendTo(received.Address, envelope{Founding: &response})
 		}
 		return
 	}
--- a/internal/replica/config.go
+++ b/internal/replica/config.go
@@ -96,11 +96,10 @@
 	// memory, so that a replica that is a few entries behind catches up without
 	// the snapshot. The default is 2,000.
 	RetainEntries uint64
-	// TrustSynced states that the storage either keeps all synced data or loses
-	// the whole folder, and never reverts to an older copy. A restarted replica
-	// then votes at once, even after a power loss in which another member lost
-	// its disk. Otherwise it first has to hear from the other members
-	// (docs/decisions/003 and 017).
+	// TrustSynced states that the storage either keeps all synced data or loses the whole
+	// folder, and never reverts to an older copy. A restarted replica then votes at once, even
+	// after a power loss in which another member lost its disk. Otherwise it first has to
+	// receive messages from the other members (docs/decisions/003 and 017).
 	TrustSynced bool
 	// FS is the file system. The default is that of the operating system.
 	FS vfs.FS
--- a/internal/replica/control.go
+++ b/internal/replica/control.go
@@ -57,7 +57,7 @@
 	done  func(any, error)
 }
 
-// diskFullRetryInterval is the interval at which a full disk is tried again.
+// diskFullRetryInterval is the interval at which a write to a full disk is retried.
 const diskFullRetryInterval = 500 * time.Millisecond
 
 func (r *Replica) startControl(recovered recoveredState) error {
--- a/internal/replica/faults_test.go
+++ b/internal/replica/faults_test.go
@@ -171,7 +171,7 @@
 	g.start(id)
 	assert.Assert(t, !g.replicas[id].Status().Unproven)
 
-	// After a power loss the replica must hear from both others, but one is down.
+	// After a power loss the replica must receive messages from both others, but one is down.
 	third := topology.ReplicaID(6) - id - other
 	g.kill(third)
 	g.kill(id)
@@ -182,7 +182,7 @@
 	g.waitCommands(id, 2)
 	assert.Assert(t, g.replicas[id].Status().Unproven)
 	g.start(third)
-	g.waitFor("the replica has heard from both others", func() bool { return !g.replicas[id].Status().Unproven })
+	g.waitFor("the replica has received messages from both others", func() bool { return !g.replicas[id].Status().Unproven })
 	// The note of the last write is valid again from here on.
 	g.propose("c")
 	g.waitCommands(id, 3)
--- a/internal/replica/membership.go
+++ b/internal/replica/membership.go
@@ -17,8 +17,8 @@
 	done   func(any, error)
 }
 
-// membershipRetryInterval is the interval at which a membership change that
-// cannot be proposed yet is tried again.
+// membershipRetryInterval is the interval at which a membership change that cannot be proposed
+// yet is retried.
 const membershipRetryInterval = 20 * time.Millisecond
 
 func (c *control) changeMembership(ctx context.Context, change consensus.Change, done func(any, error)) {
--- a/internal/replica/replacedtransfer_test.go
+++ b/internal/replica/replacedtransfer_test.go
@@ -42,8 +42,8 @@
 	parts []partRead
 }
 
-// sentTo returns the parts that all replicas except the receiver read from their
-// disks. It skips as many of the first parts as from says.
+// sentTo returns the parts that all replicas except the receiver read from their disks. from is
+// the number of first parts that it skips.
 func (l *partReadLog) sentTo(receiver topology.ReplicaID, from int) []partRead {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -136,17 +136,17 @@
 	return disks, parts
 }
 
-// retryIfDisturbed repeats a run if another snapshot than the expected one was
-// offered, because there was an election.
+// retryIfDisturbed retries a run if another snapshot than the expected one was offered, because
+// there was an election.
 func retryIfDisturbed(t *testing.T, run func(*testing.T) (undisturbed bool)) {
 	t.Helper()
-	const tries = 5
-	for range tries {
+	const attempts = 5
+	for range attempts {
 		if run(t) {
 			return
 		}
 	}
-	t.Fatalf("another snapshot was offered in each of %d tries", tries)
+	t.Fatalf("another snapshot was offered in each of %d attempts", attempts)
 }
 
 // A newer snapshot is saved while an older one is being sent. The entries after
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -243,7 +243,7 @@
 	return errors.Join(closeErr, filesErr)
 }
 
-// signalStop tells all goroutines to return.
+// signalStop makes all goroutines return.
 func (r *Replica) signalStop() {
 	r.stopOnce.Do(func() {
 		close(r.stopping)
--- a/internal/replica/stop_test.go
+++ b/internal/replica/stop_test.go
@@ -21,10 +21,10 @@
 // stopWithTimeout returns the error of Stop, and fails the test if Stop hangs.
 func stopWithTimeout(t *testing.T, r *Replica) error {
 	t.Helper()
-	ended := make(chan error, 1)
-	go func() { ended <- r.Stop() }()
+	finished := make(chan error, 1)
+	go func() { finished <- r.Stop() }()
 	select {
-	case err := <-ended:
+	case err := <-finished:
 		return err
 	case <-time.After(stopTimeout):
 		t.Error("Stop hangs")
@@ -127,8 +127,7 @@
 	return r
 }
 
-// Stop cancels a dial that gets no answer, as to a machine that is cut off from
-// the network.
+// Stop cancels a dial that gets no response, as to a machine that is cut off from the network.
 func TestStopCancelsPendingDial(t *testing.T) {
 	dialing, testDone := make(chan struct{}, 1), make(chan struct{})
 	r := startWithPeer(t, func(ctx context.Context, _ string, _ transport.Options) (*transport.Conn, error) {
--- a/internal/replica/suspended_test.go
+++ b/internal/replica/suspended_test.go
@@ -9,9 +9,9 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// While its machine is suspended, a leader's lease expires and the others elect a
-// new leader. So the clock must count the suspended time, or the old leader would
-// still answer reads under its expired lease.
+// While its machine is suspended, a leader's lease expires and the others elect a new leader.
+// So the clock must count the suspended time, or the old leader would still serve reads under
+// its expired lease.
 func TestClockCountsSuspendedTime(t *testing.T) {
 	r := &Replica{started: steady.Reading()}
 	before := r.Now()
--- a/internal/replica/transfer_test.go
+++ b/internal/replica/transfer_test.go
@@ -109,12 +109,12 @@
 // isSnapshotIdle reports whether a replica is not saving a snapshot and none is
 // due.
 func isSnapshotIdle(replica *Replica) bool {
-	answer := make(chan bool, 1)
+	result := make(chan bool, 1)
 	replica.Post(func() {
 		c := &replica.control
-		answer <- !c.snapshotInProgress && c.core.Status().Applied < c.lastSnapshotIndex+replica.config.SnapshotEntries
+		result <- !c.snapshotInProgress && c.core.Status().Applied < c.lastSnapshotIndex+replica.config.SnapshotEntries
 	})
-	return <-answer
+	return <-result
 }
 
 // Snapshots are taken while commands are applied. Each must contain exactly the
--- a/internal/replica/trustsynced_test.go
+++ b/internal/replica/trustsynced_test.go
@@ -7,9 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// All members lose power and one also loses its disk. Without TrustSynced no
-// member could ever vote again, since each would wait for an answer of the lost
-// one.
+// All members lose power and one also loses its disk. Without TrustSynced no member could ever
+// vote again, since each would wait for a response of the lost one.
 func TestTrustSyncedGroupSurvivesPowerLossWithOneDiskLost(t *testing.T) {
 	g, disks, _ := newMemoryGroup(t, 3)
 	for id, config := range g.configs {
--- a/internal/replica/writer.go
+++ b/internal/replica/writer.go
@@ -172,8 +172,8 @@
 	return func() ([]byte, error) { return data, err }
 }
 
-// snapshotRetryInterval is the time after which a snapshot that failed for lack
-// of disk space is tried again.
+// snapshotRetryInterval is the time after which a snapshot that failed for lack of disk space
+// is retried.
 const snapshotRetryInterval = 10 * time.Second
 
 func (c *control) completeSnapshot(snapshot consensus.Snapshot, err error) {
