--- a/internal/fleetcontroller/operatorstate.go
+++ b/internal/fleetcontroller/operatorstate.go
@@ -32,8 +32,8 @@
 	limit := time.NewTimer(operatorStateTimeout)
 	defer limit.Stop()
 	select {
-	case standing := <-result:
-		return standing
+	case operatorState := <-result:
+		return operatorState
 	case <-limit.C:
 	case <-c.runContext.Done():
 	}
@@ -46,17 +46,17 @@
 	if !ok || c.hasUnappliedOperatorCommands(&log) {
 		return nil
 	}
-	standing := &fleetwire.OperatorState{
+	operatorState := &fleetwire.OperatorState{
 		Member: c.replica.Status().ID, Version: c.control.state.Version(), EvacuationsIndex: c.control.state.EvacuationsIndex(),
 		For: c.config.Configuration.ApplyWithin,
 	}
 	for _, member := range log.Membership.Members {
 		if !member.Learner {
-			standing.Voters = append(standing.Voters, member.ID)
+			operatorState.Voters = append(operatorState.Voters, member.ID)
 		}
 	}
-	slices.Sort(standing.Voters)
-	return standing
+	slices.Sort(operatorState.Voters)
+	return operatorState
 }
 
 // hasUnappliedOperatorCommands reports whether the log holds operator commands that aren't
--- a/internal/gateway/configurationlease.go
+++ b/internal/gateway/configurationlease.go
@@ -32,9 +32,9 @@
 	fromLeader bool
 }
 
-// take extends the lease by the leader's response to a report. epoch is the zero of the clock
-// that timestamps in reports refer to. The caller has already applied every update that came
-// with the response or before it.
+// take extends the lease by the leader's response to a report. epoch is the zero of
+// the clock that timestamps in reports refer to. The caller has already applied every update
+// that came with the response or before it.
 func (v *configurationLease) take(lease *fleetwire.Lease, epoch time.Time) {
 	asOf := epoch.Add(lease.SentAt)
 	v.extend(leaseState{currentAsOf: asOf, expiresAt: asOf.Add(shortenedByDrift(lease.ConfigurationFor)), controllerAsOf: asOf, relayFor: lease.PassedOnFor, fromLeader: true})
--- a/internal/gateway/fences.go
+++ b/internal/gateway/fences.go
@@ -19,10 +19,10 @@
 
 // unansweredGrant is a grant without a response, which the back end may still apply.
 type unansweredGrant struct {
-	keys     keyspace.Range
-	owner    keyspace.Fence
-	subFence uint32
-	notedAt  time.Time
+	keys       keyspace.Range
+	owner      keyspace.Fence
+	subFence   uint32
+	recordedAt time.Time
 	// connectionEnded is set if the connection closed without a response: then no part of the
 	// order is left for a stalled process to read later.
 	connectionEnded bool
@@ -85,7 +85,7 @@
 	var until time.Time
 	for _, unanswered := range t.unanswered {
 		if !unanswered.connectionEnded {
-			until = latest(until, unanswered.notedAt.Add(maxGrantDelay))
+			until = latest(until, unanswered.recordedAt.Add(maxGrantDelay))
 		}
 	}
 	return until
@@ -113,7 +113,7 @@
 func (t *fenceTracker) prune(now time.Time) {
 	var rest []unansweredGrant
 	for _, unanswered := range t.unanswered {
-		if now.Before(unanswered.notedAt.Add(maxGrantDelay)) {
+		if now.Before(unanswered.recordedAt.Add(maxGrantDelay)) {
 			rest = append(rest, unanswered)
 		}
 	}
--- a/internal/gateway/fences_test.go
+++ b/internal/gateway/fences_test.go
@@ -50,7 +50,7 @@
 		assert.Assert(t, fence > before, "%d after %d", fence, before)
 		assert.Assert(t, fence < composeFence(8, 0))
 		before = fence
-		tracker.addUnanswered(unansweredGrant{keys: keys, owner: 7, subFence: sub, notedAt: now})
+		tracker.addUnanswered(unansweredGrant{keys: keys, owner: 7, subFence: sub, recordedAt: now})
 		now = now.Add(grantRetryDelay)
 		tracker.prune(now)
 	}
--- a/internal/gateway/keygrants.go
+++ b/internal/gateway/keygrants.go
@@ -142,7 +142,7 @@
 	case current:
 		sent.bound.Unanswered(now, sent.sentAt.Add(maxTransitDelay))
 		connectionEnded := errors.Is(err, ErrConnectionEnded)
-		k.fences.addUnanswered(unansweredGrant{keys: sent.Keys, owner: sent.Fence, subFence: sent.subFence, notedAt: now, connectionEnded: connectionEnded})
+		k.fences.addUnanswered(unansweredGrant{keys: sent.Keys, owner: sent.Fence, subFence: sent.subFence, recordedAt: now, connectionEnded: connectionEnded})
 	default:
 		sent.bound.Unanswered(now, sent.sentAt.Add(maxTransitDelay))
 		if !errors.Is(err, ErrConnectionEnded) {
--- a/internal/gateway/keyorders_test.go
+++ b/internal/gateway/keyorders_test.go
@@ -100,7 +100,7 @@
 				rig := newHandoverRig(t, routeconfig.GrantByCall)
 				rig.run(6 * time.Second)
 				rig.silent = true
-				beats := func(steps int) {
+				runSteps := func(steps int) {
 					for range steps {
 						rig.step()
 						if rig.steps%interval == 0 {
@@ -108,15 +108,15 @@
 						}
 					}
 				}
-				beats(interval)
+				runSteps(interval)
 				for rig.steps%interval != phase {
-					beats(1)
+					runSteps(1)
 				}
 				rig.moved = false
 				rig.setRefusing(true)
-				beats(5)
+				runSteps(5)
 				rig.listen()
-				beats(250)
+				runSteps(250)
 				moved = rig.moved
 			})
 			if moved {
--- a/internal/gateway/registration.go
+++ b/internal/gateway/registration.go
@@ -234,12 +234,12 @@
 // there. Its former keys may have been assigned to another owner.
 func (r *registry) markReachable(instance string) {
 	r.mutex.Lock()
-	again := instance == r.current.ID && r.current.State == fleetwire.InstanceGone && r.reportedState != 0 && !r.candidate.waiting && !r.otherAtAddress
-	if again {
+	reachable := instance == r.current.ID && r.current.State == fleetwire.InstanceGone && r.reportedState != 0 && !r.candidate.waiting && !r.otherAtAddress
+	if reachable {
 		r.current.State, r.current.Released = r.reportedState, false
 	}
 	r.mutex.Unlock()
-	if again {
+	if reachable {
 		r.onChange()
 	}
 }
--- a/internal/gateway/warmup_test.go
+++ b/internal/gateway/warmup_test.go
@@ -155,16 +155,16 @@
 	g.configureWarmUp(coldRate, coldPeriod)
 	r := newRegistry(func() {})
 	r.onWarmUp = g.updateWarmUpFromHeartbeat
-	beat := func(id string, sequence uint64, left time.Duration) {
+	receive := func(id string, sequence uint64, left time.Duration) {
 		r.heartbeat(Registration{ID: id, State: fleetwire.InstanceReady, Sequence: sequence, WarmupLeft: left}, time.Second, steady.Reading())
 	}
-	beat("i-1", 1, 0)
+	receive("i-1", 1, 0)
 	cold, _ := g.warmUpState()
 	assert.Assert(t, !cold)
-	beat("i-2", 1, coldPeriod)
+	receive("i-2", 1, coldPeriod)
 	cold, _ = g.warmUpState()
 	assert.Assert(t, cold && r.snapshot().Cold)
-	beat("i-2", 2, 0)
+	receive("i-2", 2, 0)
 	cold, _ = g.warmUpState()
 	assert.Assert(t, cold, "a heartbeat may be older than the cause of the cold state")
 }
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -34,14 +34,14 @@
 
 // maxPerSecond returns the largest number of requests in any second.
 func maxPerSecond(sent []time.Time) int {
-	most, first := 0, 0
+	highest, first := 0, 0
 	for last := range sent {
 		for sent[last].Sub(sent[first]) > time.Second {
 			first++
 		}
-		most = max(most, last-first+1)
+		highest = max(highest, last-first+1)
 	}
-	return most
+	return highest
 }
 
 func TestColdBackEndGetsItsConfiguredRate(t *testing.T) {
