--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -95,8 +95,7 @@
 	if g.inbound, err = g.listenPeers(); err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
-	// An earlier process of this gateway cannot run any more, since it used the same
-	// addresses.
+	// An earlier gateway process cannot run any more, since it used the same addresses.
 	g.keys.started = steady.Reading()
 	g.config.Registry.MustRegister(g.gauges()...)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/gateway/keyearliergrants.go
+++ b/internal/gateway/keyearliergrants.go
@@ -42,17 +42,16 @@
 	return !now.Before(e.unreadUntil)
 }
 
-// earlierProcessExpiresAt is the time at which every grant of an earlier process of this gateway
-// has expired, by call or by heartbeat: it is not known which of them the configuration of
-// that time used.
+// earlierProcessExpiresAt is the time at which every grant of an earlier gateway process has
+// expired, by call or by heartbeat: it is not known which of them the configuration of that
+// time used.
 func (k *grantManager) earlierProcessExpiresAt() time.Time {
 	config := &k.gateway.config
 	byCall, byHeartbeat := config.KeyHold+maxTransitDelay, config.HeartbeatInterval+responseValidity
 	return k.started.Add(keyhold.WithDrift(max(byCall, byHeartbeat)))
 }
 
-// earlierProcessExpired reports whether every grant of an earlier process of this gateway has
-// expired.
+// earlierProcessExpired reports whether every grant of an earlier gateway process has expired.
 func (k *grantManager) earlierProcessExpired(now time.Time) bool {
 	return !now.Before(k.earlierProcessExpiresAt())
 }
@@ -76,8 +75,8 @@
 	return service == nil || service.Keyed
 }
 
-// earlierExpired reports whether everything that was granted to incarnations before an instance,
-// or by an earlier process of this gateway, has expired.
+// earlierExpired reports whether everything that was granted to incarnations before an
+// instance, or by an earlier gateway process, has expired.
 func (k *grantManager) earlierExpired(instance string, now time.Time) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
--- a/internal/gateway/keyhandover_test.go
+++ b/internal/gateway/keyhandover_test.go
@@ -155,7 +155,7 @@
 	return h.former, nil
 }
 
-// Grant applies an order after a delay: the gateway's process was stalled before it sent the
+// Grant applies an order after a delay: the gateway process was stalled before it sent the
 // order.
 func (h *addressBackend) Grant(_ context.Context, order GrantOrder) error {
 	h.mutex.Lock()
--- a/internal/gateway/keyorders_test.go
+++ b/internal/gateway/keyorders_test.go
@@ -50,8 +50,8 @@
 	})
 }
 
-// The previous process of the gateway sent a grant to a back end that is stalled. This process
-// has granted nothing, because the back end is not verified.
+// The previous gateway process sent a grant to a back end that is stalled. This process has
+// granted nothing, because the back end is not verified.
 func TestKeysAreNotReleasedWhileAGrantOfAnEarlierProcessMayBeUnread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newIncarnationRig(t)
@@ -207,7 +207,7 @@
 	})
 }
 
-// The gateway's process is stalled for a moment after it read the clock. A lease that was
+// The gateway process is stalled for a moment after it read the clock. A lease that was
 // requested since, but before the keys were reported free, must be ignored.
 func TestALeaseRequestedBeforeTheKeysWereReportedFreeIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// A request that is held back is refused immediately, with a long retry time.
-func TestHeldBackRequestIsRefusedImmediately(t *testing.T) {
+// A quarantined request is refused immediately, with a long retry time.
+func TestQuarantinedRequestIsRefusedImmediately(t *testing.T) {
 	hops, runs := startCountingHops(t)
 	advance(t, hops.near.views, suspectView(7, quarantine.Suspect{Request: hopsDigest(), Ends: quarantine.LikelyCauseCrashes, FailedTrials: 2}))
 	began := steady.Reading()
--- a/internal/gateway/releasereport_test.go
+++ b/internal/gateway/releasereport_test.go
@@ -70,7 +70,7 @@
 	})
 }
 
-// A message that an earlier process of the gateway sent last may arrive up to a second later.
+// A message that an earlier gateway process sent last may arrive up to a second later.
 func TestMessagesOfEarlierProcessMayStillArrive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newGrantRig(t)
--- a/internal/gateway/sessionspread_test.go
+++ b/internal/gateway/sessionspread_test.go
@@ -12,9 +12,9 @@
 	"github.com/quartzdock/quartzdock/internal/steady"
 )
 
-// When a leader stops, the gateways of a large fleet connect to the next one spread over a time
+// When a leader fails, the gateways of a large fleet connect to the next one spread over a time
 // that grows with their number. At the first start they connect without delay.
-func TestSessionsAreSpreadAfterLeaderStops(t *testing.T) {
+func TestSessionsAreSpreadAfterLeaderFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const gateways = 280
 		var fleet []fleetwire.Instance
--- a/internal/gateway/successor_test.go
+++ b/internal/gateway/successor_test.go
@@ -245,8 +245,8 @@
 	})
 }
 
-// The previous process of the gateway may have sent grants, too: they must have expired even
-// if this process has granted nothing, and even if no lease has arrived yet.
+// The previous gateway process may have sent grants, too: they must have expired even if this
+// process has granted nothing, and even if no lease has arrived yet.
 func TestGrantsOfAnEarlierProcessDelayTheNextIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newIncarnationRig(t)
--- a/internal/incarnation/incarnation.go
+++ b/internal/incarnation/incarnation.go
@@ -14,7 +14,7 @@
 	"strings"
 )
 
-// Incarnation identifies one incarnation of a back end.
+// Incarnation is the identity of one run of a back end's process.
 type Incarnation struct {
 	// ID is the id that the back end reports.
 	ID string
--- a/internal/keylease/planner_test.go
+++ b/internal/keylease/planner_test.go
@@ -70,7 +70,7 @@
 	return l.reportFrom(1, reported, released...)
 }
 
-// reportFrom reports from a process of the gateway.
+// reportFrom reports from a gateway process.
 func (l *leader) reportFrom(boot uint64, reported *fleetwire.Instance, released ...fleetwire.Released) *fleetwire.Lease {
 	return l.planner.Report(&fleetwire.Report{Boot: boot, Instance: reported, Released: released, EarlierOver: !l.withholdEarlierOver}, l.now)
 }
