--- a/internal/gateway/keys_test.go
+++ b/internal/gateway/keys_test.go
@@ -129,7 +129,7 @@
 func TestAnUnconfirmedGrantServesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newGrantRig(t)
-		rig.holder.failWith = errors.New("no response")
+		rig.holder.failWith = errors.New("no answer")
 		rig.lease(leasedRange(0, 99), nil)
 		assert.Assert(t, !rig.g.keys.holds("i-1", 5, steady.Reading()))
 	})
@@ -147,7 +147,7 @@
 		assert.Assert(t, !rig.g.keys.holds("i-1", 45, steady.Reading()))
 		assert.Assert(t, rig.g.keys.holds("i-1", 5, steady.Reading()))
 		assert.Equal(t, len(rig.g.keys.reportReleases(0)), 1)
-		rig.holder.setError(errors.New("no response"))
+		rig.holder.setError(errors.New("no answer"))
 		before := len(rig.holder.granted())
 		rig.lease(leasedRange(0, 99), nil)
 		assert.Assert(t, !rig.g.keys.holds("i-1", 45, steady.Reading()), "the old grant does not cover the released range")
@@ -161,7 +161,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		rig := newGrantRig(t)
 		rig.lease(leasedRange(0, 99), nil)
-		rig.holder.setError(errors.New("no response"))
+		rig.holder.setError(errors.New("no answer"))
 		time.Sleep(DefaultKeyHold/renewalsPerGrant + grantCheckInterval)
 		synctest.Wait()
 		rig.lease(leasedRange(0, 39), releasable(40, 99))
--- a/internal/gateway/silence_test.go
+++ b/internal/gateway/silence_test.go
@@ -15,7 +15,7 @@
 func newSilenceRig(t *testing.T, grants routeconfig.GrantMode) *grantRig {
 	rig := newGrantRig(t)
 	rig.setGrants(grants, 1)
-	rig.holder.setError(errors.New("no response"))
+	rig.holder.setError(errors.New("no answer"))
 	rig.g.config.BackendAddress = freeAddress(t)
 	go rig.g.watchSilence(t.Context())
 	return rig
@@ -53,7 +53,7 @@
 		assert.Assert(t, rig.g.session.buildReport().Silent)
 		rig.lease(leasedRange(0, 99), nil)
 		assert.Assert(t, !rig.g.session.buildReport().Silent, "it has confirmed a grant")
-		rig.holder.setError(errors.New("no response"))
+		rig.holder.setError(errors.New("no answer"))
 		for range silentAfterIntervals {
 			rig.g.registry.countInterval()
 		}
--- a/internal/grants/grants_test.go
+++ b/internal/grants/grants_test.go
@@ -15,7 +15,7 @@
 	"github.com/quartzdock/quartzdock/internal/topology"
 )
 
-var errLost = errors.New("no response")
+var errLost = errors.New("no answer")
 
 const (
 	lease  = 500 * time.Millisecond
