--- a/internal/gateway/fences_test.go
+++ b/internal/gateway/fences_test.go
@@ -36,7 +36,7 @@
 	})
 }
 
-// However many grants get no answer, the back end never sees a lower fence than before, nor
+// However many grants get no response, the back end never sees a lower fence than before, nor
 // one of the next owner.
 func TestFencesRiseOverAnyNumberOfUnansweredGrants(t *testing.T) {
 	const grants = 1<<16 + 1000
@@ -50,7 +50,7 @@
 		assert.Assert(t, fence > before, "%d after %d", fence, before)
 		assert.Assert(t, fence < composeFence(8, 0))
 		before = fence
-		tracker.addUnanswered(unansweredGrant{keys: keys, owner: 7, subFence: sub, notedAt: now})
+		tracker.addUnanswered(unansweredGrant{keys: keys, owner: 7, subFence: sub, recordedAt: now})
 		now = now.Add(grantRetryDelay)
 		tracker.prune(now)
 	}
--- a/internal/gateway/keys_test.go
+++ b/internal/gateway/keys_test.go
@@ -117,7 +117,7 @@
 		rig.lease(leasedRange(0, 99), nil)
 		assert.Assert(t, rig.g.keys.holds("i-1", 5, steady.Reading()))
 		assert.Assert(t, !rig.g.keys.holds("i-1", 100, steady.Reading()))
-		// No further report is answered: the lease and every grant end within it.
+		// No further report gets a response: the lease and every grant end within it.
 		time.Sleep(8 * time.Second)
 		assert.Assert(t, !rig.g.keys.holds("i-1", 5, steady.Reading()))
 		for _, order := range rig.holder.granted() {
@@ -140,7 +140,7 @@
 func TestAReleasedRangeIsGrantedAgainBeforeItIsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newGrantRig(t)
-		time.Sleep(2 * answerValidity) // an earlier process may have offered by heartbeat
+		time.Sleep(2 * responseValidity) // an earlier process may have offered by heartbeat
 		rig.lease(leasedRange(0, 99), nil)
 		rest := append(leasedRange(0, 39), leasedRange(50, 99)...)
 		rig.lease(rest, releasable(40, 49))
@@ -184,7 +184,7 @@
 
 // While there is no contact with a leader, a back end may end and its next incarnation start
 // at the same address. The keys leased to the former one must not be granted to the next.
-func TestTheNextLifeOfABackEndIsNotGrantedTheKeysOfTheLast(t *testing.T) {
+func TestTheNextIncarnationIsNotGrantedTheKeysOfTheLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rig := newGrantRig(t)
 		rig.lease(leasedRange(0, 99), nil)
