--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -244,6 +244,6 @@
 	case ended.notRun:
 		agent.record.Abandon(shard, id)
 	default:
-		agent.record.Lose(shard, id)
+		agent.record.MarkOutcomeUnknown(shard, id)
 	}
 }
--- a/internal/agent/refusal.go
+++ b/internal/agent/refusal.go
@@ -120,8 +120,8 @@
 		answer := unknown(http.StatusConflict, wire.ReasonDuplicate, "a request with this id is running")
 		answer.retryAfter = time.Second
 		return answer
-	case requestrecord.AnswerGone:
-		return unknown(http.StatusConflict, wire.ReasonAlreadyTaken, "the request ran; its answer was not kept")
+	case requestrecord.AnswerNotKept:
+		return unknown(http.StatusConflict, wire.ReasonAlreadyRun, "the request ran; its answer was not kept")
 	case requestrecord.Mismatch:
 		return notRun(http.StatusBadRequest, wire.ReasonInvalid, "the id belongs to another request")
 	case requestrecord.RecordLost:
--- a/internal/agent/served_shard.go
+++ b/internal/agent/served_shard.go
@@ -157,7 +157,7 @@
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
 	var hot []wire.KeyLoad
-	for _, frequent := range shard.hotKeys.Report(wire.MaximumHotKeys) {
+	for _, frequent := range shard.hotKeys.Report(wire.MaxHotKeys) {
 		hot = append(hot, wire.KeyLoad{Key: frequent.Key, Share: float32(frequent.Share)})
 	}
 	return hot
--- a/internal/backendapi/client.go
+++ b/internal/backendapi/client.go
@@ -29,14 +29,14 @@
 // maxAnswerBytes limits the size of an answer's body.
 const maxAnswerBytes = 1 << 20
 
-// ErrOtherBoot is returned if the back end has restarted since the clock reading
+// ErrRestarted is returned if the back end has restarted since the clock reading
 // from which the end of the lease was computed. It applied no part of the message
 // and has no grants.
-var ErrOtherBoot = errors.New("back end was restarted")
+var ErrRestarted = errors.New("back end was restarted")
 
-// ErrOvertaken is returned if the back end has already applied a later message.
+// ErrStaleMessage is returned if the back end has already applied a later message.
 // It applied no part of this one.
-var ErrOvertaken = errors.New("message was overtaken by a later one")
+var ErrStaleMessage = errors.New("message was overtaken by a later one")
 
 // LowerEpochError is returned if the back end has seen a higher epoch of a shard.
 // It applied no part of the message.
@@ -114,7 +114,7 @@
 }
 
 // Grant sends a message of grants and returns the back end's clock reading, which
-// is also valid with ErrOtherBoot and ErrOvertaken. Connection errors wrap
+// is also valid with ErrRestarted and ErrStaleMessage. Connection errors wrap
 // upstream.ErrNotSent or upstream.ErrInterrupted.
 func (client *Client) Grant(ctx context.Context, message Grants) (Reading, error) {
 	status, body, err := client.call(ctx, http.MethodPut, grantsPath, message)
@@ -145,9 +145,9 @@
 	case status == http.StatusOK:
 		return nil
 	case message.Boot == reading.Boot:
-		return ErrOvertaken
+		return ErrStaleMessage
 	}
-	return ErrOtherBoot
+	return ErrRestarted
 }
 
 // Warm asks the back end to load a shard's state, and returns when it is ready.
--- a/internal/consensus/coldstart.go
+++ b/internal/consensus/coldstart.go
@@ -62,7 +62,7 @@
 func (c *Core) recordLeaderless(m Message) {
 	round := &c.preVoteRound
 	startedBefore := float64(m.UpFor)*(1-c.config.MaxClockDrift) >= float64(c.now-round.startedAt)
-	if m.UpFor == 0 || m.Round != round.number || !startedBefore || !c.Membership().Names(m.From, m.FromIncarnation) {
+	if m.UpFor == 0 || m.Round != round.number || !startedBefore || !c.Membership().HasIncarnation(m.From, m.FromIncarnation) {
 		return
 	}
 	round.leaderlessRuns[m.From] = m.Run
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -156,7 +156,7 @@
 // responses and for replicas that are not voters.
 func (c *Core) recordVote(from topology.ReplicaID, incarnation topology.Incarnation, granted bool) bool {
 	membership := c.Membership()
-	if !membership.IsVoter(from) || !membership.Names(from, incarnation) {
+	if !membership.IsVoter(from) || !membership.HasIncarnation(from, incarnation) {
 		return false
 	}
 	if _, answered := c.votes[from]; answered {
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -98,8 +98,8 @@
 	return Member{}, false
 }
 
-// Names reports whether the membership lists this ID with this incarnation.
-func (m Membership) Names(id topology.ReplicaID, incarnation topology.Incarnation) bool {
+// HasIncarnation reports whether the membership lists this ID with this incarnation.
+func (m Membership) HasIncarnation(id topology.ReplicaID, incarnation topology.Incarnation) bool {
 	member, ok := m.Find(id)
 	return ok && member.Incarnation == incarnation
 }
--- a/internal/consensus/membership_test.go
+++ b/internal/consensus/membership_test.go
@@ -187,10 +187,10 @@
 	}
 	c.heal()
 	c.waitUntil("it catches up", func() bool { return c.allApplied(last) })
-	assert.Assert(t, away.core.Membership().Names(4, learner.member.Incarnation))
+	assert.Assert(t, away.core.Membership().HasIncarnation(4, learner.member.Incarnation))
 	c.crash(away.member.ID)
 	c.restart(away.member.ID)
-	assert.Assert(t, away.core.Membership().Names(4, learner.member.Incarnation))
+	assert.Assert(t, away.core.Membership().HasIncarnation(4, learner.member.Incarnation))
 }
 
 func TestMemoryForSlowFollowerIsBounded(t *testing.T) {
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -59,9 +59,9 @@
 	return s.Role == Leader && now < s.LeaseUntil
 }
 
-// Successor returns the voter with the most complete copy of the leader's log,
+// TransferTarget returns the voter with the most complete copy of the leader's log,
 // the best target for a leadership transfer; zero if there is none.
-func (s Status) Successor() topology.ReplicaID {
+func (s Status) TransferTarget() topology.ReplicaID {
 	var best PeerStatus
 	for _, peer := range s.Peers {
 		if s.Membership.IsVoter(peer.ID) && (best.ID == 0 || peer.Match > best.Match) {
@@ -202,7 +202,7 @@
 }
 
 func (c *Core) isVoterIn(membership Membership) bool {
-	return membership.IsVoter(c.config.ID) && membership.Names(c.config.ID, c.config.Incarnation)
+	return membership.IsVoter(c.config.ID) && membership.HasIncarnation(c.config.ID, c.config.Incarnation)
 }
 
 // removalUncommitted reports whether the newest membership, which is not known
--- a/internal/controller/agents.go
+++ b/internal/controller/agents.go
@@ -120,7 +120,7 @@
 func (c *Controller) recordRouterLoad(router string, load *wire.RouterLoad) {
 	c.replica.Post(func() {
 		if c.leads(c.replica.Now()) {
-			c.coordinator.RouterLoad(router, load, c.replica.Now())
+			c.coordinator.RecordRouterLoad(router, load, c.replica.Now())
 			return
 		}
 		c.relay.addLoad(router, load)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -31,7 +31,7 @@
 	// callsTimeout is how long calls may continue after Stop has begun. It leaves
 	// time to write their responses and for Shutdown to notice that they have
 	// ended.
-	callsTimeout = stopTimeout - shutdownPollInterval - plannedstop.AnswerMargin
+	callsTimeout = stopTimeout - shutdownPollInterval - plannedstop.ResponseMargin
 )
 
 var errStopping = errors.New("the controller is stopping")
--- a/internal/controller/convert.go
+++ b/internal/controller/convert.go
@@ -184,7 +184,7 @@
 		AppliedRevision: uint64(entry.Applied),
 		Connected:       entry.Connected,
 		Controller:      uint64(entry.Controller),
-		SilentFor:       durationpb.New(now - entry.HeardAt),
+		SilentFor:       durationpb.New(now - entry.LastMessageAt),
 		StoppedRelying:  entry.StoppedRelying(now),
 	}
 }
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -25,5 +25,5 @@
 // the confirmations to the leader over a session of its own (relay.go). A
 // revision is in force everywhere once every subscriber has confirmed it or has
 // been silent for so long that it no longer uses older routing data
-// (wire.StopRelyingAfter).
+// (wire.MaxRoutingStaleness).
 package controller
--- a/internal/controller/freshness.go
+++ b/internal/controller/freshness.go
@@ -12,7 +12,7 @@
 const (
 	// maxLeaderContact is the age of the last confirmation beyond which the
 	// controller is not ready.
-	maxLeaderContact = wire.StopRelyingAfter
+	maxLeaderContact = wire.MaxRoutingStaleness
 	// barrierTimeout limits one read barrier.
 	barrierTimeout = time.Second
 )
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -33,7 +33,7 @@
 	if !c.leads(c.replica.Now()) {
 		return
 	}
-	target := status.Successor()
+	target := status.TransferTarget()
 	if target == 0 {
 		return
 	}
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -23,7 +23,7 @@
 	if actions.Announce {
 		c.announce(status)
 	}
-	if !actions.Act {
+	if !actions.MayAct {
 		return
 	}
 	command, ok := c.coordinator.Tick(now, time.Now().UnixMilli())
@@ -144,5 +144,5 @@
 // leads reports whether this controller may act as the leader now.
 func (c *Controller) leads(now time.Duration) bool {
 	status := c.replica.Status()
-	return c.leadership.Leads(&status, now)
+	return c.leadership.MayAct(&status, now)
 }
--- a/internal/controller/machine_list.go
+++ b/internal/controller/machine_list.go
@@ -91,5 +91,5 @@
 			leaving = append(leaving, backend.ID)
 		}
 	}
-	c.coordinator.MachineList(leaving, c.replica.Now())
+	c.coordinator.SetLeavingMachines(leaving, c.replica.Now())
 }
--- a/internal/controller/relay_serve.go
+++ b/internal/controller/relay_serve.go
@@ -78,7 +78,7 @@
 		SessionAddress: member.SessionAddress,
 		RPCAddress:     member.RPCAddress,
 	}
-	named := c.replica.Status().Membership.Names(member.ID, member.Incarnation)
+	named := c.replica.Status().Membership.HasIncarnation(member.ID, member.Incarnation)
 	known, ok := c.state.Controller(member.ID)
 	if !named || (ok && known == announced) {
 		return
--- a/internal/controller/session_send.go
+++ b/internal/controller/session_send.go
@@ -249,7 +249,7 @@
 	c.snapshots.mutex.Lock()
 	defer c.snapshots.mutex.Unlock()
 	if cached := c.snapshots.last; cached != nil {
-		if cached.Revision >= atLeast || c.view.Load().LeadsOn(cached.Revision) {
+		if cached.Revision >= atLeast || c.view.Load().CanExtend(cached.Revision) {
 			return cached, nil
 		}
 	}
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -156,7 +156,7 @@
 // receiveHello receives the first message. It acquires a handshake slot only
 // once there is data to read, so that a silent peer does not occupy one.
 func (s *session) receiveHello() (first wire.ToController, err error) {
-	if err := s.conn.Await(); err != nil {
+	if err := s.conn.WaitForMessage(); err != nil {
 		return first, err
 	}
 	slots := s.controller.handshakeSlots
--- a/internal/controller/subscribers.go
+++ b/internal/controller/subscribers.go
@@ -43,7 +43,7 @@
 func (s *subscribers) setContact(key inforce.Key, boot uint64, now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.tracker.Heard(key, boot, now)
+	s.tracker.RecordMessage(key, boot, now)
 }
 
 func (s *subscribers) report(all bool, now time.Duration) wire.SubscriberReport {
--- a/internal/controlstate/state.go
+++ b/internal/controlstate/state.go
@@ -132,10 +132,10 @@
 // of the configuration. Ownership changes and load shifts do not count.
 func (s *State) Configuration() (topology.Revision, string) { return s.configRevision, s.configAuthor }
 
-// LongestLease returns the longest duration for which a leader of the group may
+// MaxLease returns the longest duration for which a leader of the group may
 // have granted leases. A new leader waits this long until its predecessors'
 // leases have expired, even if its own leases are shorter.
-func (s *State) LongestLease() time.Duration { return s.maxLease }
+func (s *State) MaxLease() time.Duration { return s.maxLease }
 
 // ServiceInfo is a service with the last change of its configuration.
 type ServiceInfo struct {
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -203,7 +203,7 @@
 	}
 	c.leading = true
 	c.leases = ownership.NewLeaseTable(c.config.LeaseDuration, now)
-	longest := max(c.config.LeaseDuration, c.state.LongestLease())
+	longest := max(c.config.LeaseDuration, c.state.MaxLease())
 	c.leases.SetSettled(min(earlierLeasesEnd, now) + longest)
 	c.revisions.add(c.state.Revision(), now)
 	c.nextDecisionAt = now
@@ -276,9 +276,9 @@
 	return copied
 }
 
-// RouterLoad records a router's report on the load of back ends. The first
+// RecordRouterLoad records a router's report on the load of back ends. The first
 // report of a router in a term only starts its reporting interval.
-func (c *Coordinator) RouterLoad(router string, report *wire.RouterLoad, now time.Duration) {
+func (c *Coordinator) RecordRouterLoad(router string, report *wire.RouterLoad, now time.Duration) {
 	if !c.leading {
 		return
 	}
@@ -289,10 +289,10 @@
 	}
 }
 
-// MachineList takes the back ends on machines that the platform lists as
+// SetLeavingMachines takes the back ends on machines that the platform lists as
 // leaving; these are drained. The list may be out of date and is only a hint: a
 // back end on it is never treated as lost for that reason.
-func (c *Coordinator) MachineList(leaving []topology.BackendID, now time.Duration) {
+func (c *Coordinator) SetLeavingMachines(leaving []topology.BackendID, now time.Duration) {
 	listed := make(map[topology.BackendID]bool, len(leaving))
 	for _, id := range leaving {
 		listed[id] = true
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -360,7 +360,7 @@
 
 func TestLeavingMachineIsDrainedButNotTreatedAsLost(t *testing.T) {
 	h := newSteadyHarness(t, 12, 3)
-	h.coordinator.MachineList([]topology.BackendID{1}, h.now)
+	h.coordinator.SetLeavingMachines([]topology.BackendID{1}, h.now)
 	h.agents[1].ignoresMoves = true
 	h.run(time.Second)
 	assert.Equal(t, h.ownedBy(1), 4, "an owner that has not released its shards keeps them")
@@ -373,7 +373,7 @@
 	for _, agent := range h.agents {
 		agent.ignoresMoves = true
 	}
-	h.coordinator.MachineList([]topology.BackendID{1}, h.now)
+	h.coordinator.SetLeavingMachines([]topology.BackendID{1}, h.now)
 	h.runUntil(time.Second, "start of a move", func() bool { return len(h.state.Moving()) > 0 })
 	id := h.state.Moving()[0]
 	moving, _ := h.state.Shard(id)
@@ -391,7 +391,7 @@
 	for _, agent := range h.agents {
 		agent.ignoresMoves = true
 	}
-	h.coordinator.MachineList([]topology.BackendID{1}, h.now)
+	h.coordinator.SetLeavingMachines([]topology.BackendID{1}, h.now)
 	h.runUntil(time.Second, "start of a move", func() bool { return len(h.state.Moving()) > 0 })
 	id := h.state.Moving()[0]
 	moving, _ := h.state.Shard(id)
--- a/internal/coordinator/loss_test.go
+++ b/internal/coordinator/loss_test.go
@@ -134,7 +134,7 @@
 func (c *cluster) leader() *member {
 	for _, m := range c.members {
 		status := m.core.Status()
-		if !m.stopped && m.leadership.Leads(&status, c.now) {
+		if !m.stopped && m.leadership.MayAct(&status, c.now) {
 			return m
 		}
 	}
@@ -197,7 +197,7 @@
 	if duty.Announce {
 		m.announce(status)
 	}
-	if !duty.Act {
+	if !duty.MayAct {
 		return
 	}
 	if command, ok := m.coordinator.Tick(m.cluster.now, 0); ok {
@@ -330,7 +330,7 @@
 	leader, sent := a.leader, c.now
 	c.schedule(linkDelay, func() {
 		status := leader.core.Status()
-		if leader.stopped || leader.cutOff || a.cutOff || !leader.leadership.Leads(&status, c.now) {
+		if leader.stopped || leader.cutOff || a.cutOff || !leader.leadership.MayAct(&status, c.now) {
 			return
 		}
 		message := &wire.Renew{SentAt: sent, Applied: leader.state.Revision()}
--- a/internal/coordinator/moves_test.go
+++ b/internal/coordinator/moves_test.go
@@ -19,7 +19,7 @@
 	shard := h.state.OwnedBy(1)[0]
 	owner.load = []wire.ShardLoad{{Shard: shard.Shard, Requests: 1, LongRunning: 1}}
 	h.run(time.Second)
-	h.coordinator.MachineList([]topology.BackendID{1}, h.now)
+	h.coordinator.SetLeavingMachines([]topology.BackendID{1}, h.now)
 	h.runUntil(time.Second, "start of a move", func() bool { return len(h.state.Moving()) > 0 })
 	h.run(time.Second)
 	moving, _ := h.state.Shard(shard)
@@ -34,7 +34,7 @@
 	shard := h.state.OwnedBy(1)[0]
 	owner.load = []wire.ShardLoad{{Shard: shard.Shard, Requests: 1, LongRunning: 1}}
 	h.run(time.Second)
-	h.coordinator.MachineList([]topology.BackendID{1}, h.now)
+	h.coordinator.SetLeavingMachines([]topology.BackendID{1}, h.now)
 	h.run(time.Second)
 	owner.load = nil
 	h.runUntil(300*time.Millisecond, "end of the move", func() bool { return h.ownedBy(1) == 0 })
--- a/internal/distribution/distribution.go
+++ b/internal/distribution/distribution.go
@@ -133,9 +133,9 @@
 // instead of a new one: to the size of a snapshot divided by it.
 const maxExtensionDivisor = 8
 
-// LeadsOn reports whether a snapshot at a revision can be brought up to date by
+// CanExtend reports whether a snapshot at a revision can be brought up to date by
 // the deltas that are kept, and these are small compared with a snapshot.
-func (v *View) LeadsOn(from topology.Revision) bool {
+func (v *View) CanExtend(from topology.Revision) bool {
 	if from == v.newest {
 		return true
 	}
--- a/internal/distribution/since_test.go
+++ b/internal/distribution/since_test.go
@@ -32,7 +32,7 @@
 	}
 	_, ok := view.Since(2)
 	assert.Assert(t, !ok, "no delta begins at this revision")
-	assert.Assert(t, view.LeadsOn(3) && view.LeadsOn(6) && !view.LeadsOn(2))
+	assert.Assert(t, view.CanExtend(3) && view.CanExtend(6) && !view.CanExtend(2))
 }
 
 // Guards against sending restarted agents a snapshot from before the first
@@ -47,8 +47,8 @@
 	log.Append(wire.RoutingDelta{From: 1, To: 2, Shards: assigned}, totals)
 	log.Append(wire.RoutingDelta{From: 2, To: 3, Shards: assigned[:1]}, totals)
 	view := log.View()
-	assert.Assert(t, !view.LeadsOn(1))
-	assert.Assert(t, view.LeadsOn(2) && view.LeadsOn(3))
+	assert.Assert(t, !view.CanExtend(1))
+	assert.Assert(t, view.CanExtend(2) && view.CanExtend(3))
 	_, ok := view.Since(1)
 	assert.Assert(t, ok, "a subscriber at revision 1 still gets the delta")
 }
--- a/internal/fleetcontroller/config.go
+++ b/internal/fleetcontroller/config.go
@@ -45,8 +45,8 @@
 	// gateways, "IP:port". All controllers of a group use the same two port numbers.
 	PeerListen    string
 	SessionListen string
-	// Founding is set at the first start of the whole group, whose founding members are Seeds.
-	Founding bool
+	// Bootstrap is set at the first start of the whole group, whose founding members are Seeds.
+	Bootstrap bool
 	// Seeds are the session addresses of some controllers.
 	Seeds []string
 	// Zones lists the zones of the fleet; only these can be evacuated.
@@ -67,9 +67,9 @@
 	Log        *slog.Logger
 	// Registry is where the metrics are registered; nil discards them.
 	Registry prometheus.Registerer
-	// OnExpelled is called after the group has removed this member and its data folder has been
+	// OnRemoved is called after the group has removed this member and its data folder has been
 	// emptied. The process must be restarted.
-	OnExpelled func()
+	OnRemoved func()
 }
 
 // Defaults of Config.
@@ -96,8 +96,8 @@
 	if c.Log == nil {
 		c.Log = slog.New(slog.DiscardHandler)
 	}
-	if c.OnExpelled == nil {
-		c.OnExpelled = func() {}
+	if c.OnRemoved == nil {
+		c.OnRemoved = func() {}
 	}
 	return c
 }
--- a/internal/fleetcontroller/controller.go
+++ b/internal/fleetcontroller/controller.go
@@ -179,7 +179,7 @@
 	if status.Role != consensus.Leader {
 		return
 	}
-	target := status.Successor()
+	target := status.TransferTarget()
 	if target == 0 {
 		return
 	}
--- a/internal/fleetcontroller/controller_test.go
+++ b/internal/fleetcontroller/controller_test.go
@@ -63,7 +63,7 @@
 	for i := range members {
 		g.configs = append(g.configs, fleetcontroller.Config{
 			Group: 1, Name: fmt.Sprint("c", i+1), DataDir: filepath.Join(t.TempDir(), "data"),
-			PeerListen: fleetcontroller.WithPort(seeds[i], ":"+peer), SessionListen: seeds[i], Founding: true, Seeds: seeds,
+			PeerListen: fleetcontroller.WithPort(seeds[i], ":"+peer), SessionListen: seeds[i], Bootstrap: true, Seeds: seeds,
 			Zones: []string{"a", "b"},
 		})
 	}
--- a/internal/fleetcontroller/founders.go
+++ b/internal/fleetcontroller/founders.go
@@ -45,7 +45,7 @@
 	if !errors.Is(err, iofs.ErrNotExist) {
 		return founderList{}, err
 	}
-	if !config.Founding {
+	if !config.Bootstrap {
 		return founderList{}, nil
 	}
 	peers, self := config.founders()
--- a/internal/fleetcontroller/join.go
+++ b/internal/fleetcontroller/join.go
@@ -50,7 +50,7 @@
 // leader for maxLeaderSilence and may have been removed without its knowledge.
 func (c *Controller) needsAdmission() bool {
 	status := c.replica.Status()
-	if !status.Membership.Names(status.ID, status.Incarnation) {
+	if !status.Membership.HasIncarnation(status.ID, status.Incarnation) {
 		return true
 	}
 	if !status.Membership.IsVoter(status.ID) {
@@ -118,13 +118,13 @@
 func (c *Controller) handleRemoval() {
 	if err := c.replica.Stop(); errors.Is(err, replica.ErrStillWriting) {
 		c.config.Log.Error("data folder not emptied", "error", err)
-		c.config.OnExpelled()
+		c.config.OnRemoved()
 		return
 	}
 	if err := removeContents(c.config.DataDir); err != nil {
 		c.config.Log.Error("data folder not emptied", "error", err)
 	}
-	c.config.OnExpelled()
+	c.config.OnRemoved()
 }
 
 // admit makes a controller a voter; it runs at the leader. The controller sends its Join again
@@ -142,7 +142,7 @@
 		return &fleetwire.Admission{}
 	}
 	membership := c.replica.Status().Membership
-	if join.Replica != 0 && !membership.Names(join.Replica, join.Incarnation) {
+	if join.Replica != 0 && !membership.HasIncarnation(join.Replica, join.Incarnation) {
 		return &fleetwire.Admission{Refused: true}
 	}
 	member, ok := findIncarnation(membership, join.Incarnation)
--- a/internal/fleetcontroller/sessions.go
+++ b/internal/fleetcontroller/sessions.go
@@ -139,7 +139,7 @@
 		return
 	}
 	status, now := c.replica.Status(), c.replica.Now()
-	if c.control.planner == nil || !c.control.leadership.Leads(&status, now) {
+	if c.control.planner == nil || !c.control.leadership.MayAct(&status, now) {
 		return
 	}
 	c.metrics.reports.Inc()
--- a/internal/fleetcontroller/statemachine.go
+++ b/internal/fleetcontroller/statemachine.go
@@ -62,7 +62,7 @@
 	if duty.Announce {
 		c.commitNoop(status.Term)
 	}
-	if !duty.Act || control.planner == nil {
+	if !duty.MayAct || control.planner == nil {
 		return
 	}
 	c.proposeMoves(now)
--- a/internal/fleetcontroller/stop_test.go
+++ b/internal/fleetcontroller/stop_test.go
@@ -43,7 +43,7 @@
 func startSingle(t *testing.T) *Controller {
 	t.Helper()
 	c, err := Start(Config{
-		Group: 1, Name: "c1", DataDir: filepath.Join(t.TempDir(), "data"), Founding: true,
+		Group: 1, Name: "c1", DataDir: filepath.Join(t.TempDir(), "data"), Bootstrap: true,
 		PeerListen: "127.0.0.1:0", SessionListen: "127.0.0.1:0", Seeds: []string{"127.0.0.1:0"},
 	})
 	assert.NilError(t, err)
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -31,9 +31,9 @@
 	CallerService string
 	// Key is the key of a request to a keyed service.
 	Key string
-	// WarmupLeft is on responses to health checks: the time that the back end remains cold, in
+	// WarmUpLeft is on responses to health checks: the time that the back end remains cold, in
 	// milliseconds. InstanceID is the instance that responds.
-	WarmupLeft, InstanceID string
+	WarmUpLeft, InstanceID string
 }
 
 // GrantOrder grants keys to a back end.
@@ -49,9 +49,9 @@
 	PreparedAt time.Time
 }
 
-// Late reports whether the order must not be sent any more: Hold was computed so long ago that
+// Expired reports whether the order must not be sent any more: Hold was computed so long ago that
 // the grant may outlast the lease that covers it.
-func (o *GrantOrder) Late() bool {
+func (o *GrantOrder) Expired() bool {
 	return !o.PreparedAt.IsZero() && steady.Elapsed(o.PreparedAt) > grantTimeout
 }
 
@@ -72,16 +72,16 @@
 	ErrConnectionEnded = errors.New("connection closed without a response")
 	// ErrNotSent means that the order was not sent, since no connection was accepted.
 	ErrNotSent = errors.New("order not sent")
-	// ErrNotTaken means that the back end has refused the order.
-	ErrNotTaken = errors.New("order refused")
+	// ErrOrderRefused means that the back end has refused the order.
+	ErrOrderRefused = errors.New("order refused")
 	// ErrOtherInstance means that another instance runs at the back end's address and has
 	// refused the order.
-	ErrOtherInstance = fmt.Errorf("another instance runs at the address: %w", ErrNotTaken)
+	ErrOtherInstance = fmt.Errorf("another instance runs at the address: %w", ErrOrderRefused)
 )
 
 // KeyHolder is a back end that accepts and releases keys.
 type KeyHolder interface {
-	// Grant grants keys for a time, or renews them. After ErrNotSent and ErrNotTaken the back
+	// Grant grants keys for a time, or renews them. After ErrNotSent and ErrOrderRefused the back
 	// end does not hold the keys by this order. After any other error this is unknown; after
 	// ErrConnectionEnded the back end, if it accepted the order, did so before Grant returned.
 	Grant(ctx context.Context, order GrantOrder) error
@@ -144,8 +144,8 @@
 	// about the back end's keys, at most half of HeartbeatInterval. A change in the meantime is
 	// sent immediately. A back end waits one second for the response.
 	ResponseDelay time.Duration
-	// LongestHold is the longest time for which the back end accepts keys.
-	LongestHold time.Duration
+	// MaxKeyHold is the longest time for which the back end accepts keys.
+	MaxKeyHold time.Duration
 	// StopWithin bounds the duration of a planned stop.
 	StopWithin time.Duration
 	Log        *slog.Logger
@@ -190,7 +190,7 @@
 	c.HeartbeatInterval = cmp.Or(c.HeartbeatInterval, DefaultHeartbeatInterval)
 	c.KeyHold = cmp.Or(c.KeyHold, DefaultKeyHold)
 	c.ResponseDelay = cmp.Or(c.ResponseDelay, DefaultResponseDelay)
-	c.LongestHold = cmp.Or(c.LongestHold, DefaultMaxKeyHold)
+	c.MaxKeyHold = cmp.Or(c.MaxKeyHold, DefaultMaxKeyHold)
 	c.StopWithin = cmp.Or(c.StopWithin, DefaultStopWithin)
 	c.Budget.Window = cmp.Or(c.Budget.Window, DefaultWindow)
 	if c.Registry == nil {
--- a/internal/gateway/ingress.go
+++ b/internal/gateway/ingress.go
@@ -128,7 +128,7 @@
 	case !g.session.configurationLease.valid(now):
 		// Another configuration with other routes may have been in force for long.
 		return reasonStaleConfiguration
-	case route != nil && !route.Repetition.MayRepeat() && httpserver.MayRunBeside(r):
+	case route != nil && !route.Repetition.MayRepeat() && httpserver.MayRunConcurrently(r):
 		// The route has changed since the request was accepted as one that may run twice.
 		return reasonRouteChanged
 	}
--- a/internal/gateway/keygrants.go
+++ b/internal/gateway/keygrants.go
@@ -17,7 +17,7 @@
 	if k.byHeartbeat() {
 		hold = max(hold, config.HeartbeatInterval+responseValidity)
 	}
-	return min(hold, config.LongestHold)
+	return min(hold, config.MaxKeyHold)
 }
 
 // startGrants sends the grants that are due.
@@ -134,7 +134,7 @@
 		sent.bound.Answered(now)
 	case errors.Is(err, ErrNotSent):
 		sent.bound.Rejected()
-	case errors.Is(err, ErrNotTaken):
+	case errors.Is(err, ErrOrderRefused):
 		sent.bound.Rejected()
 		if current {
 			k.fences.retireFence(sent.Fence, sent.subFence)
--- a/internal/gateway/registration.go
+++ b/internal/gateway/registration.go
@@ -15,8 +15,8 @@
 	Service string
 	Slots   int
 	State   fleetwire.InstanceState
-	// WarmupLeft is the remaining time of its warm-up after the start.
-	WarmupLeft time.Duration
+	// WarmUpLeft is the remaining time of its warm-up after the start.
+	WarmUpLeft time.Duration
 	// Sequence increases with each heartbeat of an incarnation, so that a delayed one is
 	// recognized.
 	Sequence uint64
@@ -145,7 +145,7 @@
 		r.startIncarnation(registration)
 	}
 	r.lastHeartbeatAt, r.unverified, r.otherAtAddress = now, false, false
-	r.onWarmUp(registration.WarmupLeft, fresh)
+	r.onWarmUp(registration.WarmUpLeft, fresh)
 	r.missedIntervals = 0
 	r.current.Sequence = registration.Sequence
 	r.current.Slots = registration.Slots
@@ -172,7 +172,7 @@
 	r.refusesFrom = time.Time{}
 	address, node, zone := r.current.Address, r.current.Node, r.current.Zone
 	r.current = fleetwire.Instance{
-		ID: registration.ID, Service: registration.Service, Node: node, Address: address, Zone: zone, Slots: registration.Slots, Cold: registration.WarmupLeft > 0,
+		ID: registration.ID, Service: registration.Service, Node: node, Address: address, Zone: zone, Slots: registration.Slots, Cold: registration.WarmUpLeft > 0,
 	}
 }
 
--- a/internal/gateway/silentleader_test.go
+++ b/internal/gateway/silentleader_test.go
@@ -139,7 +139,7 @@
 	t.Helper()
 	sessionAddress := freeAddress(t)
 	controller, err := fleetcontroller.Start(fleetcontroller.Config{
-		Group: 1, Name: "c", DataDir: filepath.Join(t.TempDir(), "data"), Founding: true,
+		Group: 1, Name: "c", DataDir: filepath.Join(t.TempDir(), "data"), Bootstrap: true,
 		PeerListen: freeAddress(t), SessionListen: sessionAddress, Seeds: []string{sessionAddress},
 	})
 	assert.NilError(t, err)
--- a/internal/gateway/warmup.go
+++ b/internal/gateway/warmup.go
@@ -114,7 +114,7 @@
 	if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxHealthBody)); err != nil {
 		return err
 	}
-	if len(response.Header.Values(names.InstanceID)) > 1 || len(response.Header.Values(names.WarmupLeft)) > 1 {
+	if len(response.Header.Values(names.InstanceID)) > 1 || len(response.Header.Values(names.WarmUpLeft)) > 1 {
 		return errDuplicateField
 	}
 	respondedBy := response.Header.Get(names.InstanceID)
@@ -125,14 +125,14 @@
 		g.registry.verify(respondedBy)
 		g.keys.signal()
 	}
-	text := response.Header.Get(names.WarmupLeft)
+	text := response.Header.Get(names.WarmUpLeft)
 	if text == "" && response.StatusCode == http.StatusOK {
 		g.slots.updateWarmUpFromProbe(0)
 		return nil
 	}
 	left, ok := parseMilliseconds(text)
 	if !ok {
-		return fmt.Errorf("%s: %.64q is not a number of milliseconds", names.WarmupLeft, text)
+		return fmt.Errorf("%s: %.64q is not a number of milliseconds", names.WarmUpLeft, text)
 	}
 	g.slots.updateWarmUpFromProbe(left)
 	return nil
--- a/internal/gateway/warmup_test.go
+++ b/internal/gateway/warmup_test.go
@@ -132,7 +132,7 @@
 			backend := startRawBackend(t, func(*http.Request) string { return test.response })
 			g := gatewayWithBackend(t, backend)
 			g.config.Service = "s"
-			g.config.Headers.WarmupLeft, g.config.Headers.InstanceID = "Cold-Ms", "Answered-By"
+			g.config.Headers.WarmUpLeft, g.config.Headers.InstanceID = "Cold-Ms", "Answered-By"
 			g.views.beforeSwap = g.prepareView
 			advance(t, g.views, &fleetwire.View{Document: &routeconfig.Document{Version: 1, Services: []routeconfig.Service{
 				{Name: "s", HealthPath: "/health", WarmupRate: coldRate, Warmup: time.Hour},
@@ -156,7 +156,7 @@
 	r := newRegistry(func() {})
 	r.onWarmUp = g.updateWarmUpFromHeartbeat
 	receive := func(id string, sequence uint64, left time.Duration) {
-		r.heartbeat(Registration{ID: id, State: fleetwire.InstanceReady, Sequence: sequence, WarmupLeft: left}, time.Second, steady.Reading())
+		r.heartbeat(Registration{ID: id, State: fleetwire.InstanceReady, Sequence: sequence, WarmUpLeft: left}, time.Second, steady.Reading())
 	}
 	receive("i-1", 1, 0)
 	cold, _ := g.warmUpState()
--- a/internal/grants/grants_test.go
+++ b/internal/grants/grants_test.go
@@ -41,10 +41,10 @@
 
 func (s *server) handle(message backendapi.Grants) error {
 	if message.Boot != fmt.Sprint(s.boot) {
-		return backendapi.ErrOtherBoot
+		return backendapi.ErrRestarted
 	}
 	if message.Sequence <= s.sequence {
-		return backendapi.ErrOvertaken
+		return backendapi.ErrStaleMessage
 	}
 	for _, grant := range message.Grants {
 		if grant.Epoch < s.highest[grant.Shard] {
--- a/internal/grants/state.go
+++ b/internal/grants/state.go
@@ -316,9 +316,9 @@
 	switch {
 	case err == nil:
 		return s.applyResponse(sent, reading, received)
-	case errors.Is(err, backendapi.ErrOtherBoot):
+	case errors.Is(err, backendapi.ErrRestarted):
 		return s.restarted(reading, received)
-	case errors.Is(err, backendapi.ErrOvertaken):
+	case errors.Is(err, backendapi.ErrStaleMessage):
 		s.possibleUntil = sent.possibleBefore
 		s.sequence = max(s.sequence, reading.Sequence)
 		return Outcome{}
--- a/internal/httpserver/pipelining.go
+++ b/internal/httpserver/pipelining.go
@@ -100,9 +100,9 @@
 	}
 }
 
-// MayRunBeside reports whether a request may run concurrently with others of its
+// MayRunConcurrently reports whether a request may run concurrently with others of its
 // connection, as decided with Pipelining.Repeatable when it was read.
-func MayRunBeside(r *http.Request) bool {
+func MayRunConcurrently(r *http.Request) bool {
 	e := exchangeOf(r.Context())
 	return e != nil && e.repeatable
 }
--- a/internal/inforce/doc.go
+++ b/internal/inforce/doc.go
@@ -9,7 +9,7 @@
 // reports this at the earlier of these moments:
 //
 //   - Every subscriber of every controller has confirmed the revision, or was silent
-//     for wire.StopRelyingAfter. All controllers must have reported recently, and
+//     for wire.MaxRoutingStaleness. All controllers must have reported recently, and
 //     each must have run for MaxRelianceTime: one that has just started does not
 //     know the subscribers that it served before. The leader must have led for
 //     MaxRelianceTime: a new one does not know the subscribers of a controller
--- a/internal/inforce/inforce_test.go
+++ b/internal/inforce/inforce_test.go
@@ -80,7 +80,7 @@
 	tracker := leader()
 	tracker.Connected(router("own"), &wire.Hello{Boot: 1, Applied: before}, settled-time.Second)
 	tracker.Disconnected(router("own"), 1, settled-time.Second)
-	stops := settled - time.Second + wire.StopRelyingAfter
+	stops := settled - time.Second + wire.MaxRoutingStaleness
 	reportAt := func(at time.Duration) {
 		tracker.ApplyReport(other, &wire.SubscriberReport{Listing: at}, at)
 	}
@@ -121,7 +121,7 @@
 	gone := tracker.Subscribers(self)[0]
 	assert.Assert(t, !gone.Connected)
 	assert.Assert(t, !gone.StoppedRelying(settled))
-	assert.Assert(t, gone.StoppedRelying(settled+wire.StopRelyingAfter+1))
+	assert.Assert(t, gone.StoppedRelying(settled+wire.MaxRoutingStaleness+1))
 }
 
 func TestNewLeaderWaitsForAllReports(t *testing.T) {
@@ -170,6 +170,6 @@
 	late := settled + 2*inforce.MaxRelianceTime
 	assert.DeepEqual(t, lagging(tracker, late), []string{"agent"})
 	tracker.Disconnected(agent, 1, late)
-	assert.DeepEqual(t, lagging(tracker, late+wire.StopRelyingAfter), []string{"agent"})
-	assert.Assert(t, tracker.Progress(change, &status, late+wire.StopRelyingAfter+1).Everywhere)
+	assert.DeepEqual(t, lagging(tracker, late+wire.MaxRoutingStaleness), []string{"agent"})
+	assert.Assert(t, tracker.Progress(change, &status, late+wire.MaxRoutingStaleness+1).Everywhere)
 }
--- a/internal/inforce/progress.go
+++ b/internal/inforce/progress.go
@@ -10,9 +10,9 @@
 )
 
 // MaxRelianceTime is how long after its commit a revision is in force at all routers,
-// whichever subscribers have confirmed it: wire.StopRelyingAfter by a clock that runs
+// whichever subscribers have confirmed it: wire.MaxRoutingStaleness by a clock that runs
 // slow by the bound of clock drift.
-const MaxRelianceTime = wire.StopRelyingAfter + wire.StopRelyingAfter/50
+const MaxRelianceTime = wire.MaxRoutingStaleness + wire.MaxRoutingStaleness/50
 
 // ReportInterval is the interval of a follower's reports to the leader.
 const ReportInterval = 100 * time.Millisecond
@@ -79,8 +79,8 @@
 func controllerAsSubscriber(entry consensus.Member, lastMessageAt time.Duration) Subscriber {
 	name := fmt.Sprintf("controller-%d", entry.ID)
 	return Subscriber{
-		Key:        Key{Role: topology.RoleController, Name: name, Address: entry.Address},
-		HeardAt:    lastMessageAt,
-		Controller: entry.ID,
+		Key:           Key{Role: topology.RoleController, Name: name, Address: entry.Address},
+		LastMessageAt: lastMessageAt,
+		Controller:    entry.ID,
 	}
 }
--- a/internal/inforce/tracker.go
+++ b/internal/inforce/tracker.go
@@ -27,8 +27,8 @@
 	Boot      uint64
 	Applied   topology.Revision
 	Connected bool
-	// HeardAt is when the last message was received from it.
-	HeardAt time.Duration
+	// LastMessageAt is when the last message was received from it.
+	LastMessageAt time.Duration
 	// Controller that serves it, or served it last.
 	Controller topology.ReplicaID
 	// unreported is set while the latest state has not been reported to the leader.
@@ -38,7 +38,7 @@
 // StoppedRelying reports whether the subscriber has stopped using its routing data, as
 // it has had no contact with a controller for too long.
 func (s *Subscriber) StoppedRelying(now time.Duration) bool {
-	return !s.Connected && now-s.HeardAt > wire.StopRelyingAfter
+	return !s.Connected && now-s.LastMessageAt > wire.MaxRoutingStaleness
 }
 
 // Tracker tracks which subscriber has which revision in force. A controller's own
@@ -80,13 +80,13 @@
 // Connected records the start of an own subscriber's session.
 func (t *Tracker) Connected(key Key, hello *wire.Hello, now time.Duration) {
 	t.own[key] = &Subscriber{
-		Key:        key,
-		Location:   hello.Location,
-		Boot:       hello.Boot,
-		Applied:    hello.Applied,
-		Connected:  true,
-		HeardAt:    now,
-		unreported: true,
+		Key:           key,
+		Location:      hello.Location,
+		Boot:          hello.Boot,
+		Applied:       hello.Applied,
+		Connected:     true,
+		LastMessageAt: now,
+		unreported:    true,
 	}
 }
 
@@ -98,7 +98,7 @@
 		return
 	}
 	entry.Connected = false
-	entry.HeardAt = now
+	entry.LastMessageAt = now
 	entry.unreported = true
 }
 
@@ -109,7 +109,7 @@
 	if entry == nil {
 		return false
 	}
-	entry.HeardAt = now
+	entry.LastMessageAt = now
 	if revision <= entry.Applied {
 		return false
 	}
@@ -118,10 +118,10 @@
 	return true
 }
 
-// Heard records a message from an own subscriber.
-func (t *Tracker) Heard(key Key, boot uint64, now time.Duration) {
+// RecordMessage records a message from an own subscriber.
+func (t *Tracker) RecordMessage(key Key, boot uint64, now time.Duration) {
 	if entry := t.find(key, boot); entry != nil {
-		entry.HeardAt = now
+		entry.LastMessageAt = now
 	}
 }
 
@@ -158,7 +158,7 @@
 func (t *Tracker) Report(all bool, now time.Duration) wire.SubscriberReport {
 	report := wire.SubscriberReport{All: all, Listing: now - t.started}
 	for key, entry := range t.own {
-		if !entry.Connected && now-entry.HeardAt > ExpireAfter {
+		if !entry.Connected && now-entry.LastMessageAt > ExpireAfter {
 			delete(t.own, key)
 			continue
 		}
@@ -173,7 +173,7 @@
 			Location:  entry.Location,
 			Applied:   entry.Applied,
 			Connected: entry.Connected,
-			Silent:    now - entry.HeardAt,
+			Silent:    now - entry.LastMessageAt,
 		})
 	}
 	return report
@@ -196,7 +196,7 @@
 	for _, entry := range t.remote {
 		if entry.Controller == from && entry.Connected {
 			entry.Connected = false
-			entry.HeardAt = now
+			entry.LastMessageAt = now
 		}
 	}
 }
@@ -208,12 +208,12 @@
 		return
 	}
 	t.remote[key] = &Subscriber{
-		Key:        key,
-		Location:   state.Location,
-		Applied:    state.Applied,
-		Connected:  state.Connected,
-		HeardAt:    now - state.Silent,
-		Controller: from,
+		Key:           key,
+		Location:      state.Location,
+		Applied:       state.Applied,
+		Connected:     state.Connected,
+		LastMessageAt: now - state.Silent,
+		Controller:    from,
 	}
 }
 
@@ -242,7 +242,7 @@
 	if a.Connected != b.Connected {
 		return a.Connected
 	}
-	return a.HeardAt > b.HeardAt
+	return a.LastMessageAt > b.LastMessageAt
 }
 
 func compareKeys(a, b Key) int {
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -63,8 +63,8 @@
 	// Announce means that the controller must propose the announcement of the
 	// term, and report the outcome with Announced or Refused.
 	Announce bool
-	// Act means that the controller may act as the leader now.
-	Act bool
+	// MayAct means that the controller may act as the leader now.
+	MayAct bool
 }
 
 // Term returns the term in which the controller leads, or zero if it does not
@@ -76,8 +76,8 @@
 	return l.term
 }
 
-// Leads reports whether the controller may act as the leader at now.
-func (l *Leadership) Leads(status *consensus.Status, now time.Duration) bool {
+// MayAct reports whether the controller may act as the leader at now.
+func (l *Leadership) MayAct(status *consensus.Status, now time.Duration) bool {
 	return l.state == stateLeading && l.term == status.Term && status.IsLeader(now)
 }
 
@@ -91,7 +91,7 @@
 		l.term = status.Term
 		actions.Announce = l.fire(eventElected) == actionAnnounce
 	}
-	actions.Act = l.Leads(status, now)
+	actions.MayAct = l.MayAct(status, now)
 	return actions
 }
 
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/leadership_test.go
@@ -33,16 +33,16 @@
 	l := &leadership.Leadership{}
 	assert.DeepEqual(t, l.Tick(leader(3), 0), leadership.Actions{Announce: true})
 	assert.DeepEqual(t, l.Tick(leader(3), 1), leadership.Actions{})
-	assert.Assert(t, !l.Leads(leader(3), 1))
+	assert.Assert(t, !l.MayAct(leader(3), 1))
 	assert.Assert(t, l.Announced(leader(3), 3))
-	assert.DeepEqual(t, l.Tick(leader(3), 2), leadership.Actions{Act: true})
+	assert.DeepEqual(t, l.Tick(leader(3), 2), leadership.Actions{MayAct: true})
 	assert.Equal(t, l.Term(), uint64(3))
 }
 
 func TestLeaderDoesNotActAfterLeaseExpires(t *testing.T) {
 	l := leading(t, 3)
-	assert.Assert(t, l.Leads(leader(3), leaseEnd-1))
-	assert.Assert(t, !l.Leads(leader(3), leaseEnd))
+	assert.Assert(t, l.MayAct(leader(3), leaseEnd-1))
+	assert.Assert(t, !l.MayAct(leader(3), leaseEnd))
 	assert.DeepEqual(t, l.Tick(leader(3), leaseEnd), leadership.Actions{})
 }
 
@@ -55,7 +55,7 @@
 
 func TestLeaderOfNewTermStepsDownAndAnnouncesAgain(t *testing.T) {
 	l := leading(t, 3)
-	assert.Assert(t, !l.Leads(leader(5), 1))
+	assert.Assert(t, !l.MayAct(leader(5), 1))
 	assert.DeepEqual(t, l.Tick(leader(5), 1), leadership.Actions{StepDown: true, Announce: true})
 	assert.Assert(t, !l.Announced(leader(5), 3), "the announcement of an earlier term has no effect")
 	assert.Assert(t, l.Announced(leader(5), 5))
@@ -65,7 +65,7 @@
 	l := &leadership.Leadership{}
 	l.Tick(leader(3), 0)
 	assert.Assert(t, !l.Announced(follower(4), 3))
-	assert.Assert(t, !l.Leads(leader(3), 1))
+	assert.Assert(t, !l.MayAct(leader(3), 1))
 	l.Refused(3)
 	assert.DeepEqual(t, l.Tick(leader(6), 2), leadership.Actions{Announce: true})
 }
--- a/internal/plannedstop/admission.go
+++ b/internal/plannedstop/admission.go
@@ -12,11 +12,11 @@
 	"time"
 )
 
-// AnswerMargin is the minimum time between the deadline of admitted work and the end of the
+// ResponseMargin is the minimum time between the deadline of admitted work and the end of the
 // stop. It leaves time to write the response, also one that reports that the deadline has
 // passed: one CPU quota period for which the process may be throttled (100 ms), and the write
 // itself.
-const AnswerMargin = 150 * time.Millisecond
+const ResponseMargin = 150 * time.Millisecond
 
 // Admission admits all work until a planned stop begins, and from then on only work that
 // ends before the stop does. The zero value is ready for use. It is safe for concurrent use.
@@ -48,5 +48,5 @@
 	if end == nil {
 		return true
 	}
-	return !deadline.IsZero() && !deadline.Add(AnswerMargin).After(*end)
+	return !deadline.IsZero() && !deadline.Add(ResponseMargin).After(*end)
 }
--- a/internal/plannedstop/admission_test.go
+++ b/internal/plannedstop/admission_test.go
@@ -13,7 +13,7 @@
 // without a deadline.
 func TestAdmitsOnlyWorkThatEndsBeforeTheStop(t *testing.T) {
 	start := time.Now()
-	latest := start.Add(5*time.Second - plannedstop.AnswerMargin)
+	latest := start.Add(5*time.Second - plannedstop.ResponseMargin)
 	var admission plannedstop.Admission
 	assert.Assert(t, !admission.Stopping())
 	assert.Assert(t, admission.Admits(start.Add(time.Hour)), "no stop has begun")
--- a/internal/replica/bootstrap.go
+++ b/internal/replica/bootstrap.go
@@ -213,7 +213,7 @@
 		return false
 	}
 	var membership consensus.Membership
-	if b.prepared != nil && b.prepared.Names(m.To, m.ToIncarnation) {
+	if b.prepared != nil && b.prepared.HasIncarnation(m.To, m.ToIncarnation) {
 		membership = *b.prepared
 	}
 	return b.complete(m.To, membership)
--- a/internal/replica/control.go
+++ b/internal/replica/control.go
@@ -199,7 +199,7 @@
 	err := c.core.Step(c.r.Now(), m)
 	if errors.Is(err, consensus.ErrOlderCopy) {
 		err = errors.Join(&storage.DamageError{File: c.r.config.DataDir, Reason: err.Error(), Advice: storage.AdviceReplace},
-			c.r.files.folder.Condemn(err.Error()))
+			c.r.files.folder.MarkUnusable(err.Error()))
 	}
 	if err != nil {
 		c.r.fail(err)
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -140,7 +140,7 @@
 	}
 	unapplied, whole := core.Unapplied()
 	status := core.Status()
-	if !whole || !status.Membership.Names(status.ID, status.Incarnation) || !status.Membership.IsVoter(status.ID) {
+	if !whole || !status.Membership.HasIncarnation(status.ID, status.Incarnation) || !status.Membership.IsVoter(status.ID) {
 		return Log{}, false
 	}
 	return Log{LastIndex: status.LastIndex, LastTerm: core.LastTerm(), Unapplied: unapplied, Membership: status.Membership}, true
--- a/internal/replica/storage.go
+++ b/internal/replica/storage.go
@@ -66,7 +66,7 @@
 
 // reserveSpace starts a new log segment if the current one has less than the
 // headroom left. It returns storage.ErrDiskFull if there is no space for one.
-func (f *files) reserveSpace() error { return f.log.TryRoll(f.headroom) }
+func (f *files) reserveSpace() error { return f.log.EnsureSpaceFor(f.headroom) }
 
 func (f *files) load(config Config) (recoveredState, error) {
 	var recovered recoveredState
@@ -125,9 +125,9 @@
 // doesn't verify the disk at the next start.
 func (f *files) updateWriteNote(verified bool) error {
 	if !verified {
-		return f.folder.Forget()
+		return f.folder.RemoveRunRecord()
 	}
-	f.folder.NoteWrite(f.log.Newest())
+	f.folder.RecordWrite(f.log.Newest())
 	return nil
 }
 
--- a/internal/replica/suspended_test.go
+++ b/internal/replica/suspended_test.go
@@ -15,6 +15,6 @@
 func TestClockCountsSuspendedTime(t *testing.T) {
 	r := &Replica{started: steady.Reading()}
 	before := r.Now()
-	steady.RehearseSuspension(5 * time.Second)
+	steady.SimulateSuspension(5 * time.Second)
 	assert.Assert(t, r.Now()-before >= 5*time.Second, "%v", r.Now()-before)
 }
--- a/internal/replica/transfer.go
+++ b/internal/replica/transfer.go
@@ -106,9 +106,9 @@
 // are there.
 func (c *control) continueDownload() {
 	d := &c.download
-	if !d.incoming.Whole() {
+	if !d.incoming.Complete() {
 		d.requestedAt = c.r.Now()
-		c.r.peers.sendTo(d.address, envelope{Want: &snapshotPartRequest{d.offer.Image.Digest, d.incoming.Have()}})
+		c.r.peers.sendTo(d.address, envelope{Want: &snapshotPartRequest{d.offer.Image.Digest, d.incoming.Received()}})
 		return
 	}
 	snapshot, err := d.incoming.Finish()
@@ -142,7 +142,7 @@
 
 func (c *control) receivePart(part snapshotPart) {
 	d := &c.download
-	if d.incoming == nil || d.offer.Image.Digest != part.Digest || part.Offset != d.incoming.Have() {
+	if d.incoming == nil || d.offer.Image.Digest != part.Digest || part.Offset != d.incoming.Received() {
 		return
 	}
 	if c.downloadSucceeded(d.incoming.Write(part.Offset, part.Data)) {
--- a/internal/replica/writer.go
+++ b/internal/replica/writer.go
@@ -44,7 +44,7 @@
 			result = r.write(job)
 		}
 		if job.verified {
-			r.files.folder.NoteWrite(r.files.log.Newest())
+			r.files.folder.RecordWrite(r.files.log.Newest())
 		}
 		select {
 		case r.writeResults <- result:
--- a/internal/requestrecord/fuzz_test.go
+++ b/internal/requestrecord/fuzz_test.go
@@ -30,7 +30,7 @@
 		_, _ = ledger.Admit(shard, 1, idAt(late, n), 7, late.UnixMilli())
 	}
 	ledger.Finish(shard, idAt(late, 0), &Answer{Status: http.StatusOK, Header: http.Header{"A": {"b"}}, Body: []byte("ok")})
-	ledger.Lose(shard, idAt(late, 1))
+	ledger.MarkOutcomeUnknown(shard, idAt(late, 1))
 	ledger.Abandon(shard, idAt(late, 2))
 	ledger.Release(shard, 1)
 	transfer, _ := ledger.Export(shard, 1, start.UnixMilli())
--- a/internal/requestrecord/ledger.go
+++ b/internal/requestrecord/ledger.go
@@ -253,8 +253,8 @@
 	ledger.applyChange(Change{Finished: newFinished(shard, id, answer)}, false)
 }
 
-// Lose records that the outcome of an admitted request is unknown.
-func (ledger *Ledger) Lose(shard topology.ShardID, id requestid.ID) {
+// MarkOutcomeUnknown records that the outcome of an admitted request is unknown.
+func (ledger *Ledger) MarkOutcomeUnknown(shard topology.ShardID, id requestid.ID) {
 	ledger.applyChange(Change{Finished: &finishedChange{Shard: shard, ID: id}}, false)
 }
 
--- a/internal/requestrecord/ledger_test.go
+++ b/internal/requestrecord/ledger_test.go
@@ -164,7 +164,7 @@
 	switch verdict.Decision {
 	case Fresh:
 		s.attempts = append(s.attempts, &attempt{id: id, owned: owned, agent: agent, ledger: agent.ledger})
-	case Answered, AnswerGone:
+	case Answered, AnswerNotKept:
 		assert.Equal(t, s.runs[id], 1, "reported as run, but it did not run exactly once")
 	case Mismatch:
 		t.Fatalf("id %v found with another fingerprint", id)
@@ -205,7 +205,7 @@
 	}
 	switch {
 	case rapid.IntRange(0, 3).Draw(t, "lost") == 0:
-		ended.ledger.Lose(ended.owned.id, ended.id)
+		ended.ledger.MarkOutcomeUnknown(ended.owned.id, ended.id)
 	case ended.ran:
 		ended.ledger.Finish(ended.owned.id, ended.id, &Answer{Status: 200, Body: []byte("ok")})
 	default:
--- a/internal/requestrecord/record.go
+++ b/internal/requestrecord/record.go
@@ -156,11 +156,11 @@
 	record.ledger.Finish(shard, id, answer)
 }
 
-// Lose calls Ledger.Lose.
-func (record *Record) Lose(shard topology.ShardID, id requestid.ID) {
+// MarkOutcomeUnknown calls Ledger.Lose.
+func (record *Record) MarkOutcomeUnknown(shard topology.ShardID, id requestid.ID) {
 	record.mutex.Lock()
 	defer record.mutex.Unlock()
-	record.ledger.Lose(shard, id)
+	record.ledger.MarkOutcomeUnknown(shard, id)
 }
 
 // Abandon calls Ledger.Abandon.
--- a/internal/requestrecord/record_test.go
+++ b/internal/requestrecord/record_test.go
@@ -121,12 +121,12 @@
 	for _, id := range []requestid.ID{lost, notRun, large} {
 		assert.Equal(t, admit(t, record, 1, id).Decision, Fresh)
 	}
-	record.Lose(shard, lost)
+	record.MarkOutcomeUnknown(shard, lost)
 	record.Abandon(shard, notRun)
 	record.Finish(shard, large, &Answer{Status: http.StatusOK, Body: make([]byte, DefaultMaxAnswerBytes+1)})
 	assert.Equal(t, admit(t, record, 1, lost).Decision, OutcomeUnknown)
 	assert.Equal(t, admit(t, record, 1, notRun).Decision, Fresh)
-	assert.Equal(t, admit(t, record, 1, large).Decision, AnswerGone)
+	assert.Equal(t, admit(t, record, 1, large).Decision, AnswerNotKept)
 }
 
 // copyJournal simulates the kill of a process: it copies the journal of a record
--- a/internal/requestrecord/shard.go
+++ b/internal/requestrecord/shard.go
@@ -21,8 +21,8 @@
 	InProgress
 	// Answered means that the request ran; Verdict.Answer is its answer.
 	Answered
-	// AnswerGone means that the request ran and its answer was not kept.
-	AnswerGone
+	// AnswerNotKept means that the request ran and its answer was not kept.
+	AnswerNotKept
 	// OutcomeUnknown means that the id was admitted and the request may have run.
 	OutcomeUnknown
 	// RecordLost means that it is unknown whether the id was ever admitted.
@@ -80,7 +80,7 @@
 	case e.state == stateUnknown:
 		return Verdict{Decision: OutcomeUnknown}
 	case e.answer == nil:
-		return Verdict{Decision: AnswerGone}
+		return Verdict{Decision: AnswerNotKept}
 	}
 	return Verdict{Decision: Answered, Answer: e.answer.answer()}
 }
--- a/internal/router/classify.go
+++ b/internal/router/classify.go
@@ -63,7 +63,7 @@
 	if errResp := q.applyNonRepeatableHeader(); errResp != nil {
 		return nil, errResp
 	}
-	if q.nonRepeatable && httpserver.MayRunBeside(incoming) {
+	if q.nonRepeatable && httpserver.MayRunConcurrently(incoming) {
 		return nil, notRunError(wire.ReasonStale, "the service's rule changed while the request was read")
 	}
 	q.idempotent = !q.nonRepeatable && (rule != nil || isIdempotentMethod(incoming.Method))
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -116,7 +116,7 @@
 	// table named a new owner. Default 100 ms.
 	SupersededGrace time.Duration
 	// StaleAfter is how long the router uses its table without a confirmation
-	// that it is the newest. Default and maximum are wire.StopRelyingAfter.
+	// that it is the newest. Default and maximum are wire.MaxRoutingStaleness.
 	StaleAfter time.Duration
 
 	// DrainDelay is how long a planned stop continues to accept connections, so
@@ -167,7 +167,7 @@
 	setDefault(&c.RetryBurst, 20)
 	setDefault(&c.AttemptTimeout, time.Second)
 	setDefault(&c.SupersededGrace, 100*time.Millisecond)
-	setDefault(&c.StaleAfter, wire.StopRelyingAfter)
+	setDefault(&c.StaleAfter, wire.MaxRoutingStaleness)
 	setDefault(&c.DrainDelay, time.Second)
 	setDefault(&c.DrainLimit, 30*time.Second)
 	if c.Log == nil {
--- a/internal/router/error_response.go
+++ b/internal/router/error_response.go
@@ -75,7 +75,7 @@
 		return http.StatusRequestEntityTooLarge
 	case wire.ReasonSlowSender:
 		return http.StatusRequestTimeout
-	case wire.ReasonDuplicate, wire.ReasonRecordLost, wire.ReasonAlreadyTaken:
+	case wire.ReasonDuplicate, wire.ReasonRecordLost, wire.ReasonAlreadyRun:
 		return http.StatusConflict
 	case wire.ReasonInterrupted, wire.ReasonTruncated:
 		return http.StatusBadGateway
--- a/internal/router/ownership_test.go
+++ b/internal/router/ownership_test.go
@@ -225,14 +225,14 @@
 func TestStaleRouterRejectsAllRequests(t *testing.T) {
 	owner := newFakeAgent(t, respondOK)
 	f := newFixture(t, nil, owner)
-	f.tableAge.Store(int64(wire.StopRelyingAfter + 1))
+	f.tableAge.Store(int64(wire.MaxRoutingStaleness + 1))
 	for _, got := range []callerResponse{f.get("/keyed/plans/a"), f.post(), f.get("/balanced/plans"), f.send(http.MethodPut, "/keyed/plans/a", "x")} {
 		got.check(t, http.StatusServiceUnavailable, wire.OutcomeNotRun, wire.ReasonStale)
 		assert.Equal(t, got.header.Get("Retry-After"), "2")
 	}
 	assert.ErrorIs(t, f.router.Ready(), ErrStale)
 	assert.Equal(t, owner.requests.Load(), int64(0))
-	f.tableAge.Store(int64(wire.StopRelyingAfter))
+	f.tableAge.Store(int64(wire.MaxRoutingStaleness))
 	f.get("/keyed/plans/a").check(t, http.StatusOK, wire.OutcomeAnswered, noReason)
 	assert.NilError(t, f.router.Ready())
 }
--- a/internal/settings/router.go
+++ b/internal/settings/router.go
@@ -87,9 +87,9 @@
 	})
 	declareControllers(set, &router.Controllers)
 	set.duration(&router.StaleAfter, Field{
-		Name: "routing.stale-after", Default: wire.StopRelyingAfter.String(),
+		Name: "routing.stale-after", Default: wire.MaxRoutingStaleness.String(),
 		Usage: "After this time without a proof from the controllers that the routing data are the newest, requests are answered 503 stale-routing. The controllers rely on the upper bound to say that a change is in force everywhere.",
-	}, 500*time.Millisecond, wire.StopRelyingAfter)
+	}, 500*time.Millisecond, wire.MaxRoutingStaleness)
 	set.check(func(report func(field, problem string)) {
 		if (router.CallerCertificateFile == "") != (router.CallerKeyFile == "") {
 			report("callers.key-file", "callers.certificate-file and callers.key-file go together")
--- a/internal/steady/steady_test.go
+++ b/internal/steady/steady_test.go
@@ -35,7 +35,7 @@
 func TestClockIncludesSuspendedTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		instant, reading, plain := steady.Now(), steady.Reading(), time.Now()
-		steady.RehearseSuspension(5 * time.Second)
+		steady.SimulateSuspension(5 * time.Second)
 		time.Sleep(time.Second)
 		assert.Equal(t, steady.Since(instant), 6*time.Second)
 		assert.Equal(t, steady.Elapsed(reading), 6*time.Second)
--- a/internal/steady/suspended.go
+++ b/internal/steady/suspended.go
@@ -35,9 +35,9 @@
 	return max(counted, 0) + time.Duration(simulatedSuspension.Load())
 }
 
-// RehearseSuspension makes the steady clock of this process behave as if the machine had just
+// SimulateSuspension makes the steady clock of this process behave as if the machine had just
 // resumed from a suspension of the given length. It is for tests and simulations.
-func RehearseSuspension(lasted time.Duration) { simulatedSuspension.Add(int64(lasted)) }
+func SimulateSuspension(lasted time.Duration) { simulatedSuspension.Add(int64(lasted)) }
 
 // minBootOffset reads the two clocks several times and returns the smallest offset, which is
 // that of the pair with the least delay between its readings.
--- a/internal/storage/datadir/datadir_test.go
+++ b/internal/storage/datadir/datadir_test.go
@@ -115,7 +115,7 @@
 	folder := open(t, fs)
 	write(t, fs, segment, "frame 1")
 	assert.NilError(t, fs.SyncDir(dir+"/wal"))
-	folder.NoteWrite(segment)
+	folder.RecordWrite(segment)
 	assert.NilError(t, folder.Close())
 	return fs
 }
@@ -149,7 +149,7 @@
 			proven, err := folder.Proven()
 			assert.NilError(t, err)
 			assert.Equal(t, proven, test.proven)
-			assert.NilError(t, folder.Forget())
+			assert.NilError(t, folder.RemoveRunRecord())
 			proven, err = folder.Proven()
 			assert.NilError(t, err)
 			assert.Assert(t, !proven, "a confirmation counts once, and a removed run record proves nothing")
@@ -167,7 +167,7 @@
 	assert.NilError(t, fs.MakeDir(folder.WAL()))
 	name := folder.WAL() + "/1.wal"
 	write(t, fs, name, "frame 1")
-	folder.NoteWrite(name)
+	folder.RecordWrite(name)
 	assert.NilError(t, folder.Close())
 	for _, proven := range []bool{true, false} {
 		folder, err = Open(fs, data, 1)
@@ -187,7 +187,7 @@
 func TestOpenRejectsFolderMarkedUnusable(t *testing.T) {
 	fs := vfs.NewMemory(1)
 	folder := open(t, fs)
-	assert.NilError(t, folder.Condemn("replica 2 knows of more"))
+	assert.NilError(t, folder.MarkUnusable("replica 2 knows of more"))
 	assert.NilError(t, folder.Close())
 	fs.Crash()
 	_, err := Open(fs, dir, 1)
--- a/internal/storage/datadir/runrecord.go
+++ b/internal/storage/datadir/runrecord.go
@@ -97,9 +97,9 @@
 	return true, nil
 }
 
-// Forget removes the run record, so that the next start cannot take the disk of
+// RemoveRunRecord removes the run record, so that the next start cannot take the disk of
 // an unproven run as proven.
-func (f *Folder) Forget() error {
+func (f *Folder) RemoveRunRecord() error {
 	err := f.fs.Remove(f.dir + "/" + runRecordName)
 	if err != nil && !errors.Is(err, iofs.ErrNotExist) {
 		return fmt.Errorf("data folder: %w", err)
@@ -107,9 +107,9 @@
 	return nil
 }
 
-// NoteWrite updates the run record after a write to a log segment. Errors are
+// RecordWrite updates the run record after a write to a log segment. Errors are
 // ignored: the record then no longer matches, and the next start is unproven.
-func (f *Folder) NoteWrite(segment string) {
+func (f *Folder) RecordWrite(segment string) {
 	if f.run.file == nil {
 		file, err := f.fs.Create(f.dir + "/" + runRecordName)
 		if err != nil {
@@ -131,9 +131,9 @@
 	_, _ = f.run.file.WriteAt(content, 0)
 }
 
-// Condemn marks the folder as unusable for all later starts, because the group
+// MarkUnusable marks the folder as unusable for all later starts, because the group
 // has shown that it lacks data that the replica acknowledged.
-func (f *Folder) Condemn(reason string) error {
+func (f *Folder) MarkUnusable(reason string) error {
 	return vfs.WriteAtomically(f.fs, f.dir, unusableName, []byte(reason))
 }
 
--- a/internal/storage/snap/transfer.go
+++ b/internal/storage/snap/transfer.go
@@ -132,11 +132,11 @@
 // Image returns the image that is being received.
 func (in *Incoming) Image() Image { return in.image }
 
-// Have returns the number of bytes received so far.
-func (in *Incoming) Have() int64 { return in.received }
+// Received returns the number of bytes received so far.
+func (in *Incoming) Received() int64 { return in.received }
 
-// Whole reports whether all bytes have been received.
-func (in *Incoming) Whole() bool { return in.received == in.image.Size }
+// Complete reports whether all bytes have been received.
+func (in *Incoming) Complete() bool { return in.received == in.image.Size }
 
 // Write appends a part. It ignores a part that does not start at the end of the
 // received bytes or exceeds the image's size.
--- a/internal/storage/snap/transfer_test.go
+++ b/internal/storage/snap/transfer_test.go
@@ -13,12 +13,12 @@
 func copyParts(t *testing.T, from *Store, in *Incoming, parts int) error {
 	t.Helper()
 	for range parts {
-		if in.Whole() {
+		if in.Complete() {
 			return nil
 		}
-		part, err := from.ReadPart(in.Image().Digest, in.Have(), 300)
+		part, err := from.ReadPart(in.Image().Digest, in.Received(), 300)
 		assert.NilError(t, err)
-		if err := in.Write(in.Have(), part); err != nil {
+		if err := in.Write(in.Received(), part); err != nil {
 			return err
 		}
 	}
@@ -46,7 +46,7 @@
 	to := open(t, fs)
 	in, err = to.Receive(image)
 	assert.NilError(t, err)
-	assert.Equal(t, in.Have(), int64(900))
+	assert.Equal(t, in.Received(), int64(900))
 	assert.NilError(t, copyParts(t, from, in, 100))
 	found, err := in.Finish()
 	assert.NilError(t, err)
@@ -93,7 +93,7 @@
 	assert.NilError(t, err)
 	assert.NilError(t, copyParts(t, from, in, 2))
 	assert.NilError(t, in.Write(5, []byte("out of order")))
-	assert.Equal(t, in.Have(), int64(600))
+	assert.Equal(t, in.Received(), int64(600))
 	assert.NilError(t, from.Save(snapshot(6)))
 	part, err := from.ReadPart(image.Digest, 0, 300)
 	assert.NilError(t, err)
@@ -102,7 +102,7 @@
 	assert.NilError(t, err)
 	in, err = to.Receive(newer)
 	assert.NilError(t, err)
-	assert.Equal(t, in.Have(), int64(0))
+	assert.Equal(t, in.Received(), int64(0))
 	names, err := fs.List(dir)
 	assert.NilError(t, err)
 	assert.Equal(t, len(names), 1)
@@ -115,5 +115,5 @@
 	in, err := open(t, fs).Receive(image)
 	assert.NilError(t, err)
 	assert.ErrorIs(t, copyParts(t, from, in, 100), storage.ErrDiskFull)
-	assert.Equal(t, in.Have(), int64(900))
+	assert.Equal(t, in.Received(), int64(900))
 }
--- a/internal/storage/wal/wal.go
+++ b/internal/storage/wal/wal.go
@@ -225,9 +225,9 @@
 	return l.writeOffset+paddedSize(bytes) <= l.segmentSize-l.options.ReserveBytes
 }
 
-// TryRoll starts a new segment if an Append with the given number of bytes would
+// EnsureSpaceFor starts a new segment if an Append with the given number of bytes would
 // need one, and returns storage.ErrDiskFull if there is not enough space.
-func (l *Log) TryRoll(bytes int64) error {
+func (l *Log) EnsureSpaceFor(bytes int64) error {
 	if l.failed != nil || l.HasSpaceFor(bytes) {
 		return l.failed
 	}
--- a/internal/storage/wal/wal_test.go
+++ b/internal/storage/wal/wal_test.go
@@ -161,7 +161,7 @@
 		}
 	}
 	assert.ErrorIs(t, err, storage.ErrDiskFull)
-	assert.ErrorIs(t, log.TryRoll(1000), storage.ErrDiskFull)
+	assert.ErrorIs(t, log.EnsureSpaceFor(1000), storage.ErrDiskFull)
 	for term := range uint64(8) {
 		assert.NilError(t, log.Append(&consensus.HardState{Term: 2 + term, Vote: 1}, nil))
 	}
@@ -170,7 +170,7 @@
 	assert.Equal(t, contents.HardState.Term, uint64(9))
 
 	fs.SetCapacity(0)
-	assert.NilError(t, log.TryRoll(1000))
+	assert.NilError(t, log.EnsureSpaceFor(1000))
 	assert.NilError(t, log.Append(nil, entries(1, uint64(written)+1, 1)))
 }
 
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -209,9 +209,9 @@
 	return nil
 }
 
-// Await blocks until the next message starts to arrive or the idle timeout
+// WaitForMessage blocks until the next message starts to arrive or the idle timeout
 // expires. Only the receiving goroutine may call it.
-func (c *Conn) Await() error {
+func (c *Conn) WaitForMessage() error {
 	if c.options.IdleTimeout > 0 {
 		if err := c.stream.SetReadDeadline(time.Now().Add(c.options.IdleTimeout)); err != nil {
 			return c.closeOnError("receive from", err)
--- a/internal/wire/headers.go
+++ b/internal/wire/headers.go
@@ -55,24 +55,24 @@
 // Reasons for OutcomeNotRun, and for OutcomeUnknown where noted, with the HTTP
 // status of the answer.
 const (
-	ReasonNoOwner      Reason = "no-owner"      // 503 and Retry-After
-	ReasonShed         Reason = "shed"          // 503 and Retry-After
-	ReasonOverLimit    Reason = "over-limit"    // 429 and Retry-After
-	ReasonExpired      Reason = "expired"       // 504
-	ReasonWrongEpoch   Reason = "wrong-epoch"   // agent to router: 421
-	ReasonNoLease      Reason = "no-lease"      // agent to router: 421
-	ReasonDraining     Reason = "draining"      // agent to router: 421
-	ReasonInvalid      Reason = "invalid"       // 400
-	ReasonStale        Reason = "stale-routing" // router lost contact with the controllers: 503
-	ReasonUnreachable  Reason = "unreachable"   // no connection was made: 503
-	ReasonNotFound     Reason = "no-service"    // 404
-	ReasonTooLarge     Reason = "too-large"     // 413
-	ReasonSlowSender   Reason = "slow-sender"   // 408
-	ReasonDuplicate    Reason = "in-progress"   // a request with the same id is running: 409
-	ReasonLeaseLost    Reason = "lease-lost"    // unknown: 504
-	ReasonInterrupted  Reason = "interrupted"   // unknown: 502
-	ReasonTimedOut     Reason = "timed-out"     // unknown: 504
-	ReasonRecordLost   Reason = "record-lost"   // unknown: 409
-	ReasonTruncated    Reason = "truncated"     // unknown: 502
-	ReasonAlreadyTaken Reason = "already-run"   // ran before, but the answer is no longer stored: 409
+	ReasonNoOwner     Reason = "no-owner"      // 503 and Retry-After
+	ReasonShed        Reason = "shed"          // 503 and Retry-After
+	ReasonOverLimit   Reason = "over-limit"    // 429 and Retry-After
+	ReasonExpired     Reason = "expired"       // 504
+	ReasonWrongEpoch  Reason = "wrong-epoch"   // agent to router: 421
+	ReasonNoLease     Reason = "no-lease"      // agent to router: 421
+	ReasonDraining    Reason = "draining"      // agent to router: 421
+	ReasonInvalid     Reason = "invalid"       // 400
+	ReasonStale       Reason = "stale-routing" // router lost contact with the controllers: 503
+	ReasonUnreachable Reason = "unreachable"   // no connection was made: 503
+	ReasonNotFound    Reason = "no-service"    // 404
+	ReasonTooLarge    Reason = "too-large"     // 413
+	ReasonSlowSender  Reason = "slow-sender"   // 408
+	ReasonDuplicate   Reason = "in-progress"   // a request with the same id is running: 409
+	ReasonLeaseLost   Reason = "lease-lost"    // unknown: 504
+	ReasonInterrupted Reason = "interrupted"   // unknown: 502
+	ReasonTimedOut    Reason = "timed-out"     // unknown: 504
+	ReasonRecordLost  Reason = "record-lost"   // unknown: 409
+	ReasonTruncated   Reason = "truncated"     // unknown: 502
+	ReasonAlreadyRun  Reason = "already-run"   // ran before, but the answer is no longer stored: 409
 )
--- a/internal/wire/session.go
+++ b/internal/wire/session.go
@@ -80,12 +80,12 @@
 	// full. They are part of the offered load.
 	Refused uint32
 	// HotKeys are the keys with the largest share of Requests, largest first; at
-	// most MaximumHotKeys. An agent may leave them out of most reports.
+	// most MaxHotKeys. An agent may leave them out of most reports.
 	HotKeys []KeyLoad
 }
 
-// MaximumHotKeys is the maximum length of ShardLoad.HotKeys.
-const MaximumHotKeys = 4
+// MaxHotKeys is the maximum length of ShardLoad.HotKeys.
+const MaxHotKeys = 4
 
 // KeyLoad is the estimated share of one key in a shard's requests.
 type KeyLoad struct {
@@ -208,11 +208,11 @@
 	LeaderAddress string
 }
 
-// StopRelyingAfter is how long a router uses routing data that it cannot confirm
+// MaxRoutingStaleness is how long a router uses routing data that it cannot confirm
 // to be the newest. It bounds how long a partitioned process may ignore an
 // accepted change, and thus the time until the change is known to be in force
 // everywhere.
-const StopRelyingAfter = 2500 * time.Millisecond
+const MaxRoutingStaleness = 2500 * time.Millisecond
 
 // Member identifies a follower and its addresses to the leader.
 type Member struct {
--- a/internal/wire/shard_loads.go
+++ b/internal/wire/shard_loads.go
@@ -33,8 +33,8 @@
 	var previous topology.ShardNumber
 	for index := range loads {
 		load := &loads[index]
-		if len(load.HotKeys) > MaximumHotKeys {
-			return nil, fmt.Errorf("wire: shard %d has %d hot keys, want at most %d", load.Shard, len(load.HotKeys), MaximumHotKeys)
+		if len(load.HotKeys) > MaxHotKeys {
+			return nil, fmt.Errorf("wire: shard %d has %d hot keys, want at most %d", load.Shard, len(load.HotKeys), MaxHotKeys)
 		}
 		encoded = binary.AppendVarint(encoded, int64(load.Shard)-int64(previous))
 		encoded = load.appendTo(encoded)
@@ -113,7 +113,7 @@
 func (d *decoder) hotKeys() []KeyLoad {
 	const keyBytes = 8 + 4
 	count := d.byte()
-	if count > MaximumHotKeys {
+	if count > MaxHotKeys {
 		d.corrupt = true
 		return nil
 	}
--- a/internal/wire/shard_loads_test.go
+++ b/internal/wire/shard_loads_test.go
@@ -23,7 +23,7 @@
 		assert.NilError(t, decoded.GobDecode(encoded))
 		assert.DeepEqual(t, decoded, loads)
 	}
-	_, err := ShardLoads{{HotKeys: make([]KeyLoad, MaximumHotKeys+1)}}.GobEncode()
+	_, err := ShardLoads{{HotKeys: make([]KeyLoad, MaxHotKeys+1)}}.GobEncode()
 	assert.ErrorContains(t, err, "hot keys")
 }
 
--- a/lab/backend/check_test.go
+++ b/lab/backend/check_test.go
@@ -49,7 +49,7 @@
 	assert.Equal(t, send(http.MethodGet, "/s/o/k", "1/9", "3"), http.StatusPreconditionFailed)
 
 	_, err = grant(message)
-	assert.ErrorIs(t, err, backendapi.ErrOvertaken)
+	assert.ErrorIs(t, err, backendapi.ErrStaleMessage)
 	lowered := message
 	lowered.Sequence, lowered.Grants = 2, []backendapi.Grant{{Shard: "1/2", Epoch: 2}}
 	_, err = grant(lowered)
@@ -59,7 +59,7 @@
 	old := message
 	old.Boot, old.Sequence = "an earlier start", 3
 	_, err = grant(old)
-	assert.ErrorIs(t, err, backendapi.ErrOtherBoot)
+	assert.ErrorIs(t, err, backendapi.ErrRestarted)
 
 	ending := message
 	reading, err = grant(backendapi.Grants{Boot: reading.Boot, Sequence: 4, ValidUntilMilliseconds: message.ValidUntilMilliseconds})
--- a/lab/experiment/leader.go
+++ b/lab/experiment/leader.go
@@ -212,5 +212,5 @@
 }
 
 func (l *leader) routerReport(name string, report *wire.RouterLoad) {
-	l.coordinator.RouterLoad(name, report, l.emulation.queue.now)
+	l.coordinator.RecordRouterLoad(name, report, l.emulation.queue.now)
 }
--- a/lab/experiment/server.go
+++ b/lab/experiment/server.go
@@ -243,7 +243,7 @@
 			load.LongRunning++
 		}
 	}
-	for _, frequent := range counted.hotKeys.Report(wire.MaximumHotKeys) {
+	for _, frequent := range counted.hotKeys.Report(wire.MaxHotKeys) {
 		load.HotKeys = append(load.HotKeys, wire.KeyLoad{Key: frequent.Key, Share: float32(frequent.Share)})
 	}
 	counted.requests, counted.refused, counted.busy = 0, 0, 0
--- a/lab/integration/scenario.go
+++ b/lab/integration/scenario.go
@@ -187,7 +187,7 @@
 
 // listMachine changes what the platform's list says of one member's machine.
 func (s *Scenario) listMachine(member *fleet.Member, state machines.State) {
-	listed := s.Machines.Shown(time.Now())
+	listed := s.Machines.Visible(time.Now())
 	for index := range listed {
 		if listed[index].Backend == member.Name {
 			listed[index].State = state
--- a/lab/machines/machines.go
+++ b/lab/machines/machines.go
@@ -57,8 +57,8 @@
 	l.versions = append(l.versions, version{visibleFrom: now.Add(l.lag), machines: machines})
 }
 
-// Shown returns the list that is visible at the given time.
-func (l *List) Shown(now time.Time) []Machine {
+// Visible returns the list that is visible at the given time.
+func (l *List) Visible(now time.Time) []Machine {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for len(l.versions) > 1 && !now.Before(l.versions[1].visibleFrom) {
@@ -72,7 +72,7 @@
 	router := chi.NewRouter()
 	router.Get("/machines", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(l.Shown(time.Now()))
+		json.NewEncoder(w).Encode(l.Visible(time.Now()))
 	})
 	router.Put("/machines", func(w http.ResponseWriter, r *http.Request) {
 		var machines []Machine
--- a/lab/machines/machines_test.go
+++ b/lab/machines/machines_test.go
@@ -15,6 +15,6 @@
 	list := machines.NewList(time.Second, before)
 	changed := time.Unix(100, 0)
 	list.Set(after, changed)
-	assert.DeepEqual(t, list.Shown(changed.Add(time.Second-1)), before)
-	assert.DeepEqual(t, list.Shown(changed.Add(time.Second)), after)
+	assert.DeepEqual(t, list.Visible(changed.Add(time.Second-1)), before)
+	assert.DeepEqual(t, list.Visible(changed.Add(time.Second)), after)
 }
--- a/lab/simulate/agent_request.go
+++ b/lab/simulate/agent_request.go
@@ -191,7 +191,7 @@
 		return
 	}
 	if x.recorded {
-		x.agent.ledger.Lose(x.shard, x.request.id)
+		x.agent.ledger.MarkOutcomeUnknown(x.shard, x.request.id)
 	}
 	if x.agent.cluster.has(DefectTimeoutIsNotRun) {
 		x.finish(notRun(wire.ReasonUnreachable))
--- a/lab/simulate/backend.go
+++ b/lab/simulate/backend.go
@@ -62,9 +62,9 @@
 func (b *backend) take(message backendapi.Grants) error {
 	switch {
 	case message.Boot != b.bootName:
-		return backendapi.ErrOtherBoot
+		return backendapi.ErrRestarted
 	case message.Sequence <= b.sequence:
-		return backendapi.ErrOvertaken
+		return backendapi.ErrStaleMessage
 	}
 	for _, grant := range message.Grants {
 		if highest := b.highest[shardNamed(grant.Shard)]; grant.Epoch < highest {
--- a/lab/simulate/cluster.go
+++ b/lab/simulate/cluster.go
@@ -335,7 +335,7 @@
 	}
 	c.world.after(machineListLag, func() {
 		if leader := c.leader(); leader != nil && !leader.frozen {
-			leader.coordinator.MachineList(leaving, leader.clock())
+			leader.coordinator.SetLeavingMachines(leaving, leader.clock())
 		}
 	})
 	c.world.after(machineListInterval, c.machineList)
--- a/lab/simulate/controller_lead.go
+++ b/lab/simulate/controller_lead.go
@@ -19,7 +19,7 @@
 	if duty.Announce {
 		c.announce(status)
 	}
-	if !duty.Act {
+	if !duty.MayAct {
 		return
 	}
 	if command, ok := c.coordinator.Tick(c.clock(), c.unixMilli()); ok {
@@ -93,7 +93,7 @@
 func (c *controller) leads() bool {
 	status := c.status()
 	c.pretend(&status)
-	return c.leadership.Leads(&status, c.clock())
+	return c.leadership.MayAct(&status, c.clock())
 }
 
 // leaderName is the address of the leader as this controller knows it.
--- a/lab/simulate/promises.go
+++ b/lab/simulate/promises.go
@@ -294,7 +294,7 @@
 			continue
 		}
 		status := other.status()
-		if other.leadership.Leads(&status, other.clock()) {
+		if other.leadership.MayAct(&status, other.clock()) {
 			c.world.violate(SingleOwner, "%s acts as the leader of term %d and %s of term %d",
 				acting.name, term, other.name, other.leadership.Term())
 		}
--- a/lab/simulate/session.go
+++ b/lab/simulate/session.go
@@ -205,12 +205,12 @@
 	case message.Released != nil:
 		c.coordinator.Released(s.backend, message.Released)
 	case message.Ping != nil:
-		c.tracker.Heard(keyOf(s), s.hello.Boot, c.clock())
+		c.tracker.RecordMessage(keyOf(s), s.hello.Boot, c.clock())
 		s.send(wire.FromController{Alive: c.alive(message.Ping)})
 	case message.RouterLoad != nil:
-		c.tracker.Heard(keyOf(s), s.hello.Boot, c.clock())
+		c.tracker.RecordMessage(keyOf(s), s.hello.Boot, c.clock())
 		if c.leads() {
-			c.coordinator.RouterLoad(s.hello.Name, message.RouterLoad, c.clock())
+			c.coordinator.RecordRouterLoad(s.hello.Name, message.RouterLoad, c.clock())
 		}
 	}
 }
--- a/lab/simulate/subscriber.go
+++ b/lab/simulate/subscriber.go
@@ -275,7 +275,7 @@
 	if s.cluster.has(DefectNeverStale) {
 		return true
 	}
-	return s.fresh && s.clock()-s.freshAt <= wire.StopRelyingAfter
+	return s.fresh && s.clock()-s.freshAt <= wire.MaxRoutingStaleness
 }
 
 func (s *subscriber) applySnapshot(snapshot wire.RoutingSnapshot) {
