--- a/internal/requestrecord/ledger.go
+++ b/internal/requestrecord/ledger.go
@@ -244,7 +244,7 @@
 
 // Finish records that an admitted request ran, and its answer. An answer whose
 // body is longer than MaxAnswerBytes, or nil, is not kept. The change, like those
-// of Lose and Abandon, need not be durable: if it is lost, the outcome of the
+// of MarkOutcomeUnknown and Abandon, need not be durable: if it is lost, the outcome of the
 // entry becomes unknown.
 func (ledger *Ledger) Finish(shard topology.ShardID, id requestid.ID, answer *Answer) {
 	if answer != nil && len(answer.Body) > ledger.limits.MaxAnswerBytes {
--- a/internal/requestrecord/record.go
+++ b/internal/requestrecord/record.go
@@ -156,7 +156,7 @@
 	record.ledger.Finish(shard, id, answer)
 }
 
-// MarkOutcomeUnknown calls Ledger.Lose.
+// MarkOutcomeUnknown calls Ledger.MarkOutcomeUnknown.
 func (record *Record) MarkOutcomeUnknown(shard topology.ShardID, id requestid.ID) {
 	record.mutex.Lock()
 	defer record.mutex.Unlock()
--- a/internal/requestrecord/shard.go
+++ b/internal/requestrecord/shard.go
@@ -15,7 +15,7 @@
 // Decisions of Admit.
 const (
 	// Fresh means that this call admitted the id; the request may be sent once
-	// the entry is synced. Finish, Lose or Abandon must follow.
+	// the entry is synced. Finish, MarkOutcomeUnknown or Abandon must follow.
 	Fresh Decision = iota + 1
 	// InProgress means that the id was admitted and its request has not ended.
 	InProgress
--- a/internal/subscription/doc.go
+++ b/internal/subscription/doc.go
@@ -29,7 +29,7 @@
 // router's Ping. Its age counts from when that request was sent; for a Ping, the
 // controller's own LeaderContact is added. So neither a paused process nor a
 // delayed message can make old data look fresh. The leader relies on this:
-// wire.StopRelyingAfter after a change was accepted, no router serves by older
+// wire.MaxRoutingStaleness after a change was accepted, no router serves by older
 // data, whether the change reached it or not.
 //
 // # Goroutines
