--- a/spec/lives.pml
+++ b/spec/lives.pml
@@ -1,5 +1,5 @@
 /*
- * Lives of one back end under one id, as internal/gateway (lives.go,
+ * Lives of one back end under one id, as internal/gateway (successor.go,
  * keyyield.go) and internal/keylease tell them apart. README.md says what is
  * modelled and what not.
  *
--- a/spec/unled.pml
+++ b/spec/unled.pml
@@ -1,5 +1,5 @@
 /*
- * Elections where all replicas have started anew, as internal/consensus/unled.go
+ * Elections where all replicas have started anew, as internal/consensus/coldstart.go
  * holds them, beside ordinary ones and the leader lease. README.md says what is
  * modelled and what not.
  *
